--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -126,7 +126,7 @@
         voters: 1,
         replace_after: Duration::MAX,
         data_folder: folder.join("jobs"),
-        timing: Timing::prompt(),
+        timing: Timing::fast_failover(),
         scheduler: SchedulerConfig::default(),
     }
 }
--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -118,7 +118,7 @@
         voters: 2 * settings.losses_to_bear + 1,
         replace_after: REPLACE_AFTER,
         data_folder: settings.data_folder.clone(),
-        timing: Timing::prompt(),
+        timing: Timing::fast_failover(),
         scheduler,
     }
 }
--- a/crates/cleat-control/src/machine.rs
+++ b/crates/cleat-control/src/machine.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
 use cleat_jobs::{Answer, Command, ControlState, Event};
-use cleat_quorum::{Machine, RestoreError};
+use cleat_quorum::{RestoreError, StateMachine};
 use log::error;
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -55,7 +55,7 @@
 /// The answer to an entry that can't be read: one byte that no answer has.
 const UNREADABLE: u8 = u8::MAX;
 
-impl Machine for JobsMachine {
+impl StateMachine for JobsMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]> {
         match Command::decode(command) {
             Ok(command) => self.0.apply(index, command).encode(),
@@ -71,7 +71,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        let restored = ControlState::restore(data).map_err(RestoreError::refused)?;
+        let restored = ControlState::restore(data).map_err(RestoreError::new)?;
         let mut state = self.0.state.write().unwrap_or_else(PoisonError::into_inner);
         *state = restored;
         Ok(())
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -279,7 +279,7 @@
             .latency("commit")
             .record(began.elapsed());
         let applied = applied.map_err(|error| refusal(&error))?;
-        Ok(match Answer::decode(&applied.answer) {
+        Ok(match Answer::decode(&applied.response) {
             Some(Answer::Done) => ControlReply::Done,
             Some(Answer::NoSuchJob) => ControlReply::NoSuchJob,
             Some(Answer::Over(_)) => ControlReply::Over,
--- a/crates/cleat-control/src/node/disk.rs
+++ b/crates/cleat-control/src/node/disk.rs
@@ -47,7 +47,7 @@
 /// Opens the replica anew whenever its disk failed, until the instance stops.
 pub(super) async fn reopen_failed(shared: Arc<Shared>, cfg: ControlConfig, links: Arc<Links>) {
     loop {
-        shared.replica().ended().await;
+        shared.replica().wait_stopped().await;
         if shared.is_stopping() {
             return;
         }
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -16,7 +16,7 @@
     AskError, ControlCall, ControlError, ControlHandler, ControlReply, LinkTraffic, PeerListener,
 };
 use cleat_operate::JobControl;
-use cleat_quorum::{BootTime, Joining, MemberConfig, MemberId, Message, Replica, ReplicaConfig};
+use cleat_quorum::{BootTime, JoinConfig, MemberConfig, MemberId, Message, Replica, ReplicaConfig};
 use cleat_telemetry::EventLog;
 use snafu::ResultExt;
 use tokio::task::JoinHandle;
@@ -54,7 +54,7 @@
 
     /// Whether this instance leads and no other can.
     pub(crate) fn leads(&self) -> bool {
-        self.replica().status().leads(BootTime::now())
+        self.replica().status().holds_leader_lease(BootTime::now())
     }
 
     pub(crate) fn with_scheduler<T>(&self, look: impl FnOnce(&Scheduler) -> T) -> Option<T> {
@@ -172,14 +172,14 @@
         votes: true,
     };
     let seeds = cfg.seeds.iter().map(seed).collect();
-    let joining = Joining {
-        may_found: cfg.may_found,
-        voters: cfg.voters,
-        silence: cfg.replace_after,
+    let join = JoinConfig {
+        may_bootstrap: cfg.may_found,
+        target_voters: cfg.voters,
+        extra_voter_timeout: cfg.replace_after,
     };
     ReplicaConfig::new(cfg.id, seeds, rand::random())
         .with_timing(cfg.timing)
-        .with_joining(joining)
+        .with_join_config(join)
 }
 
 /// What other instances may ask.
--- a/crates/cleat-node/src/machine.rs
+++ b/crates/cleat-node/src/machine.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cleat_quorum::Machine;
+use cleat_quorum::StateMachine;
 use cleat_world::{Answer, Command, World};
 use log::error;
 
@@ -13,7 +13,7 @@
     pub(crate) world: Arc<SharedWorld>,
 }
 
-impl Machine for FleetMachine {
+impl StateMachine for FleetMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]> {
         let answer = match Command::decode(command) {
             Ok(command) => self.world.write(|world| world.apply(index, command)),
@@ -30,7 +30,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), cleat_quorum::RestoreError> {
-        let restored = World::restore(data).map_err(cleat_quorum::RestoreError::refused)?;
+        let restored = World::restore(data).map_err(cleat_quorum::RestoreError::new)?;
         self.world.write(|world| *world = restored);
         Ok(())
     }
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -10,7 +10,7 @@
 impl Control for Node {
     fn leading_term(&self) -> Option<u64> {
         let status = self.replica.status();
-        let leads = status.leads(BootTime::now());
+        let leads = status.holds_leader_lease(BootTime::now());
         leads.then(|| status.term())
     }
 
--- a/crates/cleat-node/src/node.rs
+++ b/crates/cleat-node/src/node.rs
@@ -41,7 +41,7 @@
     /// Whether this instance leads and its lead is certain to hold: the lease
     /// to take requests outlives the lead of an instance that is cut off.
     pub(crate) fn leads(&self) -> bool {
-        self.replica.status().leads(BootTime::now())
+        self.replica.status().holds_leader_lease(BootTime::now())
     }
 
     /// Whether this instance takes requests: its lease holds, and it is the
--- a/crates/cleat-node/src/operator_control.rs
+++ b/crates/cleat-node/src/operator_control.rs
@@ -44,7 +44,7 @@
             role: role(status.role()),
             term: status.term(),
             leader: self.leader_name(&status),
-            applied: status.applied(),
+            applied: status.applied_index(),
             in_service: self.in_service(),
         }
     }
@@ -83,14 +83,14 @@
     /// Every instance as this one sees it, if it leads.
     pub(crate) fn members_here(&self) -> Result<Vec<MemberReport>, PeerError> {
         let status = self.replica.status();
-        if !status.leads(BootTime::now()) {
+        if !status.holds_leader_lease(BootTime::now()) {
             let leader = self.leader_name(&status);
             return Err(PeerError::NotLeader { leader });
         }
         let report = |member: &cleat_quorum::MemberStatus| MemberReport {
             name: self.members.name(member.id).unwrap_or("?").into(),
             applied: member.applied,
-            lease_live: member.live,
+            lease_live: member.may_hold_lease,
             votes: member.votes,
         };
         Ok(status.members().iter().map(report).collect())
@@ -102,6 +102,6 @@
         cleat_quorum::Role::Leader => Role::Leader,
         cleat_quorum::Role::Follower => Role::Follower,
         cleat_quorum::Role::Candidate => Role::Candidate,
-        cleat_quorum::Role::Unformed | cleat_quorum::Role::Learner => Role::Learner,
+        cleat_quorum::Role::Uninitialized | cleat_quorum::Role::Learner => Role::Learner,
     }
 }
--- a/crates/cleat-node/src/propose.rs
+++ b/crates/cleat-node/src/propose.rs
@@ -59,7 +59,7 @@
         let applied = applied.map_err(|error| self.peer_error(&error))?;
         Ok(Proposed {
             index: applied.index,
-            answer: Answer::decode(&applied.answer),
+            answer: Answer::decode(&applied.response),
         })
     }
 
--- a/crates/cleat-quorum/examples/group_commit.rs
+++ b/crates/cleat-quorum/examples/group_commit.rs
@@ -12,7 +12,7 @@
 
 use cleat_log::Journal;
 use cleat_quorum::{
-    Machine, MemberConfig, MemberId, Message, Replica, ReplicaConfig, RestoreError, Transport,
+    MemberConfig, MemberId, Message, Replica, ReplicaConfig, RestoreError, StateMachine, Transport,
 };
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
 
 struct Counter(u64);
 
-impl Machine for Counter {
+impl StateMachine for Counter {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         self.0 += 1;
         self.0.to_le_bytes().into()
@@ -35,7 +35,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        let bytes = data.try_into().map_err(RestoreError::refused)?;
+        let bytes = data.try_into().map_err(RestoreError::new)?;
         self.0 = u64::from_le_bytes(bytes);
         Ok(())
     }
@@ -74,10 +74,11 @@
 
 async fn leader(replicas: &[Arc<Replica>]) -> Arc<Replica> {
     loop {
-        if let Some(leader) = replicas
-            .iter()
-            .find(|replica| replica.status().leads(cleat_quorum::BootTime::now()))
-        {
+        if let Some(leader) = replicas.iter().find(|replica| {
+            replica
+                .status()
+                .holds_leader_lease(cleat_quorum::BootTime::now())
+        }) {
             return leader.clone();
         }
         sleep(Duration::from_millis(20)).await;
--- a/crates/cleat-quorum/examples/idle_traffic.rs
+++ b/crates/cleat-quorum/examples/idle_traffic.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cleat_quorum::{
-    Machine, MemberConfig, MemberId, Message, Replica, ReplicaConfig, RestoreError, Transport,
+    MemberConfig, MemberId, Message, Replica, ReplicaConfig, RestoreError, StateMachine, Transport,
 };
 use tokio::time::sleep;
 
@@ -20,7 +20,7 @@
 
 struct Nothing;
 
-impl Machine for Nothing {
+impl StateMachine for Nothing {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         Box::default()
     }
@@ -91,9 +91,11 @@
     for (id, sent) in counters.iter().enumerate() {
         let (bytes, messages) = read(sent);
         let per_second = |count: u64| count as f64 / RUN.as_secs_f64();
-        let leads = group
-            .get()
-            .is_some_and(|all| all[id].status().leads(cleat_quorum::BootTime::now()));
+        let leads = group.get().is_some_and(|all| {
+            all[id]
+                .status()
+                .holds_leader_lease(cleat_quorum::BootTime::now())
+        });
         println!(
             "{id:>6}  {leads:>5}  {:>7.0}  {:>10.1}",
             per_second(bytes - before[id].0),
--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::event::Write;
-use super::types::{GENESIS_INDEX, Image, LogIndex, Payload};
+use super::types::{BOOTSTRAP_INDEX, LogIndex, Payload, Snapshot};
 use super::{Core, Effect};
 
 impl Core {
@@ -27,36 +27,41 @@
     }
 
     pub(super) fn ask_for_snapshot(&mut self) {
-        let last = self.log.image_index().max(self.snapshot_asked);
-        if self.applied >= last + self.config.limits.compact_after {
+        let last = self.log.snapshot_index().max(self.snapshot_asked);
+        if self.applied >= last + self.config.limits.compact_after_entries {
             self.snapshot_asked = self.applied;
             self.effects.push(Effect::TakeSnapshot(self.applied));
         }
     }
 
     pub(super) fn snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
-        let outdated = index <= self.log.image_index() || index > self.applied;
-        if outdated || data.len() > self.config.limits.max_snapshot {
+        let outdated = index <= self.log.snapshot_index() || index > self.applied;
+        if outdated || data.len() > self.config.limits.max_snapshot_bytes {
             return;
         }
         let Some(term) = self.log.term_at(index) else {
             return;
         };
         let membership = (*self.log.membership_at(index)).clone();
-        let image = Arc::new(Image {
+        let snapshot = Arc::new(Snapshot {
             index,
             term,
             group: self.group,
             membership,
             data,
         });
-        self.write(Write::Snapshot(image.clone()));
-        self.log.compact(image, self.config.limits.keep_entries);
+        self.write(Write::Snapshot(snapshot.clone()));
+        self.log
+            .compact(snapshot, self.config.limits.retained_entries);
     }
 
-    pub(super) fn restore_image(&mut self) {
-        if let Some(image) = self.log.image().filter(|image| image.index > GENESIS_INDEX) {
-            self.effects.push(Effect::Restore(image.clone()));
+    pub(super) fn restore_snapshot(&mut self) {
+        if let Some(snapshot) = self
+            .log
+            .snapshot()
+            .filter(|snapshot| snapshot.index > BOOTSTRAP_INDEX)
+        {
+            self.effects.push(Effect::Restore(snapshot.clone()));
         }
     }
 }
--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -18,28 +18,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The largest command in bytes.
-    pub max_command: usize,
+    pub max_command_bytes: usize,
     /// About how many bytes of entries one message carries; at least one entry.
-    pub max_batch: usize,
+    pub max_batch_bytes: usize,
     /// The largest snapshot of the state machine in bytes; it travels in one message.
-    pub max_snapshot: usize,
+    pub max_snapshot_bytes: usize,
     /// How many applied entries make a new snapshot due.
-    pub compact_after: u64,
+    pub compact_after_entries: u64,
     /// How many entries before a snapshot stay in memory for slow members.
-    pub keep_entries: u64,
+    pub retained_entries: u64,
     /// How many uncommitted entries a leader holds before it takes no more.
-    pub max_uncommitted: u64,
+    pub max_uncommitted_entries: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_command: 1024 * 1024,
-            max_batch: 256 * 1024,
-            max_snapshot: 16 * 1024 * 1024,
-            compact_after: 4096,
-            keep_entries: 1024,
-            max_uncommitted: 4096,
+            max_command_bytes: 1024 * 1024,
+            max_batch_bytes: 256 * 1024,
+            max_snapshot_bytes: 16 * 1024 * 1024,
+            compact_after_entries: 4096,
+            retained_entries: 1024,
+            max_uncommitted_entries: 4096,
         }
     }
 }
@@ -47,15 +47,15 @@
 /// How a group grows from a few seeds, where the settings do not list every
 /// member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Joining {
+pub struct JoinConfig {
     /// Whether this member may found a group with the other seeds. False for
     /// a member that starts later: its empty disk may be a lost one.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// How many voters the group keeps. Members beyond them vote too, but
     /// lose their place when they fall silent.
-    pub voters: usize,
+    pub target_voters: usize,
     /// How long a voter beyond that number may be silent.
-    pub silence: Duration,
+    pub extra_voter_timeout: Duration,
 }
 
 /// Switches that turn single protections off, so that a test can show that
@@ -72,9 +72,9 @@
     /// A lease runs from the member's own send time.
     pub lease_from_send: bool,
     /// A leader counts its own entries only after its sync.
-    pub own_sync_counts: bool,
+    pub commit_after_own_sync: bool,
     /// A lapsed lease resumes only once the commit index at renewal is applied.
-    pub renewal_gate: bool,
+    pub apply_before_lease_resumes: bool,
     /// Only entries of the leader's own term are committed by counting.
     pub own_term_commit: bool,
     /// Members vote only for a candidate whose log is up to date.
@@ -92,8 +92,8 @@
             identity_check: true,
             stickiness: true,
             lease_from_send: true,
-            own_sync_counts: true,
-            renewal_gate: true,
+            commit_after_own_sync: true,
+            apply_before_lease_resumes: true,
             own_term_commit: true,
             log_check: true,
             inherited_leases: true,
@@ -110,12 +110,12 @@
     /// All members by the settings, this one included.
     pub members: Vec<MemberConfig>,
     /// Set where members join by themselves; `members` then lists the seeds.
-    pub joining: Option<Joining>,
+    pub join: Option<JoinConfig>,
     /// Time-outs and leases.
     pub timing: Timing,
     /// Bounds on memory and message size.
     pub limits: Limits,
-    /// Where this core's random numbers start; must differ from life to life.
+    /// Where this core's random numbers start; must differ from incarnation to incarnation.
     pub seed: u64,
     /// Test-only switches.
     #[doc(hidden)]
@@ -128,7 +128,7 @@
         CoreConfig {
             id,
             members,
-            joining: None,
+            join: None,
             timing: Timing::default(),
             limits: Limits::default(),
             seed,
@@ -144,11 +144,11 @@
     }
 
     /// Whether this member may take part in the foundation of a group.
-    pub(crate) fn may_found(&self) -> bool {
-        self.votes(self.id) && self.joining.is_none_or(|joining| joining.may_found)
+    pub(crate) fn may_bootstrap(&self) -> bool {
+        self.is_voter(self.id) && self.join.is_none_or(|join| join.may_bootstrap)
     }
 
-    pub(crate) fn votes(&self, id: MemberId) -> bool {
+    pub(crate) fn is_voter(&self, id: MemberId) -> bool {
         self.voters().any(|voter| voter == id)
     }
 }
--- a/crates/cleat-quorum/src/core/durability.rs
+++ b/crates/cleat-quorum/src/core/durability.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::event::Ticket;
+use super::event::SyncId;
 use super::message::Message;
 use super::types::{LogIndex, MemberId, Term};
 
@@ -27,25 +27,25 @@
 pub(crate) struct Durability {
     /// Whether this step wrote something.
     pub(crate) dirty: bool,
-    issued: Ticket,
-    synced: Ticket,
+    issued: SyncId,
+    synced: SyncId,
     /// The sync that covers the latest term, vote and snapshot: what every
     /// message rests on.
-    critical: Ticket,
+    critical: SyncId,
     /// The last entry on the disk. Invariant: never beyond the log.
     durable_index: LogIndex,
     /// The last entry at the time of each sync under way.
-    syncing: VecDeque<(Ticket, LogIndex)>,
-    deferred: VecDeque<(Ticket, Deferred)>,
+    syncing: VecDeque<(SyncId, LogIndex)>,
+    deferred: VecDeque<(SyncId, Deferred)>,
 }
 
 impl Durability {
     pub(crate) fn new(durable_index: LogIndex) -> Durability {
         Durability {
             dirty: false,
-            issued: Ticket(0),
-            synced: Ticket(0),
-            critical: Ticket(0),
+            issued: SyncId(0),
+            synced: SyncId(0),
+            critical: SyncId(0),
             durable_index,
             syncing: VecDeque::new(),
             deferred: VecDeque::new(),
@@ -63,7 +63,7 @@
 
     /// Notes that this step wrote the term, the vote or a snapshot.
     pub(crate) fn critical_written(&mut self) {
-        self.critical = Ticket(self.issued.0 + 1);
+        self.critical = SyncId(self.issued.0 + 1);
     }
 
     /// Whether the latest term, vote and snapshot are on the disk.
@@ -72,12 +72,12 @@
     }
 
     pub(crate) fn defer(&mut self, deferred: Deferred) {
-        let next = Ticket(self.issued.0 + u64::from(self.dirty));
+        let next = SyncId(self.issued.0 + u64::from(self.dirty));
         self.deferred.push_back((next, deferred));
     }
 
     /// Ends a step that wrote: gives the sync to ask for.
-    pub(crate) fn seal(&mut self, last_index: LogIndex) -> Option<Ticket> {
+    pub(crate) fn seal(&mut self, last_index: LogIndex) -> Option<SyncId> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
@@ -96,13 +96,13 @@
     }
 
     /// Notes a finished sync and gives what waited for it.
-    pub(crate) fn synced(&mut self, ticket: Ticket) -> Vec<Deferred> {
-        self.synced = self.synced.max(ticket);
-        while let Some((_, at)) = self.syncing.pop_front_if(|(t, _)| *t <= ticket) {
+    pub(crate) fn synced(&mut self, sync_id: SyncId) -> Vec<Deferred> {
+        self.synced = self.synced.max(sync_id);
+        while let Some((_, at)) = self.syncing.pop_front_if(|(t, _)| *t <= sync_id) {
             self.durable_index = self.durable_index.max(at);
         }
         let mut ready = Vec::new();
-        while let Some((_, deferred)) = self.deferred.pop_front_if(|(t, _)| *t <= ticket) {
+        while let Some((_, deferred)) = self.deferred.pop_front_if(|(t, _)| *t <= sync_id) {
             ready.push(deferred);
         }
         ready
--- a/crates/cleat-quorum/src/core/election.rs
+++ b/crates/cleat-quorum/src/core/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, vote and the refusal of votes while a leader is live.
+//! Pre-vote, vote and the rejection of votes while a leader is live.
 
 use std::collections::BTreeSet;
 
--- a/crates/cleat-quorum/src/core/event.rs
+++ b/crates/cleat-quorum/src/core/event.rs
@@ -5,11 +5,11 @@
 use snafu::Snafu;
 
 use super::message::Message;
-use super::types::{Entry, HardState, Image, LogIndex, MemberId, Term};
+use super::types::{Entry, HardState, LogIndex, MemberId, Snapshot, Term};
 
-/// Numbers the syncs of one life, from 1.
+/// Numbers the syncs of one incarnation, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct SyncId(pub u64);
 
 /// Something that happened.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// A message arrived.
     Receive(Message),
     /// All writes up to this sync are on the disk.
-    Synced(Ticket),
+    Synced(SyncId),
     /// Commands to append, as one group.
     Propose(Vec<Arc<[u8]>>),
     /// A linearizable read; the caller chooses the number.
@@ -32,12 +32,12 @@
         data: Arc<[u8]>,
     },
     /// An operator removes a member for good.
-    Remove(MemberId),
+    RemoveMember(MemberId),
     /// This member is about to stop: if it leads, it takes no more commands
     /// and hands its lead over. There is no way back within the term.
-    HandOver,
+    TransferLeadership,
     /// This member is about to stop and gives up its lease.
-    Release,
+    ReleaseLease,
 }
 
 /// A change to the member's disk. Writes are carried out in order.
@@ -50,20 +50,20 @@
     /// Replace the term and vote.
     HardState(HardState),
     /// Save a snapshot, then drop the entries up to its index.
-    Snapshot(Arc<Image>),
+    Snapshot(Arc<Snapshot>),
 }
 
 /// What has to be done, in order, and before the next step.
 ///
 /// A message that rests on a write is not among the effects of the step that
-/// wrote: the core holds it back until [`Event::Synced`] confirms the ticket
+/// wrote: the core holds it back until [`Event::Synced`] confirms the sync_id
 /// and sends it in that step. So every `Send` may leave at once.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Change the disk.
     Write(Write),
     /// Sync all writes before it, then report [`Event::Synced`].
-    Sync(Ticket),
+    Sync(SyncId),
     /// Send a message.
     Send(Message),
     /// Apply a committed command.
@@ -76,7 +76,7 @@
         command: Arc<[u8]>,
     },
     /// Replace the state machine by a snapshot.
-    Restore(Arc<Image>),
+    Restore(Arc<Snapshot>),
     /// Take a snapshot of the state machine as it is now.
     TakeSnapshot(LogIndex),
     /// The proposed commands have consecutive positions from `first`.
@@ -87,7 +87,7 @@
         term: Term,
     },
     /// The proposal was not appended.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// The read may go on once this entry is applied.
     ReadReady {
         /// The number of the read.
@@ -96,11 +96,11 @@
         index: LogIndex,
     },
     /// The read can't be confirmed here.
-    ReadRefused {
+    ReadRejected {
         /// The number of the read.
         id: u64,
         /// Why.
-        refusal: Refusal,
+        rejection: Rejection,
     },
     /// This member no longer leads; its uncommitted proposals are in doubt.
     LostLeadership,
@@ -108,7 +108,7 @@
 
 /// Why a proposal, a read or a removal was not taken. Nothing was changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Refusal {
+pub enum Rejection {
     /// This member does not lead. Ask the leader, if one is known.
     #[snafu(display("this member does not lead the group"))]
     NotLeader {
--- a/crates/cleat-quorum/src/core/follower.rs
+++ b/crates/cleat-quorum/src/core/follower.rs
@@ -4,8 +4,8 @@
 
 use super::durability::Deferred;
 use super::event::Write;
-use super::message::{Ack, AckOutcome, Append, Body, Install, NO_ROUND, Stamp};
-use super::types::{Entry, Image, LogIndex, MemberId, Term};
+use super::message::{Ack, AckOutcome, Append, Body, InstallSnapshot, LeaseStamp, NO_ROUND};
+use super::types::{Entry, LogIndex, MemberId, Snapshot, Term};
 use super::{Core, State, Timing};
 
 impl Core {
@@ -32,13 +32,13 @@
         self.acknowledge(from, append.round, verified);
     }
 
-    pub(super) fn on_install(&mut self, from: MemberId, term: Term, install: Install) {
+    pub(super) fn on_install(&mut self, from: MemberId, term: Term, install: InstallSnapshot) {
         if !self.follow(from, term) {
             return;
         }
-        let index = install.image.index;
+        let index = install.snapshot.index;
         if !self.is_formed() || index > self.commit {
-            self.take_image(install.image);
+            self.install_snapshot(install.snapshot);
         }
         self.take_lease(install.echo, install.commit);
         self.acknowledge(from, install.round, index.max(self.commit));
@@ -58,14 +58,14 @@
         }
         self.state = State::Follower;
         self.leader = Some(from);
-        self.sticky_until = self.now + self.config.timing.election_min;
+        self.sticky_until = self.now + self.config.timing.election_timeout_min;
         self.reset_election();
         true
     }
 
     /// A lease counts from the send that the leader echoes, so a delayed
     /// message can't make it longer.
-    fn take_lease(&mut self, echo: Option<Stamp>, commit: LogIndex) {
+    fn take_lease(&mut self, echo: Option<LeaseStamp>, commit: LogIndex) {
         let Some(sent_at) = echo.and_then(|echo| self.lease.sent_at(echo)) else {
             return;
         };
@@ -75,11 +75,19 @@
         } else {
             self.now
         };
-        let Timing { lease, renewal, .. } = self.config.timing;
-        let until = start + lease;
-        self.renewal_due = self.renewal_due.max(start + renewal);
-        self.lease
-            .extend(until, commit, self.now, protections.renewal_gate);
+        let Timing {
+            member_lease,
+            lease_renewal,
+            ..
+        } = self.config.timing;
+        let until = start + member_lease;
+        self.renewal_due = self.renewal_due.max(start + lease_renewal);
+        self.lease.extend(
+            until,
+            commit,
+            self.now,
+            protections.apply_before_lease_resumes,
+        );
     }
 
     /// Whether this member renews its lease by asking. Learners detect no
@@ -91,7 +99,7 @@
     }
 
     pub(super) fn ask_for_lease(&mut self) {
-        self.renewal_due = self.now + self.config.timing.heartbeat;
+        self.renewal_due = self.now + self.config.timing.heartbeat_interval;
         if let Some(leader) = self.leader {
             self.ack_verified(leader, NO_ROUND, self.commit);
         }
@@ -135,21 +143,21 @@
         self.write(Write::TruncateFrom(index));
     }
 
-    fn take_image(&mut self, image: Image) {
-        let image = Arc::new(image);
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let snapshot = Arc::new(snapshot);
         let formed = self.is_formed();
-        let continues = formed && self.log.term_at(image.index) == Some(image.term);
+        let continues = formed && self.log.term_at(snapshot.index) == Some(snapshot.term);
         // The entries that differ go first: a crash in between must not leave
         // them behind the snapshot.
-        if !continues && self.log.last_index() >= image.index && formed {
-            self.truncate_from(image.index);
+        if !continues && self.log.last_index() >= snapshot.index && formed {
+            self.truncate_from(snapshot.index);
         }
         self.durability.critical_written();
-        self.write(Write::Snapshot(image.clone()));
-        self.log.install(image.clone());
-        self.commit = image.index;
-        self.applied = image.index;
-        self.restore_image();
+        self.write(Write::Snapshot(snapshot.clone()));
+        self.log.install(snapshot.clone());
+        self.commit = snapshot.index;
+        self.applied = snapshot.index;
+        self.restore_snapshot();
     }
 
     pub(super) fn commit_to(&mut self, index: LogIndex) {
@@ -191,7 +199,7 @@
     }
 
     pub(super) fn ack(&mut self, to: MemberId, round: u64, outcome: AckOutcome) {
-        let stamp = self.lease.stamp(self.now, self.config.timing.lease);
+        let stamp = self.lease.stamp(self.now, self.config.timing.member_lease);
         let ack = Ack {
             round,
             identity: self.identity,
@@ -207,7 +215,7 @@
             self.send_durable(message);
         }
         if let Some(stamp) = self.lease.released() {
-            self.send(to, Body::Release(stamp));
+            self.send(to, Body::ReleaseLease(stamp));
         }
     }
 }
--- a/crates/cleat-quorum/src/core/joining.rs
+++ b/crates/cleat-quorum/src/core/joining.rs
@@ -9,7 +9,7 @@
 impl Core {
     /// Asks the seeds, and the members as far as they are known, for a place.
     pub(super) fn ask_to_join(&mut self) {
-        if self.config.joining.is_none() {
+        if self.config.join.is_none() {
             return;
         }
         let own = self.config.id;
@@ -23,7 +23,7 @@
 
     /// Takes a joiner in, or passes its wish on once.
     pub(super) fn on_join(&mut self, from: MemberId, id: MemberId) {
-        if self.config.joining.is_none() || !self.is_formed() {
+        if self.config.join.is_none() || !self.is_formed() {
             return;
         }
         if matches!(self.state, State::Leader(_)) {
@@ -41,7 +41,7 @@
     pub(super) fn wanted_members(&self) -> BTreeSet<MemberId> {
         let configured = self.config.members.iter().map(|member| member.id);
         let mut wanted: BTreeSet<MemberId> = configured.collect();
-        if self.config.joining.is_some() {
+        if self.config.join.is_some() {
             let members = &self.log.membership().members;
             wanted.extend(members.iter().map(|member| member.id));
             wanted.extend(&self.joiners);
@@ -51,14 +51,14 @@
 
     /// Whether a member should vote. One that joined by itself has a disk.
     pub(super) fn wants_vote(&self, id: MemberId) -> bool {
-        self.config.joining.is_some() || self.config.votes(id)
+        self.config.join.is_some() || self.config.is_voter(id)
     }
 
     /// A voter beyond the number to keep that has been silent for too long,
     /// so that a machine replaced by another stops counting for the majority.
     pub(super) fn silent_surplus(&mut self, membership: &Membership) -> Option<MemberId> {
-        let joining = self.config.joining?;
-        if membership.voters().count() <= joining.voters {
+        let join = self.config.join?;
+        if membership.voters().count() <= join.target_voters {
             return None;
         }
         let State::Leader(leadership) = &self.state else {
@@ -73,7 +73,7 @@
             .voters()
             .map(|voter| voter.id)
             .filter(|id| *id != self.config.id)
-            .find(|id| self.now > heard(*id) + joining.silence)?;
+            .find(|id| self.now > heard(*id) + join.extra_voter_timeout)?;
         self.joiners.remove(&silent);
         Some(silent)
     }
--- a/crates/cleat-quorum/src/core/leader.rs
+++ b/crates/cleat-quorum/src/core/leader.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::event::{Refusal, Write};
+use super::event::{Rejection, Write};
 use super::lease::Liveness;
 use super::progress::{Leadership, PendingRead, Progress};
 use super::types::{Entry, LogIndex, MemberId, Payload};
@@ -15,7 +15,7 @@
         let mut leadership = Leadership::new(next, asked_at);
         // Members may hold leases that an earlier leader granted up to now.
         let until = if self.config.protections.inherited_leases {
-            self.now + self.config.timing.lease_window()
+            self.now + self.config.timing.member_lease_with_drift()
         } else {
             Duration::ZERO
         };
@@ -35,7 +35,7 @@
 
     pub(super) fn tick_leader(&mut self) {
         let contact = self.quorum_contact();
-        if self.now > contact + self.config.timing.election_max || self.transfer_failed() {
+        if self.now > contact + self.config.timing.election_timeout_max || self.transfer_failed() {
             return self.become_follower();
         }
         if self.now >= self.deadline() {
@@ -65,8 +65,8 @@
     }
 
     pub(super) fn propose(&mut self, commands: &[Arc<[u8]>]) {
-        if let Err(refusal) = self.may_propose(commands) {
-            return self.effects.push(Effect::Refused(refusal));
+        if let Err(rejection) = self.may_propose(commands) {
+            return self.effects.push(Effect::Rejected(rejection));
         }
         let first = self.log.last_index() + 1;
         let accepted = Effect::Accepted {
@@ -77,28 +77,28 @@
         self.append_own(commands.iter().cloned().map(Payload::Command).collect());
     }
 
-    fn may_propose(&self, commands: &[Arc<[u8]>]) -> Result<(), Refusal> {
+    fn may_propose(&self, commands: &[Arc<[u8]>]) -> Result<(), Rejection> {
         if !matches!(self.state, State::Leader(_)) {
-            return Err(Refusal::NotLeader {
+            return Err(Rejection::NotLeader {
                 leader: self.leader,
             });
         }
-        if self.is_handing_over() {
-            return Err(Refusal::NotLeader { leader: None });
+        if self.is_transferring_leadership() {
+            return Err(Rejection::NotLeader { leader: None });
         }
-        if self.now >= self.quorum_contact() + self.config.timing.election_min {
-            return Err(Refusal::NoQuorum);
+        if self.now >= self.quorum_contact() + self.config.timing.election_timeout_min {
+            return Err(Rejection::NoQuorum);
         }
         let limits = self.config.limits;
-        let limit = limits.max_command;
+        let limit = limits.max_command_bytes;
         if let Some(large) = commands.iter().find(|command| command.len() > limit) {
-            return Err(Refusal::TooLarge {
+            return Err(Rejection::TooLarge {
                 size: large.len(),
                 limit,
             });
         }
-        if self.log.last_index() - self.commit >= limits.max_uncommitted {
-            return Err(Refusal::Busy);
+        if self.log.last_index() - self.commit >= limits.max_uncommitted_entries {
+            return Err(Rejection::Busy);
         }
         Ok(())
     }
@@ -107,10 +107,10 @@
         let certain = self.holds_leader_lease() && self.has_committed_own_term();
         let commit = self.commit;
         let State::Leader(leadership) = &mut self.state else {
-            let refusal = Refusal::NotLeader {
+            let rejection = Rejection::NotLeader {
                 leader: self.leader,
             };
-            return self.effects.push(Effect::ReadRefused { id, refusal });
+            return self.effects.push(Effect::ReadRejected { id, rejection });
         };
         if certain {
             return self.effects.push(Effect::ReadReady { id, index: commit });
@@ -133,7 +133,7 @@
         let behind = leadership
             .progress
             .iter()
-            .filter(|(_, p)| p.live.is_live(now) && p.live.applied() < index);
+            .filter(|(_, p)| p.live.may_hold_lease(now) && p.live.applied_index() < index);
         behind.map(|(id, _)| *id).collect()
     }
 }
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -3,15 +3,15 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::message::Stamp;
+use super::message::LeaseStamp;
 use super::types::LogIndex;
 
 /// The lease of this member.
 #[derive(Debug)]
 pub(crate) struct MemberLease {
-    life: u32,
+    incarnation: u32,
     seq: u32,
-    /// The sends of this life whose lease could still run, ascending.
+    /// The sends of this incarnation whose lease could still run, ascending.
     sent: VecDeque<(u32, Duration)>,
     /// The end of the lease on this member's clock.
     until: Duration,
@@ -26,9 +26,9 @@
 }
 
 impl MemberLease {
-    pub(crate) fn new(life: u32) -> MemberLease {
+    pub(crate) fn new(incarnation: u32) -> MemberLease {
         MemberLease {
-            life,
+            incarnation,
             seq: 0,
             sent: VecDeque::new(),
             until: Duration::ZERO,
@@ -38,7 +38,7 @@
     }
 
     /// Stamps a send.
-    pub(crate) fn stamp(&mut self, now: Duration, lease: Duration) -> Stamp {
+    pub(crate) fn stamp(&mut self, now: Duration, lease: Duration) -> LeaseStamp {
         self.seq += 1;
         self.sent.push_back((self.seq, now));
         while self
@@ -50,20 +50,20 @@
     }
 
     /// Whether nothing was sent after the echoed stamp.
-    pub(crate) fn is_latest(&self, echo: Option<Stamp>) -> bool {
+    pub(crate) fn is_latest(&self, echo: Option<LeaseStamp>) -> bool {
         echo == Some(self.current())
     }
 
-    fn current(&self) -> Stamp {
-        Stamp {
-            life: self.life,
+    fn current(&self) -> LeaseStamp {
+        LeaseStamp {
+            incarnation: self.incarnation,
             seq: self.seq,
         }
     }
 
-    /// When the echoed send left, if it was one of this life.
-    pub(crate) fn sent_at(&self, echo: Stamp) -> Option<Duration> {
-        if echo.life != self.life {
+    /// When the echoed send left, if it was one of this incarnation.
+    pub(crate) fn sent_at(&self, echo: LeaseStamp) -> Option<Duration> {
+        if echo.incarnation != self.incarnation {
             return None;
         }
         let at = self
@@ -85,13 +85,13 @@
         self.until = self.until.max(until);
     }
 
-    /// Gives the lease up for the rest of this life.
-    pub(crate) fn release(&mut self) -> Stamp {
+    /// Gives the lease up for the rest of this incarnation.
+    pub(crate) fn release(&mut self) -> LeaseStamp {
         self.released = true;
         self.current()
     }
 
-    pub(crate) fn released(&self) -> Option<Stamp> {
+    pub(crate) fn released(&self) -> Option<LeaseStamp> {
         self.released.then(|| self.current())
     }
 
@@ -105,11 +105,11 @@
 /// What the leader knows of another member's lease.
 #[derive(Debug)]
 pub(crate) struct Liveness {
-    stamp: Option<Stamp>,
+    stamp: Option<LeaseStamp>,
     applied: LogIndex,
     /// Until when the member may hold a lease, on the leader's clock.
     live_until: Duration,
-    /// Until when an earlier life of the member, or one unknown, may hold one.
+    /// Until when an earlier incarnation of the member, or one unknown, may hold one.
     others_until: Duration,
     released: bool,
 }
@@ -127,14 +127,14 @@
     }
 
     /// Notes an acknowledgement; a lease from its stamp lapses before `until`.
-    pub(crate) fn acked(&mut self, stamp: Stamp, applied: LogIndex, until: Duration) {
+    pub(crate) fn acked(&mut self, stamp: LeaseStamp, applied: LogIndex, until: Duration) {
         match self.stamp {
-            Some(old) if old.life == stamp.life => {
+            Some(old) if old.incarnation == stamp.incarnation => {
                 if self.released {
                     return;
                 }
                 self.applied = self.applied.max(applied);
-                self.stamp = Some(Stamp {
+                self.stamp = Some(LeaseStamp {
                     seq: old.seq.max(stamp.seq),
                     ..old
                 });
@@ -149,25 +149,28 @@
         self.live_until = self.live_until.max(until);
     }
 
-    /// The member gave its lease up. Only the life that is known can do so,
+    /// The member gave its lease up. Only the incarnation that is known can do so,
     /// and leases of other lives still run out by themselves.
-    pub(crate) fn release(&mut self, stamp: Stamp) {
-        if self.stamp.is_some_and(|known| known.life == stamp.life) {
+    pub(crate) fn release(&mut self, stamp: LeaseStamp) {
+        if self
+            .stamp
+            .is_some_and(|known| known.incarnation == stamp.incarnation)
+        {
             self.live_until = self.others_until;
             self.released = true;
         }
     }
 
-    pub(crate) fn echo(&self) -> Option<Stamp> {
+    pub(crate) fn echo(&self) -> Option<LeaseStamp> {
         if self.released { None } else { self.stamp }
     }
 
-    pub(crate) fn applied(&self) -> LogIndex {
+    pub(crate) fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
     /// Whether the member may hold a lease.
-    pub(crate) fn is_live(&self, now: Duration) -> bool {
+    pub(crate) fn may_hold_lease(&self, now: Duration) -> bool {
         now <= self.live_until
     }
 }
--- a/crates/cleat-quorum/src/core/log.rs
+++ b/crates/cleat-quorum/src/core/log.rs
@@ -3,16 +3,16 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use super::types::{Entry, Image, LogIndex, Membership, Payload, Term};
+use super::types::{Entry, LogIndex, Membership, Payload, Snapshot, Term};
 
 /// The log as this member holds it in memory.
 #[derive(Debug)]
 pub(crate) struct Log {
     /// The latest snapshot; none while the member belongs to no group.
-    image: Option<Arc<Image>>,
+    snapshot: Option<Arc<Snapshot>>,
     /// The position and term just before the first entry.
     ///
-    /// Invariant: `base_index <= image.index`, and both are committed.
+    /// Invariant: `base_index <= snapshot.index`, and both are committed.
     base_index: LogIndex,
     base_term: Term,
     /// Invariant: consecutive from `base_index + 1`.
@@ -24,16 +24,16 @@
 }
 
 impl Log {
-    pub(crate) fn new(image: Option<Arc<Image>>, entries: Vec<Entry>) -> Log {
+    pub(crate) fn new(snapshot: Option<Arc<Snapshot>>, entries: Vec<Entry>) -> Log {
         let mut log = Log {
-            image: None,
+            snapshot: None,
             base_index: 0,
             base_term: 0,
             entries: VecDeque::new(),
             memberships: vec![(0, Arc::default())],
         };
-        if let Some(image) = image {
-            log.install(image);
+        if let Some(snapshot) = snapshot {
+            log.install(snapshot);
         }
         for entry in entries {
             if entry.index == log.last_index() + 1 {
@@ -43,12 +43,12 @@
         log
     }
 
-    pub(crate) fn image(&self) -> Option<&Arc<Image>> {
-        self.image.as_ref()
+    pub(crate) fn snapshot(&self) -> Option<&Arc<Snapshot>> {
+        self.snapshot.as_ref()
     }
 
-    pub(crate) fn image_index(&self) -> LogIndex {
-        self.image.as_ref().map_or(0, |image| image.index)
+    pub(crate) fn snapshot_index(&self) -> LogIndex {
+        self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index)
     }
 
     pub(crate) fn base_index(&self) -> LogIndex {
@@ -141,22 +141,22 @@
 
     /// Takes a snapshot of the leader's: the entries after it stay only if
     /// they continue it.
-    pub(crate) fn install(&mut self, image: Arc<Image>) {
-        if self.term_at(image.index) == Some(image.term) && self.image.is_some() {
-            self.compact(image, 0);
+    pub(crate) fn install(&mut self, snapshot: Arc<Snapshot>) {
+        if self.term_at(snapshot.index) == Some(snapshot.term) && self.snapshot.is_some() {
+            self.compact(snapshot, 0);
             return;
         }
         self.entries.clear();
-        self.base_index = image.index;
-        self.base_term = image.term;
-        self.memberships = vec![(image.index, Arc::new(image.membership.clone()))];
-        self.image = Some(image);
+        self.base_index = snapshot.index;
+        self.base_term = snapshot.term;
+        self.memberships = vec![(snapshot.index, Arc::new(snapshot.membership.clone()))];
+        self.snapshot = Some(snapshot);
     }
 
     /// Replaces the snapshot by a later one and drops the entries that it
     /// covers, but for the last `keep`.
-    pub(crate) fn compact(&mut self, image: Arc<Image>, keep: u64) {
-        let base = image.index.saturating_sub(keep).max(self.base_index);
+    pub(crate) fn compact(&mut self, snapshot: Arc<Snapshot>, keep: u64) {
+        let base = snapshot.index.saturating_sub(keep).max(self.base_index);
         if let Some(term) = self.term_at(base) {
             let dropped = usize::try_from(base - self.base_index).unwrap_or(usize::MAX);
             self.entries.drain(..dropped.min(self.entries.len()));
@@ -169,7 +169,7 @@
             .filter(|(at, _)| *at <= base)
             .count();
         self.memberships.drain(..before.saturating_sub(1));
-        self.image = Some(image);
+        self.snapshot = Some(snapshot);
     }
 }
 
--- a/crates/cleat-quorum/src/core/membership.rs
+++ b/crates/cleat-quorum/src/core/membership.rs
@@ -1,6 +1,6 @@
 //! Changes of the membership, one at a time.
 
-use super::event::Refusal;
+use super::event::Rejection;
 use super::lease::Liveness;
 use super::progress::Progress;
 use super::types::{Member, MemberId, Membership, Payload};
@@ -12,13 +12,13 @@
 impl Core {
     pub(super) fn remove(&mut self, id: MemberId) {
         if !matches!(self.state, State::Leader(_)) {
-            let refusal = Refusal::NotLeader {
+            let rejection = Rejection::NotLeader {
                 leader: self.leader,
             };
-            return self.effects.push(Effect::Refused(refusal));
+            return self.effects.push(Effect::Rejected(rejection));
         }
         if !self.may_change_membership() || self.log.membership().get(id).is_none() {
-            return self.effects.push(Effect::Refused(Refusal::Busy));
+            return self.effects.push(Effect::Rejected(Rejection::Busy));
         }
         let next = self.log.membership().without(id);
         self.change_membership(next);
@@ -70,7 +70,7 @@
         let identity = progress.identity;
         let caught_up =
             progress.matched > 0 && progress.matched + CAUGHT_UP_GAP >= self.log.last_index();
-        if !self.wants_vote(id) || !caught_up || !progress.live.is_live(self.now) {
+        if !self.wants_vote(id) || !caught_up || !progress.live.may_hold_lease(self.now) {
             return None;
         }
         let lost_disk = record.votes && record.identity != identity;
@@ -84,7 +84,7 @@
 
     fn change_membership(&mut self, next: Membership) {
         let last = self.log.last_index();
-        let until = self.now + self.config.timing.lease_window();
+        let until = self.now + self.config.timing.member_lease_with_drift();
         if let State::Leader(leadership) = &mut self.state {
             for member in next
                 .members
--- a/crates/cleat-quorum/src/core/message.rs
+++ b/crates/cleat-quorum/src/core/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::types::{Entry, Image, LogIndex, MemberId, Term};
+use super::types::{Entry, LogIndex, MemberId, Snapshot, Term};
 
 /// One message between two members. It may be lost, duplicated, delayed or
 /// reordered without harm.
@@ -21,13 +21,13 @@
     pub body: Body,
 }
 
-/// A member's stamp on its acknowledgements: which life, and which send in it.
+/// A member's stamp on its acknowledgements: which incarnation, and which send in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct LeaseStamp {
     /// Drawn at random when the process started.
     #[serde(with = "postcard::fixint::le")]
-    pub life: u32,
-    /// Counts the sends of this life from 1.
+    pub incarnation: u32,
+    /// Counts the sends of this incarnation from 1.
     pub seq: u32,
 }
 
@@ -36,20 +36,20 @@
 pub enum Body {
     /// A heartbeat, with or without entries.
     Append(Append),
-    /// The answer to [`Append`] and [`Install`].
+    /// The answer to [`Append`] and [`InstallSnapshot`].
     Ack(Ack),
     /// A candidate asks for a vote or a pre-vote.
     VoteRequest(VoteRequest),
     /// The answer to [`VoteRequest`].
     VoteReply(VoteReply),
     /// A snapshot for a member whose entries are no longer in the log.
-    Install(Install),
+    InstallSnapshot(InstallSnapshot),
     /// An unformed voter asks the others who they are, or one of them answers.
     Hello(Hello),
     /// The first state of the group.
-    Genesis(Image),
+    Bootstrap(Snapshot),
     /// A member gives up its lease before a graceful stop.
-    Release(Stamp),
+    ReleaseLease(LeaseStamp),
     /// The leader of this term hands its lead over: the receiver is to stand
     /// for election at once.
     TimeoutNow,
@@ -70,7 +70,7 @@
     /// The leader's commit index.
     pub commit: LogIndex,
     /// The highest stamp the leader got from the receiver; renews its lease.
-    pub echo: Option<Stamp>,
+    pub echo: Option<LeaseStamp>,
     /// Consecutive entries; empty for a plain heartbeat.
     pub entries: Vec<Entry>,
 }
@@ -88,7 +88,7 @@
     #[serde(with = "postcard::fixint::le")]
     pub identity: u64,
     /// The sender's stamp for its lease.
-    pub stamp: Stamp,
+    pub stamp: LeaseStamp,
     /// The last entry that the sender applied.
     pub applied: LogIndex,
     /// Whether its log agrees with the leader's.
@@ -103,7 +103,7 @@
     /// The entry before the sent ones is missing or differs; try from here.
     Mismatch(LogIndex),
     /// The sender belongs to no group yet and needs a snapshot.
-    Empty,
+    Uninitialized,
 }
 
 /// A request for a vote.
@@ -135,15 +135,15 @@
 
 /// A whole snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Install {
+pub struct InstallSnapshot {
     /// As in [`Append`].
     pub round: u64,
     /// As in [`Append`].
     pub commit: LogIndex,
     /// As in [`Append`].
-    pub echo: Option<Stamp>,
+    pub echo: Option<LeaseStamp>,
     /// The state up to some committed entry.
-    pub image: Image,
+    pub snapshot: Snapshot,
 }
 
 /// Who a voter is, for the formation of a group.
@@ -152,8 +152,8 @@
     /// The identity of the sender's disk.
     pub identity: u64,
     /// Whether the sender belongs to no group yet.
-    pub fresh: bool,
+    pub uninitialized: bool,
     /// The identity that asked. An answer to an earlier identity is void, so
     /// a delayed answer can't found a second group.
-    pub answering: Option<u64>,
+    pub in_reply_to: Option<u64>,
 }
--- a/crates/cleat-quorum/src/core/mod.rs
+++ b/crates/cleat-quorum/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The pure consensus core: `(state, event, now) -> effects`.
 //!
 //! No clock, socket, thread or global random source is used inside. `now` is
-//! a monotonic duration since any fixed point of this member's life.
+//! a monotonic duration since any fixed point of this member's incarnation.
 
 mod apply;
 mod config;
@@ -31,15 +31,17 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-pub use config::{CoreConfig, Joining, Limits, MemberConfig, Protections};
-pub use event::{Effect, Event, Refusal, Ticket, Write};
+pub use config::{CoreConfig, JoinConfig, Limits, MemberConfig, Protections};
+pub use event::{Effect, Event, Rejection, SyncId, Write};
 pub use message::{
-    Ack, AckOutcome, Append, Body, Hello, Install, Message, Stamp, VoteReply, VoteRequest,
+    Ack, AckOutcome, Append, Body, Hello, InstallSnapshot, LeaseStamp, Message, VoteReply,
+    VoteRequest,
 };
 pub use status::{CoreStatus, MemberStatus, Role};
 pub use timing::Timing;
 pub use types::{
-    Entry, GENESIS_INDEX, HardState, Image, LogIndex, Member, MemberId, Membership, Payload, Term,
+    BOOTSTRAP_INDEX, Entry, HardState, LogIndex, Member, MemberId, Membership, Payload, Snapshot,
+    Term,
 };
 
 use durability::{Deferred, Durability};
@@ -59,7 +61,7 @@
     /// The term and vote.
     pub hard_state: HardState,
     /// The latest snapshot; none while the member belongs to no group.
-    pub image: Option<Arc<Image>>,
+    pub snapshot: Option<Arc<Snapshot>>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
@@ -96,7 +98,7 @@
     leader: Option<MemberId>,
     /// Until when votes are refused because a leader may be live.
     ///
-    /// Invariant: at least `election_min` after the start of this life, since
+    /// Invariant: at least `election_timeout_min` after the start of this incarnation, since
     /// the member can't know which leader it heard before.
     sticky_until: Duration,
     election_due: Duration,
@@ -117,16 +119,16 @@
     /// machine from the snapshot's data, unless the snapshot is the genesis.
     pub fn new(config: CoreConfig, recovery: Recovery, now: Duration) -> Core {
         let mut rng = StdRng::seed_from_u64(config.seed);
-        let life = rng.random();
-        let log = Log::new(recovery.image, recovery.entries);
-        let commit = log.image_index();
-        let sticky_until = now + config.timing.election_min;
+        let incarnation = rng.random();
+        let log = Log::new(recovery.snapshot, recovery.entries);
+        let commit = log.snapshot_index();
+        let sticky_until = now + config.timing.election_timeout_min;
         let mut core = Core {
             identity: recovery.identity,
             rng,
             now,
             hard_state: recovery.hard_state,
-            group: log.image().map_or(0, |image| image.group),
+            group: log.snapshot().map_or(0, |snapshot| snapshot.group),
             durability: Durability::new(log.last_index()),
             log,
             commit,
@@ -135,7 +137,7 @@
             leader: None,
             sticky_until,
             election_due: now,
-            lease: MemberLease::new(life),
+            lease: MemberLease::new(incarnation),
             renewal_due: now,
             formation: Formation::new(now),
             joiners: BTreeSet::new(),
@@ -155,17 +157,17 @@
         match event {
             Event::Tick => self.tick(),
             Event::Receive(message) => self.receive(message),
-            Event::Synced(ticket) => self.synced(ticket),
+            Event::Synced(sync_id) => self.synced(sync_id),
             Event::Propose(commands) => self.propose(&commands),
             Event::Read(id) => self.read(id),
             Event::SnapshotTaken { index, data } => self.snapshot_taken(index, data),
-            Event::Remove(id) => self.remove(id),
-            Event::HandOver => self.hand_over(),
-            Event::Release => self.release(),
+            Event::RemoveMember(id) => self.remove(id),
+            Event::TransferLeadership => self.transfer_leadership(),
+            Event::ReleaseLease => self.release(),
         }
         self.renew_own_lease();
-        if let Some(ticket) = self.durability.seal(self.log.last_index()) {
-            self.effects.push(Effect::Sync(ticket));
+        if let Some(sync_id) = self.durability.seal(self.log.last_index()) {
+            self.effects.push(Effect::Sync(sync_id));
         }
         std::mem::take(&mut self.effects)
     }
@@ -212,7 +214,7 @@
         } = message;
         match body {
             Body::Hello(hello) => return self.on_hello(from, hello),
-            Body::Genesis(image) => return self.on_genesis(from, image),
+            Body::Bootstrap(snapshot) => return self.on_bootstrap(from, snapshot),
             Body::Join(id) => return self.on_join(from, id),
             _ => {}
         }
@@ -226,13 +228,13 @@
     fn receive_formed(&mut self, from: MemberId, term: Term, body: Body) {
         match body {
             Body::Append(append) => self.on_append(from, term, append),
-            Body::Install(install) => self.on_install(from, term, install),
+            Body::InstallSnapshot(install) => self.on_install(from, term, install),
             Body::Ack(ack) => self.on_ack(from, term, &ack),
             Body::VoteRequest(req) => self.on_vote_request(from, term, &req),
             Body::VoteReply(reply) => self.on_vote_reply(from, term, &reply),
-            Body::Release(stamp) => self.on_release(from, stamp),
+            Body::ReleaseLease(stamp) => self.on_release(from, stamp),
             Body::TimeoutNow => self.on_timeout_now(from, term),
-            Body::Hello(_) | Body::Genesis(_) | Body::Join(_) => {}
+            Body::Hello(_) | Body::Bootstrap(_) | Body::Join(_) => {}
         }
     }
 
@@ -245,9 +247,9 @@
             Body::Append(append) => {
                 self.group = group;
                 self.observe_term(term);
-                self.ack(from, append.round, AckOutcome::Empty);
+                self.ack(from, append.round, AckOutcome::Uninitialized);
             }
-            Body::Install(install) if install.image.group == group => {
+            Body::InstallSnapshot(install) if install.snapshot.group == group => {
                 self.group = group;
                 self.on_install(from, term, install);
             }
@@ -259,8 +261,8 @@
         }
     }
 
-    fn synced(&mut self, ticket: Ticket) {
-        for deferred in self.durability.synced(ticket) {
+    fn synced(&mut self, sync_id: SyncId) {
+        for deferred in self.durability.synced(sync_id) {
             match deferred {
                 Deferred::Send(message) => self.effects.push(Effect::Send(message)),
                 Deferred::Ack {
@@ -305,11 +307,11 @@
         self.leader = None;
         self.reset_election();
         if let State::Leader(leadership) = state {
-            let refusal = Refusal::NotLeader { leader: None };
+            let rejection = Rejection::NotLeader { leader: None };
             for read in leadership.reads {
-                self.effects.push(Effect::ReadRefused {
+                self.effects.push(Effect::ReadRejected {
                     id: read.id,
-                    refusal,
+                    rejection,
                 });
             }
             self.effects.push(Effect::LostLeadership);
@@ -318,24 +320,28 @@
 
     fn reset_election(&mut self) {
         let Timing {
-            election_min,
-            election_max,
-            renewal,
+            election_timeout_min,
+            election_timeout_max,
+            lease_renewal,
             ..
         } = self.config.timing;
         let wait = self
             .rng
-            .random_range(election_min..=election_max.max(election_min));
+            .random_range(election_timeout_min..=election_timeout_max.max(election_timeout_min));
         // A learner elects nobody, and hears the leader less often.
         let learner = !self.is_voter();
-        let patience = if learner { renewal } else { Duration::ZERO };
+        let patience = if learner {
+            lease_renewal
+        } else {
+            Duration::ZERO
+        };
         self.election_due = self.now + wait + patience;
     }
 
     /// Sets when to try again if the election under way fails. The leader is
     /// gone by then, so the members' leases leave no time for a full wait.
     fn retry_election(&mut self) {
-        let longest = self.config.timing.election_min;
+        let longest = self.config.timing.election_timeout_min;
         let wait = self.rng.random_range(longest / RETRY_SPREAD..=longest);
         self.election_due = self.now + wait;
     }
@@ -371,7 +377,7 @@
 
     /// Whether this member belongs to a group.
     fn is_formed(&self) -> bool {
-        self.log.image().is_some()
+        self.log.snapshot().is_some()
     }
 
     fn is_voter(&self) -> bool {
@@ -389,6 +395,6 @@
         if self.is_formed() {
             return self.is_voter() && self.log.membership().voters().count() == 1;
         }
-        self.config.may_found() && self.config.voters().count() == 1
+        self.config.may_bootstrap() && self.config.voters().count() == 1
     }
 }
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -30,7 +30,7 @@
     /// The next entry to send. Invariant: greater than `matched`.
     pub(crate) next: LogIndex,
     /// Whether the member asked for a snapshot.
-    pub(crate) needs_image: bool,
+    pub(crate) needs_snapshot: bool,
     pub(crate) inflight: Option<Inflight>,
     /// The highest round that this identity acknowledged.
     pub(crate) round: u64,
@@ -47,7 +47,7 @@
             identity: 0,
             matched: 0,
             next,
-            needs_image: false,
+            needs_snapshot: false,
             inflight: None,
             round: 0,
             round_sent: None,
@@ -70,8 +70,8 @@
     /// Whether the member lacks entries or is not known to have applied all
     /// that is committed.
     pub(crate) fn lags(&self, last: LogIndex, commit: LogIndex) -> bool {
-        let sending = self.inflight.is_some() || self.needs_image;
-        sending || self.next <= last || self.live.applied() < commit
+        let sending = self.inflight.is_some() || self.needs_snapshot;
+        sending || self.next <= last || self.live.applied_index() < commit
     }
 
     pub(crate) fn expire(&mut self, now: Duration) {
@@ -97,13 +97,13 @@
         }
         match ack.outcome {
             AckOutcome::Matched(_) => {
-                self.needs_image = false;
+                self.needs_snapshot = false;
                 self.next = self.matched + 1;
             }
             AckOutcome::Mismatch(hint) => {
                 self.next = self.next.min(hint + 1).max(self.matched + 1);
             }
-            AckOutcome::Empty => self.needs_image = true,
+            AckOutcome::Uninitialized => self.needs_snapshot = true,
         }
     }
 
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -15,7 +15,9 @@
         }
         let Some(index) = self.quorum_value(0, |core, progress| match progress {
             Some(progress) => progress.matched,
-            None if core.config.protections.own_sync_counts => core.durability.durable_index(),
+            None if core.config.protections.commit_after_own_sync => {
+                core.durability.durable_index()
+            }
             None => core.log.last_index(),
         }) else {
             return;
@@ -105,19 +107,20 @@
     /// Whether this member leads and no other leader can have been elected by
     /// `now`.
     pub fn holds_leader_lease_at(&self, now: Duration) -> bool {
-        self.lease_from(now)
+        self.leader_lease_start(now)
             .is_some_and(|sent| now < sent + self.config.timing.leader_lease())
     }
 
     /// When the leader's lease began; none if it may not be trusted.
-    fn lease_from(&self, now: Duration) -> Option<Duration> {
-        let ended = self.is_handing_over() && self.config.protections.transfer_ends_lease;
+    fn leader_lease_start(&self, now: Duration) -> Option<Duration> {
+        let ended =
+            self.is_transferring_leadership() && self.config.protections.transfer_ends_lease;
         self.quorum_sent(now).filter(|_| !ended)
     }
 
-    pub(super) fn leads_until(&self) -> Option<Duration> {
+    pub(super) fn leader_lease_until(&self) -> Option<Duration> {
         let sent = self
-            .lease_from(self.now)
+            .leader_lease_start(self.now)
             .filter(|_| self.has_committed_own_term());
         sent.map(|sent| sent + self.config.timing.leader_lease())
     }
@@ -133,8 +136,8 @@
     /// A leader grants itself a member's lease as it does to the others.
     pub(super) fn renew_own_lease(&mut self) {
         if self.has_committed_own_term() && self.holds_leader_lease() {
-            let until = self.now + self.config.timing.lease;
-            let gated = self.config.protections.renewal_gate;
+            let until = self.now + self.config.timing.member_lease;
+            let gated = self.config.protections.apply_before_lease_resumes;
             self.lease.extend(until, self.commit, self.now, gated);
         }
     }
--- a/crates/cleat-quorum/src/core/replicate.rs
+++ b/crates/cleat-quorum/src/core/replicate.rs
@@ -1,6 +1,6 @@
 //! How a leader sends entries and snapshots, and takes their acknowledgements.
 
-use super::message::{Ack, AckOutcome, Append, Body, Install, NO_ROUND, Stamp};
+use super::message::{Ack, AckOutcome, Append, Body, InstallSnapshot, LeaseStamp, NO_ROUND};
 use super::progress::{Inflight, Progress};
 use super::types::{MemberId, Term};
 use super::{Core, State};
@@ -25,7 +25,7 @@
     }
 
     fn send_round(&mut self, members: &[MemberId]) {
-        let due = self.now + self.config.timing.heartbeat;
+        let due = self.now + self.config.timing.heartbeat_interval;
         let Some(round) = self.next_round() else {
             return;
         };
@@ -58,9 +58,9 @@
             return false;
         };
         let votes = self.log.membership().get(id).is_some_and(|m| m.votes);
-        let served =
-            progress.live.is_live(self.now) && !progress.lags(self.log.last_index(), self.commit);
-        let spared = progress.sent_at + self.config.timing.heartbeat * LEARNER_HEARTBEATS;
+        let served = progress.live.may_hold_lease(self.now)
+            && !progress.lags(self.log.last_index(), self.commit);
+        let spared = progress.sent_at + self.config.timing.heartbeat_interval * LEARNER_HEARTBEATS;
         votes || !served || self.now >= spared
     }
 
@@ -70,7 +70,7 @@
         let State::Leader(leadership) = &self.state else {
             return;
         };
-        let idle = |p: &Progress| p.inflight.is_none() && (p.next <= last || p.needs_image);
+        let idle = |p: &Progress| p.inflight.is_none() && (p.next <= last || p.needs_snapshot);
         if leadership.progress.get(&id).is_some_and(idle)
             && let Some(round) = self.next_round()
         {
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn next_round(&mut self) -> Option<u64> {
-        let horizon = self.config.timing.election_max;
+        let horizon = self.config.timing.election_timeout_max;
         match &mut self.state {
             State::Leader(leadership) => Some(leadership.next_round(self.now, horizon)),
             _ => None,
@@ -99,15 +99,16 @@
         let echo = progress.live.echo().filter(|_| grants);
         let idle = progress.inflight.is_none();
         let cut_off = self.log.term_at(progress.next - 1).is_none();
-        let expires = self.now + self.config.timing.heartbeat * RESEND_HEARTBEATS;
-        if idle && (progress.needs_image || cut_off) {
-            return self.send_image(id, round, echo);
+        let expires = self.now + self.config.timing.heartbeat_interval * RESEND_HEARTBEATS;
+        if idle && (progress.needs_snapshot || cut_off) {
+            return self.send_snapshot(id, round, echo);
         }
         // What is under way arrives first, as a rule; if not, the member
         // answers that it differs, and that is ignored until the resend.
         let prev_index = progress.next - 1;
         let entries = if idle {
-            self.log.batch(progress.next, self.config.limits.max_batch)
+            self.log
+                .batch(progress.next, self.config.limits.max_batch_bytes)
         } else {
             Vec::new()
         };
@@ -132,31 +133,31 @@
         self.send(id, Body::Append(append));
     }
 
-    fn send_image(&mut self, id: MemberId, round: u64, echo: Option<Stamp>) {
-        let Some(image) = self.log.image().cloned() else {
+    fn send_snapshot(&mut self, id: MemberId, round: u64, echo: Option<LeaseStamp>) {
+        let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
         };
         // A snapshot takes longer on the way than entries do.
-        let expires = self.now + self.config.timing.election_max;
+        let expires = self.now + self.config.timing.election_timeout_max;
         if let State::Leader(leadership) = &mut self.state
             && let Some(progress) = leadership.progress.get_mut(&id)
         {
             progress.inflight = Some(Inflight {
                 round,
                 first_index: progress.next,
-                last_index: image.index,
+                last_index: snapshot.index,
                 expires,
             });
-            progress.next = image.index + 1;
+            progress.next = snapshot.index + 1;
         }
-        let image = (*image).clone();
+        let snapshot = (*snapshot).clone();
         self.send(
             id,
-            Body::Install(Install {
+            Body::InstallSnapshot(InstallSnapshot {
                 round,
                 commit: self.commit,
                 echo,
-                image,
+                snapshot,
             }),
         );
     }
@@ -171,7 +172,7 @@
         if self.log.membership().get(from).is_none() {
             return;
         }
-        let until = self.now + self.config.timing.lease_window();
+        let until = self.now + self.config.timing.member_lease_with_drift();
         let State::Leader(leadership) = &mut self.state else {
             return;
         };
@@ -188,7 +189,7 @@
         }
         progress.meet(ack.identity);
         // A member of no group yet may vote soon; no lease can rest on it.
-        if ack.outcome != AckOutcome::Empty {
+        if ack.outcome != AckOutcome::Uninitialized {
             progress.round = progress.round.max(ack.round);
             progress.round_sent = progress.round_sent.max(sent_at);
         }
@@ -204,7 +205,7 @@
         self.maintain_membership();
     }
 
-    pub(super) fn on_release(&mut self, from: MemberId, stamp: Stamp) {
+    pub(super) fn on_release(&mut self, from: MemberId, stamp: LeaseStamp) {
         if let State::Leader(leadership) = &mut self.state
             && let Some(progress) = leadership.progress.get_mut(&from)
         {
--- a/crates/cleat-quorum/src/core/status.rs
+++ b/crates/cleat-quorum/src/core/status.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It belongs to no group yet.
-    Unformed,
+    Uninitialized,
     /// It receives the log without a vote.
     Learner,
     /// It votes and follows.
@@ -30,7 +30,7 @@
     /// The last entry that it reported as applied.
     pub applied: LogIndex,
     /// Whether it may hold a lease.
-    pub live: bool,
+    pub may_hold_lease: bool,
 }
 
 /// The state of a member at one moment.
@@ -50,7 +50,7 @@
     pub serves_until: Option<Duration>,
     /// Until when it is certain to be the only leader, on its own clock; none
     /// if it is not.
-    pub leads_until: Option<Duration>,
+    pub leader_lease_until: Option<Duration>,
     /// All members, itself included; only on the leader.
     pub members: Vec<MemberStatus>,
 }
@@ -65,7 +65,7 @@
             commit: self.commit,
             applied: self.applied,
             serves_until: self.lease.serves_until(self.applied),
-            leads_until: self.leads_until(),
+            leader_lease_until: self.leader_lease_until(),
             members: self.member_statuses(),
         }
     }
@@ -73,7 +73,7 @@
     /// The part that this member plays.
     pub fn role(&self) -> Role {
         match &self.state {
-            _ if !self.is_formed() => Role::Unformed,
+            _ if !self.is_formed() => Role::Uninitialized,
             State::Leader(_) => Role::Leader,
             State::Follower if !self.is_voter() => Role::Learner,
             State::Follower => Role::Follower,
@@ -95,11 +95,11 @@
         let certain = self.has_committed_own_term()
             && self.holds_leader_lease_at(now)
             && self.applied >= index;
-        certain && self.waits_for(index, now).is_empty()
+        certain && self.members_behind(index, now).is_empty()
     }
 
     /// The members that may hold a lease and have not reported the entry.
-    pub fn waits_for(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
+    pub fn members_behind(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
         self.members_before(index, now)
     }
 
@@ -109,12 +109,12 @@
     }
 
     /// The last entry known to be committed.
-    pub fn commit(&self) -> LogIndex {
+    pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
     /// The last entry applied.
-    pub fn applied(&self) -> LogIndex {
+    pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
@@ -140,19 +140,19 @@
 
     /// Whether another group of commands may be proposed; a follower answers
     /// at once, so it always has room.
-    pub fn has_room(&self) -> bool {
+    pub fn can_accept_proposals(&self) -> bool {
         let uncommitted = self.log.last_index() - self.commit;
-        self.role() != Role::Leader || uncommitted < self.config.limits.max_uncommitted
+        self.role() != Role::Leader || uncommitted < self.config.limits.max_uncommitted_entries
     }
 
     /// The largest command in bytes.
-    pub fn max_command(&self) -> usize {
-        self.config.limits.max_command
+    pub fn max_command_bytes(&self) -> usize {
+        self.config.limits.max_command_bytes
     }
 
     /// The largest snapshot of the state machine in bytes.
-    pub fn max_snapshot(&self) -> usize {
-        self.config.limits.max_snapshot
+    pub fn max_snapshot_bytes(&self) -> usize {
+        self.config.limits.max_snapshot_bytes
     }
 
     /// The entry before the first in memory, and the last entry of the log.
@@ -171,8 +171,8 @@
                 MemberStatus {
                     id: member.id,
                     votes: member.votes,
-                    applied: progress.map_or(self.applied, |p| p.live.applied()),
-                    live: progress.is_none_or(|p| p.live.is_live(self.now)),
+                    applied: progress.map_or(self.applied, |p| p.live.applied_index()),
+                    may_hold_lease: progress.is_none_or(|p| p.live.may_hold_lease(self.now)),
                 }
             })
             .collect()
--- a/crates/cleat-quorum/src/core/timing.rs
+++ b/crates/cleat-quorum/src/core/timing.rs
@@ -8,29 +8,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// The pause between two heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest silence of a leader after which a member may elect another.
-    pub election_min: Duration,
+    pub election_timeout_min: Duration,
     /// The longest silence before a voter tries to be elected.
-    pub election_max: Duration,
+    pub election_timeout_max: Duration,
     /// How long a member serves after a send that the leader confirmed.
-    pub lease: Duration,
+    pub member_lease: Duration,
     /// How old a learner's lease may become before the learner asks the leader
     /// to renew it.
-    pub renewal: Duration,
+    pub lease_renewal: Duration,
     /// By how many percent two clocks may run apart.
-    pub drift_percent: u32,
+    pub clock_drift_percent: u32,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            heartbeat: Duration::from_millis(200),
-            election_min: Duration::from_millis(600),
-            election_max: Duration::from_millis(1100),
-            lease: Duration::from_millis(1500),
-            renewal: Duration::from_millis(450),
-            drift_percent: 5,
+            heartbeat_interval: Duration::from_millis(200),
+            election_timeout_min: Duration::from_millis(600),
+            election_timeout_max: Duration::from_millis(1100),
+            member_lease: Duration::from_millis(1500),
+            lease_renewal: Duration::from_millis(450),
+            clock_drift_percent: 5,
         }
     }
 }
@@ -42,22 +42,22 @@
     /// A change of leader then takes 0.3 to 0.6 s rather than 0.6 to 1.1 s. The
     /// silence has to stay above the pauses of a busy or capped processor, some
     /// 0.1 s, and two heartbeats.
-    pub fn prompt() -> Timing {
+    pub fn fast_failover() -> Timing {
         Timing {
-            heartbeat: Duration::from_millis(100),
-            election_min: Duration::from_millis(300),
-            election_max: Duration::from_millis(600),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout_min: Duration::from_millis(300),
+            election_timeout_max: Duration::from_millis(600),
             ..Timing::default()
         }
     }
 
     /// How long after a confirmed round the leader may rely on being the only one.
     pub fn leader_lease(&self) -> Duration {
-        self.election_min * (PERCENT - self.drift_percent.min(PERCENT)) / PERCENT
+        self.election_timeout_min * (PERCENT - self.clock_drift_percent.min(PERCENT)) / PERCENT
     }
 
     /// How long the leader waits before it takes a member's lease as lapsed.
-    pub fn lease_window(&self) -> Duration {
-        self.lease * (PERCENT + self.drift_percent) / PERCENT
+    pub fn member_lease_with_drift(&self) -> Duration {
+        self.member_lease * (PERCENT + self.clock_drift_percent) / PERCENT
     }
 }
--- a/crates/cleat-quorum/src/core/transfer.rs
+++ b/crates/cleat-quorum/src/core/transfer.rs
@@ -12,9 +12,9 @@
 use super::{Core, State};
 
 impl Core {
-    pub(super) fn hand_over(&mut self) {
-        let until = self.now + self.config.timing.election_min;
-        if !self.has_other_voters() || self.is_handing_over() {
+    pub(super) fn transfer_leadership(&mut self) {
+        let until = self.now + self.config.timing.election_timeout_min;
+        if !self.has_other_voters() || self.is_transferring_leadership() {
             return;
         }
         let State::Leader(leadership) = &mut self.state else {
@@ -36,7 +36,7 @@
     }
 
     /// Whether this member leads and is handing its lead over.
-    pub fn is_handing_over(&self) -> bool {
+    pub fn is_transferring_leadership(&self) -> bool {
         self.transfer().is_some()
     }
 
@@ -91,7 +91,7 @@
     pub(super) fn release(&mut self) {
         let stamp = self.lease.release();
         if let Some(leader) = self.leader.filter(|leader| *leader != self.config.id) {
-            self.send(leader, Body::Release(stamp));
+            self.send(leader, Body::ReleaseLease(stamp));
         }
     }
 }
--- a/crates/cleat-quorum/src/core/types.rs
+++ b/crates/cleat-quorum/src/core/types.rs
@@ -13,7 +13,7 @@
 pub type LogIndex = u64;
 
 /// The position that the genesis takes; the first entry follows it.
-pub const GENESIS_INDEX: LogIndex = 1;
+pub const BOOTSTRAP_INDEX: LogIndex = 1;
 
 /// An election term; 0 before the first election.
 pub type Term = u64;
@@ -109,8 +109,8 @@
 
 /// The state of the group after one entry; it replaces the log up to there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Image {
-    /// The last entry that the image contains; [`GENESIS_INDEX`] for the genesis.
+pub struct Snapshot {
+    /// The last entry that the snapshot contains; [`BOOTSTRAP_INDEX`] for the genesis.
     pub index: LogIndex,
     /// The term of that entry.
     pub term: Term,
--- a/crates/cleat-quorum/src/driver/config.rs
+++ b/crates/cleat-quorum/src/driver/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a replica.
 
-use crate::core::{CoreConfig, Joining, Limits, MemberConfig, MemberId, Timing};
+use crate::core::{CoreConfig, JoinConfig, Limits, MemberConfig, MemberId, Timing};
 
 /// Everything a replica is told at its start.
 #[derive(Clone, Debug)]
@@ -9,17 +9,17 @@
 }
 
 impl ReplicaConfig {
-    /// Member `id` of the configured `members`; `seed` must differ from life
-    /// to life.
+    /// Member `id` of the configured `members`; `seed` must differ from incarnation
+    /// to incarnation.
     pub fn new(id: MemberId, members: Vec<MemberConfig>, seed: u64) -> ReplicaConfig {
         let core = CoreConfig::new(id, members, seed);
         ReplicaConfig { core }
     }
 
-    /// Lets members join that `members` does not list; see [`Joining`].
+    /// Lets members join that `members` does not list; see [`JoinConfig`].
     #[must_use]
-    pub fn with_joining(mut self, joining: Joining) -> ReplicaConfig {
-        self.core.joining = Some(joining);
+    pub fn with_join_config(mut self, join: JoinConfig) -> ReplicaConfig {
+        self.core.join = Some(join);
         self
     }
 
--- a/crates/cleat-quorum/src/driver/disk.rs
+++ b/crates/cleat-quorum/src/driver/disk.rs
@@ -6,19 +6,19 @@
 
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::core::{Ticket, Write};
+use crate::core::{SyncId, Write};
 use crate::store::{Store, StoreError};
 
 /// The writes of one step.
 pub(crate) struct Batch {
     pub(crate) writes: Vec<Write>,
-    pub(crate) ticket: Ticket,
+    pub(crate) sync_id: SyncId,
 }
 
 /// Starts the thread. It ends when the sender is dropped or the disk fails.
 pub(crate) fn spawn(
     store: impl Store,
-    synced: UnboundedSender<Result<Ticket, StoreError>>,
+    synced: UnboundedSender<Result<SyncId, StoreError>>,
 ) -> io::Result<mpsc::Sender<Batch>> {
     // The leader holds a bounded number of uncommitted entries, so the queue
     // is bounded as well.
@@ -32,7 +32,7 @@
 fn run(
     mut store: impl Store,
     batches: &mpsc::Receiver<Batch>,
-    synced: &UnboundedSender<Result<Ticket, StoreError>>,
+    synced: &UnboundedSender<Result<SyncId, StoreError>>,
 ) {
     while let Ok(first) = batches.recv() {
         let group = std::iter::once(first).chain(batches.try_iter());
@@ -48,13 +48,13 @@
 fn commit(
     store: &mut impl Store,
     group: impl Iterator<Item = Batch>,
-) -> Result<Ticket, StoreError> {
-    let mut last = Ticket::default();
+) -> Result<SyncId, StoreError> {
+    let mut last = SyncId::default();
     for batch in group {
         for write in &batch.writes {
             store.write(write)?;
         }
-        last = batch.ticket;
+        last = batch.sync_id;
     }
     store.sync()?;
     Ok(last)
--- a/crates/cleat-quorum/src/driver/error.rs
+++ b/crates/cleat-quorum/src/driver/error.rs
@@ -4,8 +4,8 @@
 
 use snafu::Snafu;
 
-use super::machine::RestoreError;
-use crate::core::{MemberId, Refusal};
+use super::state_machine::RestoreError;
+use crate::core::{MemberId, Rejection};
 use crate::store::DecodeError;
 
 /// Why a command or a read was not confirmed.
@@ -38,12 +38,12 @@
     Stopped,
 }
 
-impl From<Refusal> for ProposeError {
-    fn from(refusal: Refusal) -> ProposeError {
-        match refusal {
-            Refusal::NotLeader { leader } => ProposeError::NotLeader { leader },
-            Refusal::NoQuorum | Refusal::Busy => ProposeError::NoQuorum,
-            Refusal::TooLarge { size, limit } => ProposeError::TooLarge { size, limit },
+impl From<Rejection> for ProposeError {
+    fn from(rejection: Rejection) -> ProposeError {
+        match rejection {
+            Rejection::NotLeader { leader } => ProposeError::NotLeader { leader },
+            Rejection::NoQuorum | Rejection::Busy => ProposeError::NoQuorum,
+            Rejection::TooLarge { size, limit } => ProposeError::TooLarge { size, limit },
         }
     }
 }
@@ -59,10 +59,10 @@
         leader: Option<MemberId>,
     },
     /// Some members with a live lease have not applied the entry in time.
-    #[snafu(display("{} members have not applied the entry in time", waits_for.len()))]
+    #[snafu(display("{} members have not applied the entry in time", members_behind.len()))]
     Timeout {
         /// Those members. Empty if the leader was not certain of its lead.
-        waits_for: Vec<MemberId>,
+        members_behind: Vec<MemberId>,
     },
     /// The replica stopped. Ask another member.
     #[snafu(display("the replica stopped"))]
--- a/crates/cleat-quorum/src/driver/replica.rs
+++ b/crates/cleat-quorum/src/driver/replica.rs
@@ -13,11 +13,11 @@
 use super::config::ReplicaConfig;
 use super::disk;
 use super::error::{InForceError, ProposeError, SpawnError, ThreadSnafu, WaitError};
-use super::machine::{Machine, Transport};
 use super::request::{InForceWait, Proposal, Request};
+use super::state_machine::{StateMachine, Transport};
 use super::status::Status;
 use super::task::{Inputs, Outputs, Task};
-use crate::core::{Core, GENESIS_INDEX, HardState, MemberId, Message, Recovery};
+use crate::core::{BOOTSTRAP_INDEX, Core, HardState, MemberId, Message, Recovery};
 use crate::store::{JournalStore, MemoryStore, Store, recover};
 
 /// How many requests may wait for the task.
@@ -30,8 +30,8 @@
 pub struct Applied {
     /// Its position in the log.
     pub index: u64,
-    /// The state machine's answer.
-    pub answer: Box<[u8]>,
+    /// The state state_machine's answer.
+    pub response: Box<[u8]>,
 }
 
 /// A running member of the group. Dropping it ends the member without giving
@@ -56,16 +56,16 @@
         cfg: ReplicaConfig,
         disk: (Journal, Recovered),
         transport: impl Transport,
-        machine: impl Machine,
+        state_machine: impl StateMachine,
     ) -> Result<Replica, SpawnError> {
         let (journal, recovered) = disk;
         let recovery = recover(recovered)?;
-        Replica::spawn_on(
+        Replica::spawn_with_store(
             cfg,
             recovery,
             JournalStore::new(journal),
             transport,
-            machine,
+            state_machine,
         )
     }
 
@@ -76,31 +76,31 @@
     pub fn spawn_in_memory(
         cfg: ReplicaConfig,
         transport: impl Transport,
-        machine: impl Machine,
+        state_machine: impl StateMachine,
     ) -> Result<Replica, SpawnError> {
         let recovery = Recovery {
             identity: rand::random(),
             hard_state: HardState::default(),
-            image: None,
+            snapshot: None,
             entries: Vec::new(),
         };
-        Replica::spawn_on(cfg, recovery, MemoryStore, transport, machine)
+        Replica::spawn_with_store(cfg, recovery, MemoryStore, transport, state_machine)
     }
 
     /// Starts a member on any store that holds `recovery`.
     ///
     /// # Errors
     /// See [`SpawnError`].
-    pub fn spawn_on(
+    pub fn spawn_with_store(
         cfg: ReplicaConfig,
         recovery: Recovery,
         store: impl Store,
         transport: impl Transport,
-        mut machine: impl Machine,
+        mut state_machine: impl StateMachine,
     ) -> Result<Replica, SpawnError> {
-        let image = recovery.image.as_ref();
-        if let Some(image) = image.filter(|image| image.index > GENESIS_INDEX) {
-            machine.restore(&image.data)?;
+        let snapshot = recovery.snapshot.as_ref();
+        if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > BOOTSTRAP_INDEX) {
+            state_machine.restore(&snapshot.data)?;
         }
         let origin = BootTime::now();
         let core = Core::new(cfg.core, recovery, Duration::ZERO);
@@ -120,7 +120,7 @@
         };
         let outputs = Outputs {
             transport,
-            machine,
+            state_machine,
             batches,
             status: status.clone(),
             applied: applied_tx,
@@ -197,7 +197,7 @@
     /// See [`ProposeError`]. Success means that the change is appended.
     pub async fn remove_member(&self, id: MemberId) -> Result<(), ProposeError> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Request::Remove { id, reply }).await?;
+        self.ask(Request::RemoveMember { id, reply }).await?;
         answer.await.unwrap_or(Err(ProposeError::Stopped))
     }
 
@@ -222,11 +222,11 @@
     pub async fn stop(&self) {
         // A full queue means that a stop is under way already.
         let _ = self.stop.try_send(());
-        self.ended().await;
+        self.wait_stopped().await;
     }
 
     /// Waits until the member has ended, by a stop or since its disk failed.
-    pub async fn ended(&self) {
+    pub async fn wait_stopped(&self) {
         self.requests.closed().await;
     }
 }
--- a/crates/cleat-quorum/src/driver/request.rs
+++ b/crates/cleat-quorum/src/driver/request.rs
@@ -15,7 +15,7 @@
     Propose(Proposal),
     Read(Reply<u64, ProposeError>),
     InForce(InForceWait),
-    Remove {
+    RemoveMember {
         id: MemberId,
         reply: Reply<(), ProposeError>,
     },
--- a/crates/cleat-quorum/src/driver/machine.rs
+++ b/crates/cleat-quorum/src/driver/state_machine.rs
@@ -7,9 +7,9 @@
 use crate::core::{MemberId, Message};
 
 /// The replicated state. It must depend on nothing but the commands.
-pub trait Machine: Send + 'static {
+pub trait StateMachine: Send + 'static {
     /// Applies a committed command and gives its answer. Called in the order
-    /// of the log, once for each index in a life.
+    /// of the log, once for each index in a incarnation.
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]>;
 
     /// The whole state.
@@ -38,7 +38,7 @@
 
 impl RestoreError {
     /// Wraps the state machine's own error.
-    pub fn refused(source: impl Error + Send + Sync + 'static) -> RestoreError {
+    pub fn new(source: impl Error + Send + Sync + 'static) -> RestoreError {
         let source = Box::new(source);
         RestoreError { source }
     }
--- a/crates/cleat-quorum/src/driver/status.rs
+++ b/crates/cleat-quorum/src/driver/status.rs
@@ -8,17 +8,17 @@
 pub struct Status {
     core: CoreStatus,
     serves_until: Option<BootTime>,
-    leads_until: Option<BootTime>,
+    leader_lease_until: Option<BootTime>,
 }
 
 impl Status {
     pub(crate) fn new(core: CoreStatus, origin: BootTime) -> Status {
         let serves_until = core.serves_until.map(|until| origin + until);
-        let leads_until = core.leads_until.map(|until| origin + until);
+        let leader_lease_until = core.leader_lease_until.map(|until| origin + until);
         Status {
             core,
             serves_until,
-            leads_until,
+            leader_lease_until,
         }
     }
 
@@ -33,7 +33,7 @@
         Status {
             core,
             serves_until: None,
-            leads_until: None,
+            leader_lease_until: None,
         }
     }
 
@@ -54,8 +54,8 @@
 
     /// Whether it is certain, at `now`, to be the only leader, and to know of
     /// all that was committed.
-    pub fn leads(&self, now: BootTime) -> bool {
-        self.leads_until.is_some_and(|until| now < until)
+    pub fn holds_leader_lease(&self, now: BootTime) -> bool {
+        self.leader_lease_until.is_some_and(|until| now < until)
     }
 
     /// Whether it leads, as far as it knows.
@@ -74,12 +74,12 @@
     }
 
     /// The last entry known to be committed.
-    pub fn commit(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.core.commit
     }
 
     /// The last entry applied.
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.core.applied
     }
 
--- a/crates/cleat-quorum/src/driver/task.rs
+++ b/crates/cleat-quorum/src/driver/task.rs
@@ -13,11 +13,11 @@
 use super::clock::BootTime;
 use super::disk::Batch;
 use super::error::ProposeError;
-use super::machine::{Machine, RestoreError, Transport};
 use super::request::{Proposal, Reply, Request};
+use super::state_machine::{RestoreError, StateMachine, Transport};
 use super::status::Status;
 use super::waiters::Waiters;
-use crate::core::{Core, Effect, Event, Message, Refusal, Role, Ticket, Write};
+use crate::core::{Core, Effect, Event, Message, Rejection, Role, SyncId, Write};
 use crate::store::StoreError;
 
 /// How many requests one step groups at most.
@@ -32,13 +32,13 @@
     pub(crate) requests: Receiver<Request>,
     pub(crate) messages: Receiver<Message>,
     pub(crate) stop: Receiver<()>,
-    pub(crate) synced: UnboundedReceiver<Result<Ticket, StoreError>>,
+    pub(crate) synced: UnboundedReceiver<Result<SyncId, StoreError>>,
 }
 
 /// What the task acts on.
 pub(crate) struct Outputs<T, M> {
     pub(crate) transport: T,
-    pub(crate) machine: M,
+    pub(crate) state_machine: M,
     pub(crate) batches: std_mpsc::Sender<Batch>,
     pub(crate) status: Arc<ArcSwap<Status>>,
     pub(crate) applied: watch::Sender<u64>,
@@ -69,7 +69,7 @@
     stop_by: Option<Instant>,
 }
 
-impl<T: Transport, M: Machine> Task<T, M> {
+impl<T: Transport, M: StateMachine> Task<T, M> {
     pub(crate) fn new(core: Core, origin: BootTime, outputs: Outputs<T, M>) -> Task<T, M> {
         Task {
             role: core.role(),
@@ -105,8 +105,8 @@
             tokio::select! {
                 _ = inputs.stop.recv(), if self.stop_by.is_none() => self.begin_stop()?,
                 synced = inputs.synced.recv() => {
-                    let ticket = synced.ok_or(Failure::DiskGone)??;
-                    self.step(Event::Synced(ticket))?;
+                    let sync_id = synced.ok_or(Failure::DiskGone)??;
+                    self.step(Event::Synced(sync_id))?;
                 }
                 count = inputs.messages.recv_many(&mut messages, MESSAGES) => {
                     if count == 0 {
@@ -116,7 +116,7 @@
                         self.step(Event::Receive(message))?;
                     }
                 }
-                count = inputs.requests.recv_many(&mut requests, GROUP), if self.core.has_room() => {
+                count = inputs.requests.recv_many(&mut requests, GROUP), if self.core.can_accept_proposals() => {
                     if count == 0 {
                         return Ok(());
                     }
@@ -128,7 +128,7 @@
             let local = BootTime::now() - self.origin;
             self.waiters.check_in_force(&self.core, local, now);
             if self.stop_by.is_some_and(|limit| self.may_stop(limit, now)) {
-                return self.step(Event::Release);
+                return self.step(Event::ReleaseLease);
             }
         }
     }
@@ -142,9 +142,9 @@
 
     /// A leader hands its lead over before it stops.
     fn begin_stop(&mut self) -> Result<(), Failure> {
-        self.step(Event::HandOver)?;
+        self.step(Event::TransferLeadership)?;
         let now = Instant::now();
-        let limit = if self.core.is_handing_over() {
+        let limit = if self.core.is_transferring_leadership() {
             HAND_OVER_LIMIT
         } else {
             Duration::ZERO
@@ -155,13 +155,14 @@
 
     /// The next leader has to be known, so that it is told of the release.
     fn may_stop(&self, limit: Instant, now: Instant) -> bool {
-        let replaced = !self.core.is_handing_over() && self.core.status().leader.is_some();
+        let replaced =
+            !self.core.is_transferring_leadership() && self.core.status().leader.is_some();
         replaced || now >= limit
     }
 
     /// Takes requests; all proposals among them become one group.
     fn take(&mut self, requests: impl Iterator<Item = Request>) -> Result<(), Failure> {
-        let limit = self.core.max_command();
+        let limit = self.core.max_command_bytes();
         let mut proposals = Vec::new();
         for request in requests {
             match request {
@@ -177,10 +178,10 @@
                     self.step(Event::Read(id))?;
                 }
                 Request::InForce(wait) => self.waiters.add_in_force(wait),
-                Request::Remove { id, reply } => {
+                Request::RemoveMember { id, reply } => {
                     let last = self.core.log_bounds().1;
                     self.removal = Some(reply);
-                    self.step(Event::Remove(id))?;
+                    self.step(Event::RemoveMember(id))?;
                     if self.core.log_bounds().1 > last
                         && let Some(reply) = self.removal.take()
                     {
@@ -216,9 +217,9 @@
     fn carry_out(&mut self, effect: Effect) -> Result<Option<Event>, Failure> {
         match effect {
             Effect::Write(write) => self.writes.push(write),
-            Effect::Sync(ticket) => {
+            Effect::Sync(sync_id) => {
                 let writes = std::mem::take(&mut self.writes);
-                let sent = self.outputs.batches.send(Batch { writes, ticket });
+                let sent = self.outputs.batches.send(Batch { writes, sync_id });
                 sent.map_err(|_| Failure::DiskGone)?;
             }
             Effect::Send(message) => self.outputs.transport.send(message.to, message),
@@ -227,12 +228,12 @@
                 term,
                 command,
             } => {
-                let answer = self.outputs.machine.apply(index, &command);
+                let answer = self.outputs.state_machine.apply(index, &command);
                 self.waiters.applied(index, term, answer);
             }
-            Effect::Restore(image) => self.outputs.machine.restore(&image.data)?,
+            Effect::Restore(snapshot) => self.outputs.state_machine.restore(&snapshot.data)?,
             Effect::TakeSnapshot(index) => {
-                let data: Arc<[u8]> = self.outputs.machine.snapshot().into();
+                let data: Arc<[u8]> = self.outputs.state_machine.snapshot().into();
                 self.warn_of_snapshot(index, &data);
                 return Ok(Some(Event::SnapshotTaken { index, data }));
             }
@@ -240,10 +241,10 @@
                 let proposals = std::mem::take(&mut self.proposals);
                 self.waiters.accepted(first, term, proposals);
             }
-            Effect::Refused(refusal) => self.refuse_step(refusal),
+            Effect::Rejected(rejection) => self.refuse_step(rejection),
             Effect::ReadReady { id, index } => self.waiters.finish_read(id, Ok(index)),
-            Effect::ReadRefused { id, refusal } => {
-                self.waiters.finish_read(id, Err(refusal.into()));
+            Effect::ReadRejected { id, rejection } => {
+                self.waiters.finish_read(id, Err(rejection.into()));
             }
             Effect::LostLeadership => self.waiters.lost_leadership(),
         }
@@ -251,17 +252,17 @@
     }
 
     fn warn_of_snapshot(&self, index: u64, data: &[u8]) {
-        if data.len() > self.core.max_snapshot() {
+        if data.len() > self.core.max_snapshot_bytes() {
             warn!("the snapshot at entry {index} is over the limit; the log is not compacted");
         }
     }
 
-    fn refuse_step(&mut self, refusal: Refusal) {
+    fn refuse_step(&mut self, rejection: Rejection) {
         for proposal in self.proposals.drain(..) {
-            let _ = proposal.reply.send(Err(refusal.into()));
+            let _ = proposal.reply.send(Err(rejection.into()));
         }
         if let Some(reply) = self.removal.take() {
-            let _ = reply.send(Err(refusal.into()));
+            let _ = reply.send(Err(rejection.into()));
         }
     }
 
@@ -271,7 +272,7 @@
             self.role = status.role();
             info!("now {:?} in term {}", status.role(), status.term());
         }
-        let applied = status.applied();
+        let applied = status.applied_index();
         if **self.outputs.status.load() != status {
             self.outputs.status.store(Arc::new(status));
         }
@@ -288,6 +289,6 @@
         Request::InForce(wait) => {
             drop(wait.reply.send(Err(super::error::InForceError::Stopped)));
         }
-        Request::Remove { reply, .. } => drop(reply.send(Err(ProposeError::Stopped))),
+        Request::RemoveMember { reply, .. } => drop(reply.send(Err(ProposeError::Stopped))),
     }
 }
--- a/crates/cleat-quorum/src/driver/waiters.rs
+++ b/crates/cleat-quorum/src/driver/waiters.rs
@@ -34,14 +34,14 @@
         }
     }
 
-    pub(crate) fn applied(&mut self, index: LogIndex, term: Term, answer: Box<[u8]>) {
+    pub(crate) fn applied(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
         let due = |pending: &mut Pending| pending.index <= index;
         let Some(pending) = self.proposals.pop_front_if(due) else {
             return;
         };
         let own = pending.index == index && pending.term == term;
         let result = if own {
-            Ok(Applied { index, answer })
+            Ok(Applied { index, response })
         } else {
             Err(ProposeError::OutcomeUnknown)
         };
@@ -87,8 +87,8 @@
             } else if core.in_force(wait.index, local) {
                 Ok(())
             } else if now >= wait.deadline {
-                let waits_for = core.waits_for(wait.index, local);
-                Err(InForceError::Timeout { waits_for })
+                let members_behind = core.members_behind(wait.index, local);
+                Err(InForceError::Timeout { members_behind })
             } else {
                 self.in_force.push(wait);
                 continue;
--- a/crates/cleat-quorum/src/store/journal.rs
+++ b/crates/cleat-quorum/src/store/journal.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use cleat_log::{Journal, Record, Recovered, Snapshot};
+use cleat_log::{Journal, Record, Recovered, Snapshot as JournalSnapshot};
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
 use super::{Store, StoreError};
-use crate::core::{Entry, HardState, Image, MemberId, Membership, Recovery, Write};
+use crate::core::{Entry, HardState, MemberId, Membership, Recovery, Snapshot, Write};
 
 /// What the journal holds can't be read as this version's data. Start the
 /// version that wrote it, or replace the member.
@@ -20,9 +20,9 @@
     source: postcard::Error,
 }
 
-/// The part of an image that the journal does not keep itself.
+/// The part of an snapshot that the journal does not keep itself.
 #[derive(Serialize, Deserialize)]
-struct ImageBody {
+struct SnapshotBody {
     group: u32,
     membership: Membership,
     data: Arc<[u8]>,
@@ -33,7 +33,7 @@
 /// # Errors
 /// See [`DecodeError`].
 pub fn recover(recovered: Recovered) -> Result<Recovery, DecodeError> {
-    let image = recovered.snapshot.map(decode_image).transpose()?;
+    let snapshot = recovered.snapshot.map(decode_snapshot).transpose()?;
     let entries = recovered.records.iter().map(decode_entry);
     let voted_for = recovered.hard_state.voted_for.map(MemberId);
     Ok(Recovery {
@@ -42,20 +42,20 @@
             term: recovered.hard_state.term,
             voted_for,
         },
-        image: image.map(Arc::new),
+        snapshot: snapshot.map(Arc::new),
         entries: entries.collect::<Result<_, _>>()?,
     })
 }
 
-fn decode_image(snapshot: Snapshot) -> Result<Image, DecodeError> {
-    let Snapshot { index, term, data } = snapshot;
-    let body: ImageBody = postcard::from_bytes(&data).context(DecodeSnafu { index })?;
-    let ImageBody {
+fn decode_snapshot(snapshot: JournalSnapshot) -> Result<Snapshot, DecodeError> {
+    let JournalSnapshot { index, term, data } = snapshot;
+    let body: SnapshotBody = postcard::from_bytes(&data).context(DecodeSnafu { index })?;
+    let SnapshotBody {
         group,
         membership,
         data,
     } = body;
-    Ok(Image {
+    Ok(Snapshot {
         index,
         term,
         group,
@@ -94,16 +94,16 @@
         self.journal.append(&records).map_err(StoreError::new)
     }
 
-    fn save(&mut self, image: &Image) -> Result<(), StoreError> {
-        let body = ImageBody {
-            group: image.group,
-            membership: image.membership.clone(),
-            data: image.data.clone(),
+    fn save(&mut self, snapshot: &Snapshot) -> Result<(), StoreError> {
+        let body = SnapshotBody {
+            group: snapshot.group,
+            membership: snapshot.membership.clone(),
+            data: snapshot.data.clone(),
         };
         let data = postcard::to_stdvec(&body).map_err(StoreError::new)?.into();
-        let snapshot = Snapshot {
-            index: image.index,
-            term: image.term,
+        let snapshot = JournalSnapshot {
+            index: snapshot.index,
+            term: snapshot.term,
             data,
         };
         self.journal
@@ -135,7 +135,7 @@
                 };
                 self.journal.set_hard_state(state).map_err(StoreError::new)
             }
-            Write::Snapshot(image) => self.save(image),
+            Write::Snapshot(snapshot) => self.save(snapshot),
         }
     }
 
--- a/crates/cleat-quorum/src/store/memory.rs
+++ b/crates/cleat-quorum/src/store/memory.rs
@@ -3,7 +3,7 @@
 use super::{Store, StoreError};
 use crate::core::Write;
 
-/// Keeps nothing: the member starts empty in each life, under a new identity.
+/// Keeps nothing: the member starts empty in each incarnation, under a new identity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemoryStore;
 
--- a/crates/cleat-quorum/tests/core.rs
+++ b/crates/cleat-quorum/tests/core.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cleat_quorum::{
-    Ack, AckOutcome, Append, Body, Core, Event, GENESIS_INDEX, HardState, Limits, MemberId,
-    Message, Refusal, Role, Stamp,
+    Ack, AckOutcome, Append, BOOTSTRAP_INDEX, Body, Core, Event, HardState, LeaseStamp, Limits,
+    MemberId, Message, Rejection, Role,
 };
 
 use group::recovery::{identity, recover};
@@ -19,7 +19,7 @@
     let mut group = Group::new(5, 0, |id, config, recovery| {
         config.protections.own_term_commit = own_term_commit;
         config.limits = Limits {
-            max_batch: 1,
+            max_batch_bytes: 1,
             ..Limits::default()
         };
         match id {
@@ -48,7 +48,7 @@
 
 #[test]
 fn advance_commit_old_term() {
-    assert_eq!(commit_of_old_term(true), GENESIS_INDEX);
+    assert_eq!(commit_of_old_term(true), BOOTSTRAP_INDEX);
     assert_eq!(
         commit_of_old_term(false),
         3,
@@ -63,7 +63,7 @@
     let status = group.core(0).status();
     assert_eq!(
         (status.role, status.commit),
-        (Role::Leader, GENESIS_INDEX + 1)
+        (Role::Leader, BOOTSTRAP_INDEX + 1)
     );
     assert!(group.core(0).in_service(group.now));
     assert!(group.core(0).in_force(status.commit, group.now));
@@ -72,8 +72,8 @@
 #[test]
 fn message_size_without_entries() {
     let (from, to) = (MemberId(60_001), MemberId(60_002));
-    let stamp = Stamp {
-        life: u32::MAX,
+    let stamp = LeaseStamp {
+        incarnation: u32::MAX,
         seq: 1 << 20,
     };
     let append = Append {
@@ -118,7 +118,7 @@
     let index = group.core(leader).status().commit;
     assert!(!group.core(leader).in_force(index, group.now));
     assert_eq!(
-        group.core(leader).waits_for(index, group.now),
+        group.core(leader).members_behind(index, group.now),
         [MemberId(3)]
     );
     group.advance(seconds(2));
@@ -131,7 +131,7 @@
     let mut group = Group::formed(3, 1);
     group.advance(seconds(3));
     let leader = group.leader();
-    group.step(3, Event::Release);
+    group.step(3, Event::ReleaseLease);
     group.deliver_all();
     assert!(!group.core(3).in_service(group.now));
     group.passes = |message| message.to.0 != 3;
@@ -148,7 +148,7 @@
     let fresh = Group::new(3, 0, |_, _, recovery| recovery.identity += 7777);
     group.cores[lost as usize] = fresh.cores.into_iter().nth(lost as usize).expect("a core");
     group.step(lost, Event::Tick);
-    assert_eq!(group.core(lost).role(), Role::Unformed);
+    assert_eq!(group.core(lost).role(), Role::Uninitialized);
     group.advance(seconds(3));
     let leader = group.leader();
     let membership = group.core(leader).membership();
@@ -174,23 +174,23 @@
     for answer in answers.clone() {
         replaced.step(0, Event::Receive(answer));
     }
-    assert_eq!(replaced.core(0).role(), Role::Unformed);
+    assert_eq!(replaced.core(0).role(), Role::Uninitialized);
     for answer in answers {
         group.step(0, Event::Receive(answer));
     }
     assert_ne!(
         group.core(0).role(),
-        Role::Unformed,
+        Role::Uninitialized,
         "the answers were good for the old disk"
     );
 }
 
 #[test]
-fn propose_refusals() {
+fn propose_rejections() {
     let mut group = Group::formed(3, 0);
     group.advance(seconds(3));
     let leader = group.leader();
-    let large = vec![0; Limits::default().max_command + 1];
+    let large = vec![0; Limits::default().max_command_bytes + 1];
     group.propose(leader, &large);
     group.propose((leader + 1) % 3, b"elsewhere");
     group.passes = |_| false;
@@ -198,18 +198,18 @@
     group.now += Duration::from_millis(900);
     group.propose(leader, b"cut off");
     assert_eq!(group.core(leader).log_bounds().1, before);
-    let limit = Limits::default().max_command;
+    let limit = Limits::default().max_command_bytes;
     let expected = [
-        Refusal::TooLarge {
+        Rejection::TooLarge {
             size: limit + 1,
             limit,
         },
-        Refusal::NotLeader {
+        Rejection::NotLeader {
             leader: Some(MemberId(leader)),
         },
-        Refusal::NoQuorum,
+        Rejection::NoQuorum,
     ];
-    assert_eq!(group.refusals(), expected);
+    assert_eq!(group.rejections(), expected);
     group.advance(seconds(1));
     assert_ne!(
         group.core(leader).role(),
@@ -240,7 +240,7 @@
 
 /// A leader that is cut off may serve longer than it may be sure to lead.
 #[test]
-fn leads_until_ends_before_service() {
+fn leader_lease_ends_before_service() {
     let mut group = Group::formed(3, 0);
     group.advance(seconds(3));
     let leader = group.leader();
@@ -249,7 +249,7 @@
     let status = group.core(leader).status();
     assert_eq!(status.role, Role::Leader);
     assert!(status.serves_until > Some(group.now));
-    assert!(status.leads_until <= Some(group.now));
+    assert!(status.leader_lease_until <= Some(group.now));
 }
 
 #[test]
@@ -257,7 +257,7 @@
     let mut group = Group::formed(3, 1);
     group.advance(seconds(3));
     let leader = group.leader();
-    group.step(leader, Event::Remove(MemberId(3)));
+    group.step(leader, Event::RemoveMember(MemberId(3)));
     group.deliver_all();
     assert!(group.core(leader).membership().get(MemberId(3)).is_none());
     group.propose(leader, b"after the removal");
@@ -277,14 +277,14 @@
         }
     });
     // Member 2 hears the leader but gets neither genesis nor snapshot.
-    group.passes = |message| !matches!(message.body, Body::Genesis(_) | Body::Install(_));
+    group.passes = |message| !matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
     group.advance(seconds(3));
     let leader = group.leader();
     assert!(group.core(leader).holds_leader_lease_at(group.now));
-    assert_eq!(group.core(2).role(), Role::Unformed);
+    assert_eq!(group.core(2).role(), Role::Uninitialized);
     // From now on it is the only one that answers.
     group.passes = |message| {
-        let state = matches!(message.body, Body::Genesis(_) | Body::Install(_));
+        let state = matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
         !state && (message.from.0 == 2 || message.to.0 == 2)
     };
     group.advance(Duration::from_millis(700));
@@ -300,7 +300,7 @@
     group.step(0, Event::Tick);
     while let Some(message) = group.queue.pop_front() {
         group.step(message.to.0, Event::Receive(message));
-        if group.core(0).role() != Role::Unformed {
+        if group.core(0).role() != Role::Uninitialized {
             break;
         }
     }
@@ -310,6 +310,9 @@
     group.cores.extend(replaced.cores.into_iter().skip(1));
     group.advance(seconds(10));
     let roles: Vec<Role> = group.cores.iter().map(Core::role).collect();
-    assert_eq!(roles, [Role::Candidate, Role::Unformed, Role::Unformed]);
+    assert_eq!(
+        roles,
+        [Role::Candidate, Role::Uninitialized, Role::Uninitialized]
+    );
     assert_eq!(group.core(0).hard_state(), HardState::default());
 }
--- a/crates/cleat-quorum/tests/group/mod.rs
+++ b/crates/cleat-quorum/tests/group/mod.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cleat_quorum::{
-    Core, CoreConfig, Effect, Event, HardState, MemberConfig, MemberId, Message, Recovery, Refusal,
-    Role,
+    Core, CoreConfig, Effect, Event, HardState, MemberConfig, MemberId, Message, Recovery,
+    Rejection, Role,
 };
 
 use recovery::identity;
@@ -41,7 +41,7 @@
             let mut recovery = Recovery {
                 identity: identity(id),
                 hard_state: HardState::default(),
-                image: None,
+                snapshot: None,
                 entries: Vec::new(),
             };
             adjust(id, &mut config, &mut recovery);
@@ -65,7 +65,7 @@
         while let Some(event) = events.pop_front() {
             for effect in self.cores[at as usize].step(event, self.now) {
                 match effect {
-                    Effect::Sync(ticket) => events.push_back(Event::Synced(ticket)),
+                    Effect::Sync(sync_id) => events.push_back(Event::Synced(sync_id)),
                     Effect::Send(message) => self.queue.push_back(message),
                     other => self.effects.push(other),
                 }
@@ -115,9 +115,9 @@
         self.deliver_all();
     }
 
-    pub(crate) fn refusals(&self) -> Vec<Refusal> {
+    pub(crate) fn rejections(&self) -> Vec<Rejection> {
         let refused = |effect: &Effect| match effect {
-            Effect::Refused(refusal) => Some(*refusal),
+            Effect::Rejected(rejection) => Some(*rejection),
             _ => None,
         };
         self.effects.iter().filter_map(refused).collect()
--- a/crates/cleat-quorum/tests/group/recovery.rs
+++ b/crates/cleat-quorum/tests/group/recovery.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use cleat_quorum::{
-    Entry, GENESIS_INDEX, HardState, Image, Member, MemberId, Membership, Payload, Recovery, Term,
+    BOOTSTRAP_INDEX, Entry, HardState, Member, MemberId, Membership, Payload, Recovery, Snapshot,
+    Term,
 };
 
 /// The group that is recovered.
@@ -25,19 +26,19 @@
         retired: Vec::new(),
     };
     let data = Arc::from([]);
-    let image = Image {
-        index: GENESIS_INDEX,
+    let snapshot = Snapshot {
+        index: BOOTSTRAP_INDEX,
         term: 0,
         group: GROUP,
         membership,
         data,
     };
-    recovery.image = Some(Arc::new(image));
+    recovery.snapshot = Some(Arc::new(snapshot));
     recovery.hard_state = HardState {
         term,
         voted_for: None,
     };
-    let entries = (GENESIS_INDEX + 1..).zip(terms);
+    let entries = (BOOTSTRAP_INDEX + 1..).zip(terms);
     recovery.entries = entries
         .map(|(index, term)| Entry {
             index,
--- a/crates/cleat-quorum/tests/joining.rs
+++ b/crates/cleat-quorum/tests/joining.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cleat_quorum::{Core, CoreConfig, Joining, MemberId, Recovery, Role};
+use cleat_quorum::{Core, CoreConfig, JoinConfig, MemberId, Recovery, Role};
 
 use group::recovery::identity;
 use group::{Group, seconds};
@@ -14,11 +14,11 @@
 const MEMBERS: u32 = 5;
 const SILENCE: Duration = Duration::from_secs(3);
 
-fn joining(may_found: bool) -> Joining {
-    Joining {
-        may_found,
-        voters: MEMBERS as usize,
-        silence: SILENCE,
+fn join_config(may_bootstrap: bool) -> JoinConfig {
+    JoinConfig {
+        may_bootstrap,
+        target_voters: MEMBERS as usize,
+        extra_voter_timeout: SILENCE,
     }
 }
 
@@ -26,7 +26,7 @@
 fn seeded(extra: u32, founds: fn(u32) -> bool) -> Group {
     Group::new(SEEDS, MEMBERS - SEEDS + extra, |id, config, _| {
         config.members.truncate(SEEDS as usize);
-        config.joining = Some(joining(founds(id)));
+        config.join = Some(join_config(founds(id)));
     })
 }
 
@@ -112,11 +112,11 @@
     };
     let seeds = (0..SEEDS).map(seed).collect();
     let mut config = CoreConfig::new(MemberId(id), seeds, u64::from(id) + 100);
-    config.joining = Some(joining(false));
+    config.join = Some(join_config(false));
     let recovery = Recovery {
         identity: identity(id) + 1_000,
         hard_state: cleat_quorum::HardState::default(),
-        image: None,
+        snapshot: None,
         entries: Vec::new(),
     };
     Core::new(config, recovery, seconds(4))
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -6,8 +6,8 @@
 
 use cleat_log::Journal;
 use cleat_quorum::{
-    Limits, Machine, MemberConfig, MemberId, MemoryStore, Message, ProposeError, Recovery, Replica,
-    ReplicaConfig, RestoreError, Role, Store, StoreError, Transport, Write,
+    Limits, MemberConfig, MemberId, MemoryStore, Message, ProposeError, Recovery, Replica,
+    ReplicaConfig, RestoreError, Role, StateMachine, Store, StoreError, Transport, Write,
 };
 use tempfile::TempDir;
 use tokio::time::{sleep, timeout};
@@ -24,7 +24,7 @@
     }
 }
 
-impl Machine for Commands {
+impl StateMachine for Commands {
     fn apply(&mut self, _: u64, command: &[u8]) -> Box<[u8]> {
         let mut commands = self.0.lock().expect("not poisoned");
         commands.push(command.to_vec());
@@ -36,7 +36,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        let commands = postcard::from_bytes(data).map_err(RestoreError::refused)?;
+        let commands = postcard::from_bytes(data).map_err(RestoreError::new)?;
         *self.0.lock().expect("not poisoned") = commands;
         Ok(())
     }
@@ -106,8 +106,8 @@
         };
         let members = (0..self.members).map(member).collect();
         let limits = Limits {
-            compact_after: 20,
-            keep_entries: 5,
+            compact_after_entries: 20,
+            retained_entries: 5,
             ..Limits::default()
         };
         ReplicaConfig::new(MemberId(id), members, rand::random()).with_limits(limits)
@@ -141,7 +141,7 @@
     }
 
     async fn reopen(&mut self, id: u32) {
-        // The disk thread of the last life may still hold the folder's lock.
+        // The disk thread of the last incarnation may still hold the folder's lock.
         let folder = self.folder(id);
         until(|| Journal::open(&folder, "e").is_ok()).await;
         self.spawn(id);
@@ -209,7 +209,7 @@
         .await
         .expect("applied");
     assert_eq!(
-        (applied.index, &*applied.answer),
+        (applied.index, &*applied.response),
         (first + 1, &1u64.to_le_bytes()[..])
     );
     let read = group.replica(0).read_index().await.expect("a read");
@@ -335,18 +335,19 @@
 }
 
 #[tokio::test]
-async fn spawn_on_failing_disk_ends() {
+async fn spawn_with_failing_store_stops() {
     let group = Group::start(1, 0);
     let recovery = Recovery {
         identity: 1,
         hard_state: Default::default(),
-        image: None,
+        snapshot: None,
         entries: Vec::new(),
     };
     let (cfg, wires) = (group.config(0), Wires::default());
-    let replica = Replica::spawn_on(cfg, recovery, FailingStore, wires, Commands::default());
+    let replica =
+        Replica::spawn_with_store(cfg, recovery, FailingStore, wires, Commands::default());
     let replica = replica.expect("the replica starts");
-    timeout(LIMIT, replica.ended())
+    timeout(LIMIT, replica.wait_stopped())
         .await
         .expect("the replica ends");
     assert!(!replica.status().in_service(cleat_quorum::BootTime::now()));
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -98,7 +98,7 @@
 fn schedule_leader_dies() {
     let plan = Plan {
         kill_leader: true,
-        hand_overs: 0,
+        leadership_transfers: 0,
         random_faults: 0,
         ..Plan::default()
     };
@@ -126,7 +126,7 @@
 #[test]
 fn schedule_leader_hands_over() {
     let plan = Plan {
-        hand_overs: 1,
+        leadership_transfers: 1,
         random_faults: 0,
         slow_sync: (0.0, SECOND),
         ..Plan::default()
@@ -236,8 +236,8 @@
 }
 
 #[test]
-fn protection_own_sync_counts() {
-    let plan = without(CRASHES, |p| p.own_sync_counts = false);
+fn protection_commit_after_own_sync() {
+    let plan = without(CRASHES, |p| p.commit_after_own_sync = false);
     assert_red("own sync counts", plan, loses_entries);
 }
 
@@ -274,7 +274,7 @@
     let plan = without(PAUSES, |p| p.transfer_ends_lease = false);
     let plan = Plan {
         cell: Some((Step::TimeoutNow, Fault::CutBoth)),
-        hand_overs: 4,
+        leadership_transfers: 4,
         random_faults: 0,
         slow_sync: (0.0, SECOND),
         ..plan
@@ -291,8 +291,8 @@
 }
 
 #[test]
-fn protection_renewal_gate() {
-    let plan = without(PAUSES, |p| p.renewal_gate = false);
+fn protection_apply_before_lease_resumes() {
+    let plan = without(PAUSES, |p| p.apply_before_lease_resumes = false);
     assert_red("renewal gate", plan, serves_behind);
 }
 
--- a/crates/cleat-quorum/tests/simulation/check.rs
+++ b/crates/cleat-quorum/tests/simulation/check.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use cleat_quorum::{
-    Entry, GENESIS_INDEX, LogIndex, MemberId, Membership, Message, Payload, Role, Term, Write,
+    BOOTSTRAP_INDEX, Entry, LogIndex, MemberId, Membership, Message, Payload, Role, Term, Write,
 };
 
 use super::node::Node;
@@ -43,7 +43,7 @@
 }
 
 /// The position after the genesis.
-const FIRST_INDEX: LogIndex = GENESIS_INDEX + 1;
+const FIRST_INDEX: LogIndex = BOOTSTRAP_INDEX + 1;
 
 #[derive(Default)]
 pub(super) struct Checker {
@@ -87,7 +87,7 @@
         let Some(core) = &node.core else {
             return Ok(());
         };
-        let (role, term, commit) = (core.role(), core.hard_state().term, core.commit());
+        let (role, term, commit) = (core.role(), core.hard_state().term, core.commit_index());
         for index in node.seen_commit + 1..=commit {
             let Some(entry) = core.entry(index) else {
                 continue;
@@ -129,11 +129,11 @@
     }
 
     pub(super) fn check_write(&mut self, node: &Node, write: &Write) -> Result<(), Violation> {
-        if let Write::Snapshot(image) = write
-            && image.index == GENESIS_INDEX
+        if let Write::Snapshot(snapshot) = write
+            && snapshot.index == BOOTSTRAP_INDEX
             && self.committed.is_empty()
         {
-            self.membership = Some(image.membership.clone());
+            self.membership = Some(snapshot.membership.clone());
         }
         let (Write::Append(entries), Some(core)) = (write, &node.core) else {
             return Ok(());
@@ -199,7 +199,7 @@
                 continue;
             };
             let local = node.local(now);
-            let commit = core.commit();
+            let commit = core.commit_index();
             certain += u32::from(core.holds_leader_lease_at(local));
             if commit > self.in_force && core.in_force(commit, local) {
                 self.in_force = commit;
@@ -212,7 +212,7 @@
             let Some(core) = &node.core else {
                 continue;
             };
-            let applied = core.applied();
+            let applied = core.applied_index();
             if applied < self.in_force && core.in_service(node.local(now)) {
                 return Err(Violation::ServesBehind(node.id, applied, self.in_force));
             }
--- a/crates/cleat-quorum/tests/simulation/effects.rs
+++ b/crates/cleat-quorum/tests/simulation/effects.rs
@@ -1,6 +1,6 @@
 //! The fake network and disks: where a core's effects go.
 
-use cleat_quorum::{Effect, Event, Message, Payload, Ticket, Write};
+use cleat_quorum::{Effect, Event, Message, Payload, SyncId, Write};
 use rand::RngExt;
 
 use super::{MILLI, Micros, Occurrence, SECOND, Step, Violation, World};
@@ -18,28 +18,28 @@
                         self.reach(Step::Membership, at, at);
                     }
                 }
-                Effect::Sync(ticket) => self.start_sync(at, ticket),
+                Effect::Sync(sync_id) => self.start_sync(at, sync_id),
                 Effect::Send(message) => self.send(at, &message)?,
                 Effect::Apply { index, command, .. } => {
                     let node = &mut self.nodes[at];
                     self.checker.check_apply(node, index, &command)?;
                 }
-                Effect::Restore(image) => self.nodes[at].restore(&image.data),
+                Effect::Restore(snapshot) => self.nodes[at].restore(&snapshot.data),
                 Effect::TakeSnapshot(index) => {
                     let data = self.nodes[at].snapshot();
                     self.step(at, Event::SnapshotTaken { index, data })?;
                 }
                 Effect::ReadReady { id, index } => self.checker.check_read(id, index)?,
                 Effect::Accepted { .. }
-                | Effect::Refused(_)
-                | Effect::ReadRefused { .. }
+                | Effect::Rejected(_)
+                | Effect::ReadRejected { .. }
                 | Effect::LostLeadership => {}
             }
         }
         Ok(())
     }
 
-    pub(super) fn start_sync(&mut self, at: usize, ticket: Ticket) {
+    pub(super) fn start_sync(&mut self, at: usize, sync_id: SyncId) {
         let (often, slowest) = self.plan.slow_sync;
         let longest = if self.rng.random_bool(often) {
             slowest
@@ -48,25 +48,25 @@
         };
         let took = self.rng.random_range(100..longest);
         let node = &mut self.nodes[at];
-        node.disk.mark_sync(ticket);
+        node.disk.mark_sync(sync_id);
         let delay = node.disk.sync_ends(self.now, took) - self.now;
-        let life = node.life;
-        self.after(delay, Occurrence::SyncDone(at, life, ticket));
+        let incarnation = node.incarnation;
+        self.after(delay, Occurrence::SyncDone(at, incarnation, sync_id));
     }
 
     pub(super) fn sync_done(
         &mut self,
         at: usize,
-        life: u64,
-        ticket: Ticket,
+        incarnation: u64,
+        sync_id: SyncId,
     ) -> Result<(), Violation> {
         let node = &mut self.nodes[at];
-        if node.life != life || node.core.is_none() {
+        if node.incarnation != incarnation || node.core.is_none() {
             return Ok(());
         }
-        node.disk.finish_sync(ticket);
+        node.disk.finish_sync(sync_id);
         self.reach(Step::Sync, at, at);
-        self.step(at, Event::Synced(ticket))
+        self.step(at, Event::Synced(sync_id))
     }
 
     pub(super) fn send(&mut self, at: usize, message: &Message) -> Result<(), Violation> {
--- a/crates/cleat-quorum/tests/simulation/fault.rs
+++ b/crates/cleat-quorum/tests/simulation/fault.rs
@@ -34,15 +34,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Hello,
-    Genesis,
+    Bootstrap,
     PreVote,
     VoteRequest,
     VoteReply,
     Append,
     LeaseEcho,
     Ack,
-    Install,
-    Release,
+    Snapshot,
+    ReleaseLease,
     TimeoutNow,
     Membership,
     Sync,
@@ -51,15 +51,15 @@
 impl Step {
     pub(crate) const ALL: [Step; 13] = [
         Step::Hello,
-        Step::Genesis,
+        Step::Bootstrap,
         Step::PreVote,
         Step::VoteRequest,
         Step::VoteReply,
         Step::Append,
         Step::LeaseEcho,
         Step::Ack,
-        Step::Install,
-        Step::Release,
+        Step::Snapshot,
+        Step::ReleaseLease,
         Step::TimeoutNow,
         Step::Membership,
         Step::Sync,
@@ -68,7 +68,7 @@
     pub(crate) fn of(message: &Message) -> Step {
         match &message.body {
             Body::Hello(_) | Body::Join(_) => Step::Hello,
-            Body::Genesis(_) => Step::Genesis,
+            Body::Bootstrap(_) => Step::Bootstrap,
             Body::VoteRequest(req) if req.pre => Step::PreVote,
             Body::VoteRequest(_) => Step::VoteRequest,
             Body::VoteReply(_) => Step::VoteReply,
@@ -76,8 +76,8 @@
             Body::Append(append) if !append.entries.is_empty() => Step::Append,
             Body::Append(_) => Step::LeaseEcho,
             Body::Ack(_) => Step::Ack,
-            Body::Install(_) => Step::Install,
-            Body::Release(_) => Step::Release,
+            Body::InstallSnapshot(_) => Step::Snapshot,
+            Body::ReleaseLease(_) => Step::ReleaseLease,
             Body::TimeoutNow => Step::TimeoutNow,
         }
     }
--- a/crates/cleat-quorum/tests/simulation/mod.rs
+++ b/crates/cleat-quorum/tests/simulation/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use cleat_quorum::{Body, Event, Message, Protections, Ticket};
+use cleat_quorum::{Body, Event, Message, Protections, SyncId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -46,7 +46,7 @@
     /// Kills the leader four seconds after the start, until the heal.
     pub(crate) kill_leader: bool,
     /// How often the leader hands its lead over, at random times.
-    pub(crate) hand_overs: u32,
+    pub(crate) leadership_transfers: u32,
     /// When all faults end.
     pub(crate) heal: Micros,
     /// Whether the group must recover after that.
@@ -66,7 +66,7 @@
             upkeep: false,
             client_pause: 120 * MILLI,
             kill_leader: false,
-            hand_overs: 2,
+            leadership_transfers: 2,
             heal: 7 * SECOND,
             liveness: true,
             protections: Protections::default(),
@@ -76,7 +76,7 @@
 
 enum Occurrence {
     Deliver(Message),
-    SyncDone(usize, u64, Ticket),
+    SyncDone(usize, u64, SyncId),
     Timer(usize, u64),
     Inject(usize, Fault),
     InjectCell(usize, Fault),
@@ -85,7 +85,7 @@
     Uncut(usize),
     Normal,
     KillLeader,
-    HandOver,
+    TransferLeadership,
     Client,
     Upkeep(u8),
     Heal,
@@ -189,9 +189,9 @@
         if self.plan.kill_leader {
             self.after(4 * SECOND, Occurrence::KillLeader);
         }
-        for _ in 0..self.plan.hand_overs {
+        for _ in 0..self.plan.leadership_transfers {
             let at = self.rng.random_range(2 * SECOND..6 * SECOND);
-            self.after(at, Occurrence::HandOver);
+            self.after(at, Occurrence::TransferLeadership);
         }
         for node in 0..self.nodes.len() {
             let at = self.rng.random_range(0..100 * MILLI);
@@ -260,7 +260,9 @@
     fn handle(&mut self, occurrence: Occurrence) -> Result<(), Violation> {
         match occurrence {
             Occurrence::Deliver(message) => self.deliver(message)?,
-            Occurrence::SyncDone(node, life, ticket) => self.sync_done(node, life, ticket)?,
+            Occurrence::SyncDone(node, incarnation, sync_id) => {
+                self.sync_done(node, incarnation, sync_id)?;
+            }
             Occurrence::Timer(node, generation) if self.nodes[node].timer == generation => {
                 self.step(node, Event::Tick)?;
             }
@@ -277,7 +279,7 @@
             }
             Occurrence::Normal => self.conditions = NORMAL,
             Occurrence::KillLeader => self.kill_leader(),
-            Occurrence::HandOver => self.hand_over()?,
+            Occurrence::TransferLeadership => self.transfer_leadership()?,
             Occurrence::Client => self.client()?,
             Occurrence::Upkeep(stage) => self.upkeep(stage)?,
             Occurrence::Heal => self.heal()?,
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cleat_quorum::{
-    Core, Entry, Event, GENESIS_INDEX, HardState, Image, LogIndex, MemberId, Recovery, Ticket,
+    BOOTSTRAP_INDEX, Core, Entry, Event, HardState, LogIndex, MemberId, Recovery, Snapshot, SyncId,
     Write,
 };
 use rand::RngExt;
@@ -20,21 +20,22 @@
 pub(super) struct Disk {
     pub(super) identity: Option<u64>,
     pub(super) hard_state: HardState,
-    pub(super) image: Option<Arc<Image>>,
+    pub(super) snapshot: Option<Arc<Snapshot>>,
     pub(super) entries: Vec<Entry>,
     /// Writes that are not synced.
     pub(super) pending: VecDeque<Write>,
     /// How many pending writes each sync under way covers.
-    syncs: VecDeque<(Ticket, usize)>,
+    syncs: VecDeque<(SyncId, usize)>,
     /// When the sync under way ends, and when the one after it.
     busy_until: Micros,
     next_ends: Micros,
 }
 
 impl Disk {
-    pub(super) fn mark_sync(&mut self, ticket: Ticket) {
+    pub(super) fn mark_sync(&mut self, sync_id: SyncId) {
         let earlier: usize = self.syncs.iter().map(|(_, count)| count).sum();
-        self.syncs.push_back((ticket, self.pending.len() - earlier));
+        self.syncs
+            .push_back((sync_id, self.pending.len() - earlier));
     }
 
     /// When a sync asked for now ends: all that wait for the disk share one.
@@ -51,8 +52,8 @@
         self.next_ends
     }
 
-    pub(super) fn finish_sync(&mut self, ticket: Ticket) {
-        while let Some((_, count)) = self.syncs.pop_front_if(|(t, _)| *t <= ticket) {
+    pub(super) fn finish_sync(&mut self, sync_id: SyncId) {
+        while let Some((_, count)) = self.syncs.pop_front_if(|(t, _)| *t <= sync_id) {
             self.persist(count);
         }
     }
@@ -70,9 +71,9 @@
             Write::Append(entries) => self.entries.extend(entries),
             Write::TruncateFrom(index) => self.entries.retain(|entry| entry.index < index),
             Write::HardState(hard_state) => self.hard_state = hard_state,
-            Write::Snapshot(image) => {
-                self.entries.retain(|entry| entry.index > image.index);
-                self.image = Some(image);
+            Write::Snapshot(snapshot) => {
+                self.entries.retain(|entry| entry.index > snapshot.index);
+                self.snapshot = Some(snapshot);
             }
         }
     }
@@ -83,7 +84,7 @@
     pub(super) votes: bool,
     pub(super) core: Option<Core>,
     pub(super) disk: Disk,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) timer: u64,
     pub(super) frozen: bool,
     pub(super) backlog: Vec<Event>,
@@ -105,7 +106,7 @@
             votes,
             core: None,
             disk: Disk::default(),
-            life: 0,
+            incarnation: 0,
             timer: 0,
             frozen: false,
             backlog: Vec::new(),
@@ -130,32 +131,36 @@
         micros.saturating_sub(self.offset) * RATE_UNIT / self.rate + 1
     }
 
-    /// Begins a life with what is on the disk; a learner has none.
+    /// Begins a incarnation with what is on the disk; a learner has none.
     pub(super) fn start(&mut self, new_identity: u64) -> Recovery {
         if !self.votes {
             self.disk = Disk::default();
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.machine = (0, 0);
         let identity = *self.disk.identity.get_or_insert(new_identity);
-        if let Some(image) = self
+        if let Some(snapshot) = self
             .disk
-            .image
+            .snapshot
             .clone()
-            .filter(|image| image.index > GENESIS_INDEX)
+            .filter(|snapshot| snapshot.index > BOOTSTRAP_INDEX)
         {
-            self.restore(&image.data);
+            self.restore(&snapshot.data);
         }
-        self.seen_commit = self.disk.image.as_ref().map_or(0, |image| image.index);
+        self.seen_commit = self
+            .disk
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.index);
         Recovery {
             identity,
             hard_state: self.disk.hard_state,
-            image: self.disk.image.clone(),
+            snapshot: self.disk.snapshot.clone(),
             entries: self.disk.entries.clone(),
         }
     }
 
-    /// Ends the life; some of the unsynced writes may be on the disk.
+    /// Ends the incarnation; some of the unsynced writes may be on the disk.
     pub(super) fn kill(&mut self, rng: &mut StdRng) {
         if self.core.take().is_some() {
             let kept = rng.random_range(0..=self.disk.pending.len());
--- a/crates/cleat-quorum/tests/simulation/upkeep.rs
+++ b/crates/cleat-quorum/tests/simulation/upkeep.rs
@@ -30,7 +30,7 @@
             }
             1 => {
                 self.after(100 * MILLI, Occurrence::Inject(last, Fault::Kill));
-                return self.step(last, Event::Release);
+                return self.step(last, Event::ReleaseLease);
             }
             _ => {}
         }
@@ -54,18 +54,21 @@
             .collect();
     }
 
-    pub(super) fn hand_over(&mut self) -> Result<(), Violation> {
+    pub(super) fn transfer_leadership(&mut self) -> Result<(), Violation> {
         let Some(leader) = self.certain_leader() else {
             return Ok(());
         };
         self.handed_over = Some((self.now, leader));
-        self.step(leader, Event::HandOver)
+        self.step(leader, Event::TransferLeadership)
     }
 
     /// The leader that may be sure of its lead, and of all that is committed.
     fn certain_leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
-            let until = node.core.as_ref().and_then(|c| c.status().leads_until);
+            let until = node
+                .core
+                .as_ref()
+                .and_then(|c| c.status().leader_lease_until);
             !node.frozen && until.is_some_and(|until| node.local(self.now) < until)
         })
     }
@@ -101,9 +104,9 @@
         let mut config = CoreConfig::new(self.nodes[at].id, members.collect(), seed);
         config.protections = self.plan.protections;
         config.limits = Limits {
-            compact_after: 30,
-            keep_entries: 10,
-            max_batch: 80,
+            compact_after_entries: 30,
+            retained_entries: 10,
+            max_batch_bytes: 80,
             ..Limits::default()
         };
         let identity = self.rng.random();
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use cleat_quorum::{
-    Append, Body, Entry, GENESIS_INDEX, HardState, Limits, Machine, MemberConfig, MemberId,
-    Message, Payload, Recovery, Replica, ReplicaConfig, RestoreError, Store, StoreError, Transport,
-    VoteRequest, Write,
+    Append, BOOTSTRAP_INDEX, Body, Entry, HardState, Limits, MemberConfig, MemberId, Message,
+    Payload, Recovery, Replica, ReplicaConfig, RestoreError, StateMachine, Store, StoreError,
+    Transport, VoteRequest, Write,
 };
 use recovery::{GROUP, identity, recover};
 use tokio::time::{sleep, timeout};
@@ -19,7 +19,7 @@
 
 struct Nothing;
 
-impl Machine for Nothing {
+impl StateMachine for Nothing {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         Box::default()
     }
@@ -56,20 +56,20 @@
     }
 }
 
-fn follower(compact_after: u64) -> (ReplicaConfig, Recovery) {
+fn follower(compact_after_entries: u64) -> (ReplicaConfig, Recovery) {
     let members = (0..3).map(|id| MemberConfig {
         id: MemberId(id),
         votes: true,
     });
     let limits = Limits {
-        compact_after,
+        compact_after_entries,
         ..Limits::default()
     };
     let cfg = ReplicaConfig::new(MemberId(1), members.collect(), 1).with_limits(limits);
     let mut recovery = Recovery {
         identity: identity(1),
         hard_state: HardState::default(),
-        image: None,
+        snapshot: None,
         entries: Vec::new(),
     };
     recover(&mut recovery, 3, TERM, &[]);
@@ -96,7 +96,7 @@
     let append = Append {
         round: index,
         prev_index: index,
-        prev_term: if index == GENESIS_INDEX { 0 } else { TERM },
+        prev_term: if index == BOOTSTRAP_INDEX { 0 } else { TERM },
         commit: index,
         echo: None,
         entries: vec![entry],
@@ -111,9 +111,9 @@
     let (cfg, recovery) = follower(1);
     let (allow, gate) = mpsc::channel();
     let sent = Sent::default();
-    let replica = Replica::spawn_on(cfg, recovery, Gated(gate), sent.clone(), Nothing);
+    let replica = Replica::spawn_with_store(cfg, recovery, Gated(gate), sent.clone(), Nothing);
     let replica = replica.expect("the replica starts");
-    for index in GENESIS_INDEX..GENESIS_INDEX + 3 {
+    for index in BOOTSTRAP_INDEX..BOOTSTRAP_INDEX + 3 {
         replica.deliver(append(index));
         let applied = replica.wait_applied(index, LIMIT).await;
         applied.expect("what is committed is applied");
@@ -125,7 +125,7 @@
         let req = VoteRequest {
             pre: true,
             transfer: false,
-            last_index: GENESIS_INDEX + 3,
+            last_index: BOOTSTRAP_INDEX + 3,
             last_term: TERM,
             voter_identity: identity(1),
         };
