--- a/crates/cleat-maintain/examples/waves.rs
+++ b/crates/cleat-maintain/examples/waves.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use cleat_maintain::{Action, Effect, Event, Reconciler, Report, Token};
+use cleat_maintain::{Action, ActionState, ActionToken, Effect, Event, Reconciler};
 use cleat_world::{
     Announce, Announcement, ApplyConfig, Command, CommandBody, ProposedConfig, StartWave, Step,
     World,
@@ -87,7 +87,7 @@
     index: u64,
     leader: Reconciler,
     /// When each effect began.
-    begun: IndexMap<Token, u64>,
+    begun: IndexMap<ActionToken, u64>,
     sizes: Vec<usize>,
 }
 
@@ -107,7 +107,7 @@
         let start = Instant::now();
         for second in 0..1_000 {
             let now = Duration::from_secs(second);
-            run.leader.on(Event::Tick, &run.world, now);
+            run.leader.handle(Event::Tick, &run.world, now);
         }
         start.elapsed() / 1_000
     }
@@ -157,7 +157,7 @@
     fn decide(&mut self, found: &mut Found) {
         let now = Duration::from_secs(found.seconds);
         let start = Instant::now();
-        let effects = self.leader.on(Event::Tick, &self.world, now);
+        let effects = self.leader.handle(Event::Tick, &self.world, now);
         let took = start.elapsed();
         found.deciding += took;
         found.slowest = found.slowest.max(took);
@@ -169,23 +169,23 @@
                     continue;
                 }
                 Effect::AwaitInForce { index } => Event::InForce { index },
-                Effect::Act(token) => self.act(token, found.seconds),
+                Effect::RunAction(token) => self.run_action(token, found.seconds),
             };
-            self.leader.on(event, &self.world, now);
+            self.leader.handle(event, &self.world, now);
         }
     }
 
-    fn act(&mut self, token: Token, second: u64) -> Event {
+    fn run_action(&mut self, token: ActionToken, second: u64) -> Event {
         let time = match token.action {
             Action::Drain => DRAIN_S,
             Action::Reboot => REBOOT_S,
         };
         let begun = *self.begun.entry(token.clone()).or_insert(second);
-        let report = match second >= begun + time {
-            true => Report::Done,
-            false => Report::Running,
+        let state = match second >= begun + time {
+            true => ActionState::Done,
+            false => ActionState::Running,
         };
-        Event::Reported { token, report }
+        Event::Reported { token, state }
     }
 
     fn measure(&self, found: &mut Found) {
--- a/crates/cleat-maintain/src/plan/mod.rs
+++ b/crates/cleat-maintain/src/plan/mod.rs
@@ -4,9 +4,9 @@
 mod order;
 mod reconciler;
 mod steps;
-mod waiting;
+mod wait_reason;
 mod watch;
 
 pub use order::next_instance;
 pub use reconciler::{Effect, Event, Reconciler};
-pub use waiting::{Waiting, waiting};
+pub use wait_reason::{WaitReason, wait_reason};
--- a/crates/cleat-maintain/src/plan/order.rs
+++ b/crates/cleat-maintain/src/plan/order.rs
@@ -3,7 +3,7 @@
 use cleat_world::{Instance, Phase, Step, Wave, World};
 use indexmap::IndexMap;
 
-use super::Waiting;
+use super::WaitReason;
 
 /// The instance that the wave of `pool` takes next.
 ///
@@ -14,15 +14,15 @@
 ///
 /// # Errors
 /// What the wave waits for.
-pub fn next_instance<'a>(world: &'a World, pool: &str) -> Result<&'a str, Waiting> {
+pub fn next_instance<'a>(world: &'a World, pool: &str) -> Result<&'a str, WaitReason> {
     let Some(wave) = world.waves().get(pool) else {
         return Err(under_way(&[]));
     };
     if wave.paused {
-        return Err(Waiting::Paused);
+        return Err(WaitReason::Paused);
     }
     if world.fleet().platform.is_none() {
-        return Err(Waiting::NoPlatform);
+        return Err(WaitReason::NoPlatform);
     }
     let candidates = candidates(world, wave)?;
     // Whatever is away already costs nothing further.
@@ -38,7 +38,7 @@
 }
 
 /// The instances that were not begun and stay in the pool.
-fn candidates<'a>(world: &'a World, wave: &'a Wave) -> Result<Vec<&'a str>, Waiting> {
+fn candidates<'a>(world: &'a World, wave: &'a Wave) -> Result<Vec<&'a str>, WaitReason> {
     let of = |wanted: Step| {
         let states = wave.instances.iter();
         let found = states.filter(move |(_, state)| state.step == wanted);
@@ -59,21 +59,21 @@
         .collect();
     if active.is_empty() && !moving.is_empty() {
         let instances = moving.into_iter().map(Into::into).collect();
-        return Err(Waiting::Moving { instances });
+        return Err(WaitReason::Moving { instances });
     }
     Err(under_way(&active))
 }
 
-fn under_way(active: &[(Box<str>, Step)]) -> Waiting {
-    Waiting::UnderWay {
+fn under_way(active: &[(Box<str>, Step)]) -> WaitReason {
+    WaitReason::UnderWay {
         instances: active.into(),
     }
 }
 
 /// Whether one more instance may be away by choice.
-fn check_room(world: &World, pool: &str) -> Result<(), Waiting> {
+fn check_room(world: &World, pool: &str) -> Result<(), WaitReason> {
     let Some(found) = world.availability(pool).filter(|found| found.budget > 0) else {
-        return Err(Waiting::NoBudget);
+        return Err(WaitReason::NoBudget);
     };
     let names = || {
         let places = world.places_in(pool).map(|(name, _)| name);
@@ -81,7 +81,7 @@
         away.map(Into::into).collect()
     };
     if !found.has_room() {
-        return Err(Waiting::Budget {
+        return Err(WaitReason::Budget {
             budget: found.budget,
             away: names(),
         });
@@ -89,7 +89,7 @@
     let reserve = worst_rack(world, pool).min(found.budget - 1);
     let allowed = found.budget - reserve;
     if found.away >= allowed {
-        return Err(Waiting::Reserve {
+        return Err(WaitReason::Reserve {
             allowed,
             away: names(),
         });
--- a/crates/cleat-maintain/src/plan/reconciler.rs
+++ b/crates/cleat-maintain/src/plan/reconciler.rs
@@ -6,7 +6,7 @@
 
 use super::watch::Watches;
 use super::{moves, next_instance, steps};
-use crate::{Report, Token};
+use crate::{ActionState, ActionToken};
 
 /// Something that happened.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -22,9 +22,9 @@
     /// The platform reported on an effect.
     Reported {
         /// The effect.
-        token: Token,
+        token: ActionToken,
         /// How far it is.
-        report: Report,
+        state: ActionState,
     },
 }
 
@@ -39,12 +39,12 @@
         index: u64,
     },
     /// Have the platform carry out an effect, and say how far it is.
-    Act(Token),
+    RunAction(ActionToken),
 }
 
 /// The decisions of one leader about moves and waves.
 ///
-/// Invariant: an [`Effect::Act`] is given only for a step that is in the
+/// Invariant: an [`Effect::RunAction`] is given only for a step that is in the
 /// replicated state already.
 #[derive(Debug, Default)]
 pub struct Reconciler {
@@ -57,13 +57,13 @@
     ///
     /// Only [`Event::Tick`] looks at the whole state; the others are kept for
     /// it, since hundreds of them may come between two ticks.
-    pub fn on(&mut self, event: Event, world: &World, now: Duration) -> Vec<Effect> {
+    pub fn handle(&mut self, event: Event, world: &World, now: Duration) -> Vec<Effect> {
         match event {
             Event::Tick => return self.plan(world, now),
-            Event::InForce { index } => self.watches.note_in_force(index, now),
-            Event::Reported { token, report } => {
+            Event::InForce { index } => self.watches.record_in_force(index, now),
+            Event::Reported { token, state } => {
                 self.watches
-                    .note_report(&token.instance, token.epoch, report);
+                    .record_action_state(&token.instance, token.epoch, state);
             }
         }
         Vec::new()
--- a/crates/cleat-maintain/src/plan/steps.rs
+++ b/crates/cleat-maintain/src/plan/steps.rs
@@ -7,7 +7,7 @@
 use super::Effect;
 use super::moves::longest_request;
 use super::watch::Watch;
-use crate::{Action, Report, Token};
+use crate::{Action, ActionState, ActionToken};
 
 /// One instance under maintenance.
 pub(super) struct Context<'a> {
@@ -44,21 +44,21 @@
         return Next::Do(Effect::AwaitInForce { index });
     };
     let quiet_at = in_force_at + longest_request(cx.world, cx.pool);
-    match watch.report {
-        Some(Report::Done) if cx.now >= quiet_at => Next::Enter(Step::Rebooting),
-        Some(Report::Done) => Next::Nothing,
-        Some(Report::Failed) => Next::Enter(Step::Failed),
+    match watch.action_state {
+        Some(ActionState::Done) if cx.now >= quiet_at => Next::Enter(Step::Rebooting),
+        Some(ActionState::Done) => Next::Nothing,
+        Some(ActionState::Failed) => Next::Enter(Step::Failed),
         _ if cx.now >= quiet_at + seconds(cx.terms().drain_s) => Next::Enter(Step::Failed),
-        _ => cx.act(Action::Drain),
+        _ => cx.run_action(Action::Drain),
     }
 }
 
 fn rebooting(cx: &Context<'_>, watch: &Watch) -> Next {
-    match watch.report {
-        Some(Report::Done) => Next::Enter(Step::Probation),
-        Some(Report::Failed) => Next::Enter(Step::Failed),
+    match watch.action_state {
+        Some(ActionState::Done) => Next::Enter(Step::Probation),
+        Some(ActionState::Failed) => Next::Enter(Step::Failed),
         _ if cx.now >= watch.since + seconds(cx.terms().reboot_s) => Next::Enter(Step::Failed),
-        _ => cx.act(Action::Reboot),
+        _ => cx.run_action(Action::Reboot),
     }
 }
 
@@ -113,8 +113,8 @@
         pool.map(|pool| pool.maintenance).unwrap_or_default()
     }
 
-    fn act(&self, action: Action) -> Next {
-        Next::Do(Effect::Act(Token {
+    fn run_action(&self, action: Action) -> Next {
+        Next::Do(Effect::RunAction(ActionToken {
             instance: self.instance.into(),
             action,
             epoch: self.epoch,
--- a/crates/cleat-maintain/src/plan/waiting.rs
+++ b/crates/cleat-maintain/src/plan/wait_reason.rs
@@ -8,7 +8,7 @@
 /// Why a wave takes no further instance now.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "kebab-case")]
-pub enum Waiting {
+pub enum WaitReason {
     /// An operator paused it. Resume it.
     Paused,
     /// The pool's budget allows no instance away. Allow at least one.
@@ -44,7 +44,7 @@
 
 /// What the wave of `pool` waits for; `None` if there is none under way or it
 /// takes an instance now.
-pub fn waiting(world: &World, pool: &str) -> Option<Waiting> {
+pub fn wait_reason(world: &World, pool: &str) -> Option<WaitReason> {
     let wave = world.waves().get(pool)?;
     if wave.has_ended() {
         return None;
--- a/crates/cleat-maintain/src/plan/watch.rs
+++ b/crates/cleat-maintain/src/plan/watch.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::Report;
+use crate::ActionState;
 
 /// One instance in one step or phase. Times are this leader's own, so a new
 /// leader waits anew: longer than needed, never shorter.
@@ -15,7 +15,7 @@
     /// When it was first known to be in force wherever requests are taken.
     pub(super) in_force_at: Option<Duration>,
     /// What the platform last said of its effect.
-    pub(super) report: Option<Report>,
+    pub(super) action_state: Option<ActionState>,
     /// Since when a target has been announced without a break.
     pub(super) serving_since: Option<Duration>,
 }
@@ -33,7 +33,7 @@
         let new = Watch {
             since: now,
             in_force_at: None,
-            report: None,
+            action_state: None,
             serving_since: None,
         };
         let key = (instance.into(), epoch);
@@ -41,7 +41,7 @@
     }
 
     /// Everything up to `index` is in force.
-    pub(super) fn note_in_force(&mut self, index: u64, now: Duration) {
+    pub(super) fn record_in_force(&mut self, index: u64, now: Duration) {
         let all = self.by_epoch.iter_mut();
         for (_, watch) in all.filter(|((_, epoch), _)| *epoch <= index) {
             watch.in_force_at.get_or_insert(now);
@@ -49,9 +49,9 @@
     }
 
     /// The platform's report on an effect; a late one is ignored.
-    pub(super) fn note_report(&mut self, instance: &str, epoch: u64, report: Report) {
+    pub(super) fn record_action_state(&mut self, instance: &str, epoch: u64, state: ActionState) {
         if let Some(watch) = self.by_epoch.get_mut(&(instance.into(), epoch)) {
-            watch.report = Some(report);
+            watch.action_state = Some(state);
         }
     }
 
--- a/crates/cleat-maintain/src/platform/client.rs
+++ b/crates/cleat-maintain/src/platform/client.rs
@@ -18,7 +18,7 @@
 use super::types::{
     ConnectSnafu, ExchangeSnafu, JsonSnafu, RefusedSnafu, RequestSnafu, TimeoutSnafu,
 };
-use super::{Action, Platform, PlatformError, Report, Token};
+use super::{Action, ActionState, ActionToken, Platform, PlatformError};
 
 /// How long one exchange may take.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
@@ -29,11 +29,16 @@
 
 #[derive(Debug, Deserialize)]
 struct ReportBody {
-    state: Report,
+    state: ActionState,
 }
 
 impl Platform for HttpPlatform {
-    async fn act(&self, at: SocketAddr, token: &Token, term: u64) -> Result<Report, PlatformError> {
+    async fn run_action(
+        &self,
+        at: SocketAddr,
+        token: &ActionToken,
+        term: u64,
+    ) -> Result<ActionState, PlatformError> {
         let exchange = timeout(CALL_LIMIT, exchange(at, token, term)).await;
         exchange.unwrap_or_else(|_| {
             let (address, limit) = (at, CALL_LIMIT);
@@ -42,7 +47,11 @@
     }
 }
 
-async fn exchange(address: SocketAddr, token: &Token, term: u64) -> Result<Report, PlatformError> {
+async fn exchange(
+    address: SocketAddr,
+    token: &ActionToken,
+    term: u64,
+) -> Result<ActionState, PlatformError> {
     let req = request(address, token, term).context(RequestSnafu)?;
     let stream = TcpStream::connect(address).await;
     let stream = stream.context(ConnectSnafu { address })?;
@@ -64,13 +73,13 @@
     );
     let body = answer.into_body().collect().await;
     let body = body.context(ExchangeSnafu { address })?.to_bytes();
-    let report: ReportBody = serde_json::from_slice(&body).context(JsonSnafu { address })?;
-    Ok(report.state)
+    let body: ReportBody = serde_json::from_slice(&body).context(JsonSnafu { address })?;
+    Ok(body.state)
 }
 
 fn request(
     address: SocketAddr,
-    token: &Token,
+    token: &ActionToken,
     term: u64,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let action = match token.action {
--- a/crates/cleat-maintain/src/platform/mod.rs
+++ b/crates/cleat-maintain/src/platform/mod.rs
@@ -4,4 +4,4 @@
 mod types;
 
 pub use client::HttpPlatform;
-pub use types::{Action, Platform, PlatformError, Report, Token};
+pub use types::{Action, ActionState, ActionToken, Platform, PlatformError};
--- a/crates/cleat-maintain/src/platform/types.rs
+++ b/crates/cleat-maintain/src/platform/types.rs
@@ -21,7 +21,7 @@
 /// The identity of one effect. The same token any number of times has the
 /// effect once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Token {
+pub struct ActionToken {
     /// The instance.
     pub instance: Box<str>,
     /// What is done to it.
@@ -31,7 +31,7 @@
     pub epoch: u64,
 }
 
-impl fmt::Display for Token {
+impl fmt::Display for ActionToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let action = match self.action {
             Action::Drain => "drain",
@@ -44,7 +44,7 @@
 /// How far an effect is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Report {
+pub enum ActionState {
     /// It has begun.
     Running,
     /// It is complete.
@@ -110,10 +110,10 @@
 pub trait Platform: Send + Sync + 'static {
     /// Begins the effect of `token`, or reports how far it is. `term` is the
     /// asking leader's; the platform refuses an earlier one than it has seen.
-    fn act(
+    fn run_action(
         &self,
         at: SocketAddr,
-        token: &Token,
+        token: &ActionToken,
         term: u64,
-    ) -> impl Future<Output = Result<Report, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<ActionState, PlatformError>> + Send;
 }
--- a/crates/cleat-maintain/src/run.rs
+++ b/crates/cleat-maintain/src/run.rs
@@ -23,10 +23,10 @@
 /// anew from the state.
 #[derive(Debug, Snafu)]
 #[snafu(display("this instance does not lead any more, or reaches no quorum"))]
-pub struct ControlLost;
+pub struct LeadershipLost;
 
 /// The replicated state and log as this instance has them.
-pub trait Control: Send + Sync + 'static {
+pub trait ReplicatedState: Send + Sync + 'static {
     /// The term in which this instance leads, while it certainly does.
     fn leading_term(&self) -> Option<u64>;
 
@@ -34,14 +34,15 @@
     fn world<R>(&self, read: impl FnOnce(&World) -> R) -> R;
 
     /// Proposes a command here and waits until it is applied.
-    fn propose(&self, body: CommandBody) -> impl Future<Output = Result<(), ControlLost>> + Send;
+    fn propose(&self, body: CommandBody)
+    -> impl Future<Output = Result<(), LeadershipLost>> + Send;
 
     /// Waits until `index` is in force wherever requests are taken.
-    fn wait_in_force(&self, index: u64) -> impl Future<Output = Result<(), ControlLost>> + Send;
+    fn wait_in_force(&self, index: u64) -> impl Future<Output = Result<(), LeadershipLost>> + Send;
 }
 
 /// Takes moves and waves on while this instance leads; never returns.
-pub async fn run<C: Control, P: Platform>(control: Arc<C>, platform: Arc<P>) {
+pub async fn run<C: ReplicatedState, P: Platform>(control: Arc<C>, platform: Arc<P>) {
     let mut shell = Shell::new(control, platform);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -74,7 +75,7 @@
     ticks: usize,
 }
 
-impl<C: Control, P: Platform> Shell<C, P> {
+impl<C: ReplicatedState, P: Platform> Shell<C, P> {
     fn new(control: Arc<C>, platform: Arc<P>) -> Shell<C, P> {
         Shell {
             control,
@@ -105,7 +106,9 @@
         }
         let now = self.started.elapsed();
         let reconciler = &mut self.reconciler;
-        let effects = self.control.world(|world| reconciler.on(event, world, now));
+        let effects = self
+            .control
+            .world(|world| reconciler.handle(event, world, now));
         if !effects.is_empty() {
             self.queued = effects.into();
             // Whoever comes late in the order is not always served last.
@@ -165,7 +168,7 @@
     }
 }
 
-async fn perform<C: Control, P: Platform>(
+async fn perform<C: ReplicatedState, P: Platform>(
     control: &C,
     platform: &P,
     effect: &Effect,
@@ -182,12 +185,12 @@
             let waited = control.wait_in_force(*index).await;
             waited.ok().map(|()| Event::InForce { index: *index })
         }
-        Effect::Act(token) => {
+        Effect::RunAction(token) => {
             let at = control.world(|world| world.fleet().platform)?;
-            match platform.act(at, token, term).await {
-                Ok(report) => {
+            match platform.run_action(at, token, term).await {
+                Ok(state) => {
                     let token = token.clone();
-                    Some(Event::Reported { token, report })
+                    Some(Event::Reported { token, state })
                 }
                 Err(error) => {
                     warn!("{token}: {error}");
--- a/crates/cleat-maintain/tests/decisions.rs
+++ b/crates/cleat-maintain/tests/decisions.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use cleat_maintain::{Effect, Event, Reconciler, Report, Waiting, next_instance, waiting};
+use cleat_maintain::{
+    ActionState, Effect, Event, Reconciler, WaitReason, next_instance, wait_reason,
+};
 use cleat_world::{CommandBody, Step, StepInstance, World};
 use support::Sim;
 
@@ -63,19 +65,19 @@
 fn waiting_names_what_is_away() {
     let mut sim = fleet(1);
     walk(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
-    let budget = Waiting::Budget {
+    let budget = WaitReason::Budget {
         budget: 1,
         away: ["i0".into()].into(),
     };
-    assert_eq!(waiting(&sim.world, "a"), Some(budget));
+    assert_eq!(wait_reason(&sim.world, "a"), Some(budget));
     let mut sim = fleet(3);
     walk(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
-    let reserve = Waiting::Reserve {
+    let reserve = WaitReason::Reserve {
         allowed: 1,
         away: ["i0".into()].into(),
     };
-    assert_eq!(waiting(&sim.world, "a"), Some(reserve));
-    assert_eq!(waiting(&sim.world, "b"), None);
+    assert_eq!(wait_reason(&sim.world, "a"), Some(reserve));
+    assert_eq!(wait_reason(&sim.world, "b"), None);
 }
 
 #[test]
@@ -90,7 +92,7 @@
     walk(&mut sim, "i0", &to_probation);
     let mut leader = Reconciler::default();
     let mut at = |world: &World, s: u64| {
-        let effects = leader.on(Event::Tick, world, Duration::from_secs(s));
+        let effects = leader.handle(Event::Tick, world, Duration::from_secs(s));
         step_in(&effects, "i0")
     };
     sim.second();
@@ -117,17 +119,17 @@
     let drained = |leader: &mut Reconciler, s: u64| {
         let now = Duration::from_secs(s);
         let in_force = Event::InForce { index: epoch };
-        leader.on(in_force, &sim.world, now);
-        let effects = leader.on(Event::Tick, &sim.world, now);
+        leader.handle(in_force, &sim.world, now);
+        let effects = leader.handle(Event::Tick, &sim.world, now);
         for effect in effects {
-            if let Effect::Act(token) = effect {
-                let report = Report::Done;
-                leader.on(Event::Reported { token, report }, &sim.world, now);
+            if let Effect::RunAction(token) = effect {
+                let state = ActionState::Done;
+                leader.handle(Event::Reported { token, state }, &sim.world, now);
             }
         }
     };
     let goes_on = |leader: &mut Reconciler, s: u64| {
-        let effects = leader.on(Event::Tick, &sim.world, Duration::from_secs(s));
+        let effects = leader.handle(Event::Tick, &sim.world, Duration::from_secs(s));
         step_in(&effects, "i0")
     };
     let mut first = Reconciler::default();
--- a/crates/cleat-maintain/tests/shell.rs
+++ b/crates/cleat-maintain/tests/run.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use cleat_maintain::{Control, ControlLost, Platform, PlatformError, Report, Token, run};
+use cleat_maintain::{
+    ActionState, ActionToken, LeadershipLost, Platform, PlatformError, ReplicatedState, run,
+};
 use cleat_world::{ApplyConfig, Command, CommandBody, ProposedConfig, StartWave, World};
 use serde_json::{Map, json};
 use tokio::time::sleep;
@@ -37,7 +39,7 @@
     }
 }
 
-impl Control for Replica {
+impl ReplicatedState for Replica {
     fn leading_term(&self) -> Option<u64> {
         Some(self.term.load(Ordering::SeqCst)).filter(|term| *term > 0)
     }
@@ -46,12 +48,12 @@
         read(&self.world.lock().expect("no panic"))
     }
 
-    async fn propose(&self, body: CommandBody) -> Result<(), ControlLost> {
+    async fn propose(&self, body: CommandBody) -> Result<(), LeadershipLost> {
         self.apply(body);
         Ok(())
     }
 
-    async fn wait_in_force(&self, _: u64) -> Result<(), ControlLost> {
+    async fn wait_in_force(&self, _: u64) -> Result<(), LeadershipLost> {
         Ok(())
     }
 }
@@ -60,13 +62,13 @@
 #[derive(Default)]
 struct Hanging {
     asked: AtomicU64,
-    in_progress: Mutex<Vec<Token>>,
+    in_progress: Mutex<Vec<ActionToken>>,
     /// How often it was asked for what it was asked for already.
     twice: AtomicU64,
 }
 
 impl Hanging {
-    fn begin(&self, token: &Token) {
+    fn begin(&self, token: &ActionToken) {
         let mut in_progress = self.in_progress.lock().expect("no panic");
         if in_progress.contains(token) {
             self.twice.fetch_add(1, Ordering::SeqCst);
@@ -74,18 +76,23 @@
         in_progress.push(token.clone());
     }
 
-    fn end(&self, token: &Token) {
+    fn end(&self, token: &ActionToken) {
         let mut in_progress = self.in_progress.lock().expect("no panic");
         in_progress.retain(|other| other != token);
     }
 }
 
 impl Platform for Hanging {
-    async fn act(&self, at: SocketAddr, token: &Token, _: u64) -> Result<Report, PlatformError> {
+    async fn run_action(
+        &self,
+        at: SocketAddr,
+        token: &ActionToken,
+        _: u64,
+    ) -> Result<ActionState, PlatformError> {
         self.asked.fetch_add(1, Ordering::SeqCst);
         let pool: usize = token.instance[1..].parse().expect("a number");
         if pool >= HANGING {
-            return Ok(Report::Done);
+            return Ok(ActionState::Done);
         }
         self.begin(token);
         sleep(HANGS).await;
--- a/crates/cleat-maintain/tests/support/checks.rs
+++ b/crates/cleat-maintain/tests/support/checks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cleat_maintain::{Action, Token};
+use cleat_maintain::{Action, ActionToken};
 use cleat_world::{Availability, CommandBody, Phase, Place, Step, World};
 use indexmap::IndexMap;
 
@@ -90,7 +90,7 @@
     }
 
     /// An effect on the platform begins.
-    pub(crate) fn effect(&self, token: &Token, world: &World, now: Duration) {
+    pub(crate) fn effect(&self, token: &ActionToken, world: &World, now: Duration) {
         let place = &world.places()[&token.instance];
         let states = world.waves().get(&place.pool);
         let state = states.and_then(|wave| wave.instances.get(&token.instance));
--- a/crates/cleat-maintain/tests/support/platform.rs
+++ b/crates/cleat-maintain/tests/support/platform.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cleat_maintain::{Action, Report, Token};
+use cleat_maintain::{Action, ActionState, ActionToken};
 use indexmap::IndexMap;
 
 const DRAIN_TIME: Duration = Duration::from_secs(2);
@@ -11,26 +11,26 @@
 #[derive(Default)]
 pub(crate) struct FakePlatform {
     /// When the effect of each token began.
-    begun: IndexMap<Token, Duration>,
+    begun: IndexMap<ActionToken, Duration>,
     /// Instances that never come back from a reboot.
     pub(crate) broken: Vec<Box<str>>,
 }
 
 impl FakePlatform {
     /// Takes a request; says whether its effect began just now.
-    pub(crate) fn act(&mut self, token: &Token, now: Duration) -> (Report, bool) {
+    pub(crate) fn run_action(&mut self, token: &ActionToken, now: Duration) -> (ActionState, bool) {
         let new = !self.begun.contains_key(token);
         let begun = *self.begun.entry(token.clone()).or_insert(now);
         let time = match token.action {
             Action::Drain => DRAIN_TIME,
             Action::Reboot => REBOOT_TIME,
         };
-        let report = match now >= begun + time {
-            true if self.broken.contains(&token.instance) => Report::Failed,
-            true => Report::Done,
-            false => Report::Running,
+        let state = match now >= begun + time {
+            true if self.broken.contains(&token.instance) => ActionState::Failed,
+            true => ActionState::Done,
+            false => ActionState::Running,
         };
-        (report, new)
+        (state, new)
     }
 
     /// Whether the instance is down for a reboot.
--- a/crates/cleat-maintain/tests/support/sim.rs
+++ b/crates/cleat-maintain/tests/support/sim.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cleat_maintain::{Effect, Event, Reconciler, Token};
+use cleat_maintain::{ActionToken, Effect, Event, Reconciler};
 use cleat_world::{
     Announce, Announcement, ApplyConfig, Command, CommandBody, MoveInstance, PauseWave,
     ProposedConfig, ResumeWave, StartWave, Withdraw, WithdrawCause, World,
@@ -144,7 +144,7 @@
                 return;
             }
         }
-        let waiting = POOLS.map(|pool| cleat_maintain::waiting(&self.world, pool));
+        let waiting = POOLS.map(|pool| cleat_maintain::wait_reason(&self.world, pool));
         panic!("not settled: {waiting:?}, {:?}", self.world.places());
     }
 
@@ -188,7 +188,7 @@
     }
 
     fn lead(&mut self, event: Event) {
-        let effects = self.leader.on(event, &self.world, self.now);
+        let effects = self.leader.handle(event, &self.world, self.now);
         for effect in effects {
             if self.strikes(Fault::Delayed) {
                 let arrives = self.now + Duration::from_secs(self.rng.random_range(1..8));
@@ -201,10 +201,10 @@
                 Effect::AwaitInForce { index } => {
                     if self.rng.random_ratio(1, 2) {
                         let event = Event::InForce { index };
-                        self.leader.on(event, &self.world, self.now);
+                        self.leader.handle(event, &self.world, self.now);
                     }
                 }
-                Effect::Act(token) => self.act(token),
+                Effect::RunAction(token) => self.run_action(token),
             }
         }
     }
@@ -222,29 +222,29 @@
         }
     }
 
-    fn act(&mut self, token: Token) {
+    fn run_action(&mut self, token: ActionToken) {
         if self.strikes(Fault::KilledBeforeEffect) {
             return self.change_leader();
         }
         if self.strikes(Fault::Duplicate) {
             self.reach_platform(&token);
         }
-        let report = self.reach_platform(&token);
+        let state = self.reach_platform(&token);
         if self.strikes(Fault::KilledAfterEffect) {
             return self.change_leader();
         }
         if !self.strikes(Fault::AnswerLost) {
-            let event = Event::Reported { token, report };
-            self.leader.on(event, &self.world, self.now);
+            let event = Event::Reported { token, state };
+            self.leader.handle(event, &self.world, self.now);
         }
     }
 
-    fn reach_platform(&mut self, token: &Token) -> cleat_maintain::Report {
-        let (report, began) = self.platform.act(token, self.now);
+    fn reach_platform(&mut self, token: &ActionToken) -> cleat_maintain::ActionState {
+        let (state, began) = self.platform.run_action(token, self.now);
         if began {
             self.checks.effect(token, &self.world, self.now);
         }
-        report
+        state
     }
 
     fn arrive_late(&mut self) {
@@ -256,7 +256,7 @@
         for (_, effect) in arrived {
             match effect {
                 Effect::Propose(body) => self.apply(body),
-                Effect::Act(token) => {
+                Effect::RunAction(token) => {
                     self.reach_platform(&token);
                 }
                 Effect::AwaitInForce { .. } => {}
--- a/crates/cleat-maintain/tests/support/trace.rs
+++ b/crates/cleat-maintain/tests/support/trace.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cleat_maintain::waiting;
+use cleat_maintain::wait_reason;
 use cleat_world::{CommandBody, MoveInstance, PauseWave};
 use serde::{Deserialize, Serialize};
 
@@ -97,7 +97,7 @@
             let most = outcome.most_away.entry(pool.to_owned()).or_default();
             *most = found.away.max(*most);
         }
-        if let Some(reason) = waiting(&sim.world, pool) {
+        if let Some(reason) = wait_reason(&sim.world, pool) {
             let reason = serde_json::to_value(reason).expect("JSON");
             let reason = reason["reason"].as_str().expect("a reason").to_owned();
             if !outcome.waited_for.contains(&reason) {
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -2,12 +2,12 @@
 
 use cleat_quorum::BootTime;
 
-use cleat_maintain::{Control, ControlLost};
+use cleat_maintain::{LeadershipLost, ReplicatedState};
 use cleat_world::{CommandBody, World};
 
 use crate::node::Node;
 
-impl Control for Node {
+impl ReplicatedState for Node {
     fn leading_term(&self) -> Option<u64> {
         let status = self.replica.status();
         let leads = status.leads(BootTime::now());
@@ -18,13 +18,13 @@
         self.world.read(read)
     }
 
-    async fn propose(&self, body: CommandBody) -> Result<(), ControlLost> {
+    async fn propose(&self, body: CommandBody) -> Result<(), LeadershipLost> {
         let proposed = self.propose_here(body).await;
-        proposed.map(|_| ()).map_err(|_| ControlLost)
+        proposed.map(|_| ()).map_err(|_| LeadershipLost)
     }
 
-    async fn wait_in_force(&self, index: u64) -> Result<(), ControlLost> {
+    async fn wait_in_force(&self, index: u64) -> Result<(), LeadershipLost> {
         let waited = self.wait_in_force_here(index).await;
-        waited.map_err(|_| ControlLost)
+        waited.map_err(|_| LeadershipLost)
     }
 }
--- a/crates/cleat-operate/src/operators/maintenance.rs
+++ b/crates/cleat-operate/src/operators/maintenance.rs
@@ -1,7 +1,7 @@
 //! Maintenance waves: starting, pausing, resuming and showing them.
 
 use cleat_json::{Fault, Faults, Node};
-use cleat_maintain::{Waiting, waiting};
+use cleat_maintain::{WaitReason, wait_reason};
 use cleat_world::{
     Answer as CommandAnswer, CommandBody, PauseWave, ResumeWave, StartWave, Wave, WaveAnswer, World,
 };
@@ -51,7 +51,7 @@
     wave: u64,
     state: &'static str,
     /// Absent while an instance is taken, and once the wave has ended.
-    waiting_for: Option<Waiting>,
+    waiting_for: Option<WaitReason>,
     instances: Vec<InstanceBody<'a>>,
 }
 
@@ -155,7 +155,7 @@
             (false, true) => "paused",
             (false, false) => "running",
         },
-        waiting_for: waiting(world, pool),
+        waiting_for: wait_reason(world, pool),
         instances: instances.collect(),
     }
 }
