--- a/crates/cleat-decide/examples/decision_time.rs
+++ b/crates/cleat-decide/examples/decision_time.rs
@@ -6,7 +6,9 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use cleat_decide::{Arrival, Candidate, Gate, Ticket, choose, eject_slow, free_slots};
+use cleat_decide::{
+    AdmissionController, Arrival, Candidate, Ticket, choose_target, eject_slow_targets, free_slots,
+};
 use cleat_world::{FleetConfig, Service};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -39,9 +41,11 @@
     });
     report("eject_slow", |count| {
         let mut candidates = candidates(count, 0.7);
-        time(SLOW_ROUNDS, || eject_slow(black_box(&mut candidates)))
+        time(SLOW_ROUNDS, || {
+            eject_slow_targets(black_box(&mut candidates));
+        })
     });
-    report("arrive and slot_freed, queue kept full", time_gate);
+    report("arrive and slot_freed, queue kept full", time_admission);
     report("arrive refused, queue full", time_refusal);
 }
 
@@ -70,10 +74,10 @@
     let mut rng = StdRng::seed_from_u64(1);
     let candidate = |_| Candidate {
         in_flight: if rng.random_bool(with_room) { 1 } else { 8 },
-        share: 8,
+        max_in_flight: 8,
         latency_us: rng.random_range(20_000..80_000),
         ejected: rng.random_bool(0.05),
-        warmth_percent: 100,
+        warm_up_percent: 100,
         local: rng.random_bool(0.3),
     };
     (0..count).map(candidate).collect()
@@ -85,47 +89,47 @@
         random = random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        black_box(choose(black_box(candidates), None, random));
+        black_box(choose_target(black_box(candidates), None, random));
     })
 }
 
 /// A gate with `count` waiting requests of a hundred callers.
-fn full_gate(count: usize) -> (Gate, u64) {
-    let mut gate = Gate::new(&service(count), 1);
+fn full_controller(count: usize) -> (AdmissionController, u64) {
+    let mut controller = AdmissionController::new(&service(count), 1);
     let mut next = 0;
-    while gate.waiting() < count {
+    while controller.waiting() < count {
         next += 1;
-        arrive(&mut gate, next, Duration::ZERO);
+        arrive(&mut controller, next, Duration::ZERO);
     }
-    (gate, next)
+    (controller, next)
 }
 
-fn arrive(gate: &mut Gate, number: u64, now: Duration) {
+fn arrive(controller: &mut AdmissionController, number: u64, now: Duration) {
     let arrival = Arrival {
         ticket: Ticket(number),
         caller: &format!("caller-{}", number % CALLERS),
         deadline: now + Duration::from_secs(3_600),
     };
-    black_box(gate.arrive(arrival, 0, now));
+    black_box(controller.admit(arrival, 0, now));
 }
 
-fn time_gate(count: usize) -> f64 {
-    let (mut gate, mut next) = full_gate(count);
+fn time_admission(count: usize) -> f64 {
+    let (mut controller, mut next) = full_controller(count);
     let mut now = Duration::ZERO;
     time(ROUNDS, || {
         now += Duration::from_micros(1);
         next += 1;
-        black_box(gate.slot_freed(Some(Duration::from_millis(50)), now));
-        arrive(&mut gate, next, now);
+        black_box(controller.slot_freed(Some(Duration::from_millis(50)), now));
+        arrive(&mut controller, next, now);
     })
 }
 
 fn time_refusal(count: usize) -> f64 {
-    let (mut gate, mut next) = full_gate(count);
+    let (mut controller, mut next) = full_controller(count);
     time(ROUNDS, || {
         // Always the same caller, which is no less over its share than others.
         next += CALLERS;
-        arrive(&mut gate, next, Duration::ZERO);
+        arrive(&mut controller, next, Duration::ZERO);
     })
 }
 
--- a/crates/cleat-decide/examples/replay/engine.rs
+++ b/crates/cleat-decide/examples/replay/engine.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cleat_decide::{
-    Arrival, Arrived, AttemptOutcome, Candidate, FinalOutcome, Protections, RefusalReason,
-    RequestFacts, Ticket, UnknownReason, Verdict, choose_with, eject_slow, free_slots, share,
-    verdict,
+    AdmissionDecision, Arrival, AttemptContext, AttemptOutcome, Candidate, FinalOutcome,
+    Protections, RefusalReason, RetryDecision, Ticket, UnknownReason, choose_target_with,
+    decide_retry, eject_slow_targets, free_slots, slot_share,
 };
 use cleat_world::Service;
 use rand::rngs::StdRng;
@@ -156,7 +156,7 @@
             .filter(|index| on_it(&self.requests[*index]))
             .collect();
         for request in cut {
-            self.end_try(request, AttemptOutcome::Cut);
+            self.end_try(request, AttemptOutcome::ConnectionLost);
         }
     }
 
@@ -195,14 +195,14 @@
             caller: &self.requests[request].caller,
             deadline: self.requests[request].deadline,
         };
-        match entry.gate.arrive(arrival, free, self.now) {
-            Arrived::Start => self.start_try(request),
-            Arrived::Wait => self.look_at_expiry(index),
-            Arrived::Displace { displaced, refusal } => {
+        match entry.controller.admit(arrival, free, self.now) {
+            AdmissionDecision::Start => self.start_try(request),
+            AdmissionDecision::Wait => self.look_at_expiry(index),
+            AdmissionDecision::Displace { displaced, refusal } => {
                 self.refuse(displaced, refusal.reason, refusal.retry_after);
                 self.look_at_expiry(index);
             }
-            Arrived::Refuse(refusal) => {
+            AdmissionDecision::Refuse(refusal) => {
                 let ticket = Ticket(request as u64);
                 self.refuse(ticket, refusal.reason, refusal.retry_after);
             }
@@ -212,20 +212,20 @@
     fn candidates(&self, entry: usize) -> Vec<Candidate> {
         let own = &self.entries[entry];
         let candidate = |(index, target): (usize, &FakeTarget)| {
-            let whole = share(&target.name, target.slots, &self.names, &own.name);
+            let whole = slot_share(&target.name, target.slots, &self.names, &own.name);
             Candidate {
                 in_flight: own.in_flight[index],
-                share: if target.known { whole } else { 0 },
+                max_in_flight: if target.known { whole } else { 0 },
                 latency_us: own.health[index].latency_us(self.now),
                 ejected: self.policy == Policy::Product && own.health[index].is_ejected(self.now),
-                warmth_percent: own.health[index].warmth_percent(self.now),
+                warm_up_percent: own.health[index].warm_up_percent(self.now),
                 local: true,
             }
         };
         let mut candidates: Vec<Candidate> =
             self.targets.iter().enumerate().map(candidate).collect();
         if self.policy == Policy::Product && self.protections.ejection {
-            eject_slow(&mut candidates);
+            eject_slow_targets(&mut candidates);
         }
         candidates
     }
@@ -237,11 +237,11 @@
     fn pick(&mut self, entry: usize, exclude: Option<usize>) -> Option<usize> {
         let candidates = self.candidates(entry);
         let random = self.rng.random::<u64>();
-        let open = |i: &usize| candidates[*i].in_flight < candidates[*i].share;
+        let open = |i: &usize| candidates[*i].in_flight < candidates[*i].max_in_flight;
         let open: Vec<usize> = (0..candidates.len()).filter(open).collect();
         match self.policy {
-            Policy::Product => choose_with(&candidates, exclude, random, &self.protections)
-                .or_else(|| choose_with(&candidates, None, random, &self.protections)),
+            Policy::Product => choose_target_with(&candidates, exclude, random, &self.protections)
+                .or_else(|| choose_target_with(&candidates, None, random, &self.protections)),
             _ if open.is_empty() => None,
             Policy::Random => Some(open[self.rng.random_range(0..open.len())]),
             Policy::RoundRobin => {
@@ -283,12 +283,12 @@
 
     fn no_room(&mut self, request: usize) -> FinalOutcome {
         if self.requests[request].may_have_run {
-            let reason = UnknownReason::EarlierTry;
+            let reason = UnknownReason::EarlierAttempt;
             return FinalOutcome::Unknown { reason };
         }
         let index = self.requests[request].entry;
         let refusal = self.entries[index]
-            .gate
+            .controller
             .refuse(RefusalReason::NoTarget, self.now);
         FinalOutcome::NotRun {
             reason: refusal.reason,
@@ -307,24 +307,26 @@
         entry.in_flight[target] -= 1;
         entry.health[target].record(outcome, now - since, now);
         let req = &mut self.requests[request];
-        let facts = RequestFacts {
+        let facts = AttemptContext {
             idempotent: req.idempotent,
-            tries: req.tries,
-            max_tries: u32::try_from(self.service.retry.tries).unwrap_or(u32::MAX),
+            attempts: req.tries,
+            max_attempts: u32::try_from(self.service.retry.tries).unwrap_or(u32::MAX),
             remaining: req.deadline.saturating_sub(now),
-            may_have_run: req.may_have_run,
-            expected: entry.gate.quick_service_time(),
+            earlier_may_have_run: req.may_have_run,
+            expected_duration: entry.controller.service_time_p10(),
         };
         req.may_have_run |= outcome.may_have_run();
         if let AttemptOutcome::Answered { status } = outcome {
             req.status = status;
         }
-        match verdict(&outcome, facts, &mut entry.budget) {
-            Verdict::Retry => self.start_try(request),
-            Verdict::Answer(answer) => self.finish(request, answer),
+        match decide_retry(&outcome, facts, &mut entry.budget) {
+            RetryDecision::Retry => self.start_try(request),
+            RetryDecision::Answer(answer) => self.finish(request, answer),
         }
         if outcome.is_success() {
-            self.entries[index].gate.served(now - since);
+            self.entries[index]
+                .controller
+                .record_service_time(now - since);
         }
         self.look(index);
         if let Some(until) = self.entries[index].health[target].ejected_until(now) {
@@ -335,11 +337,11 @@
     /// Expires what is due and starts what waits on every free slot.
     fn look(&mut self, index: usize) {
         let now = self.now;
-        for (ticket, refusal) in self.entries[index].gate.expire(now) {
+        for (ticket, refusal) in self.entries[index].controller.expire(now) {
             self.refuse(ticket, refusal.reason, refusal.retry_after);
         }
-        while self.entries[index].gate.waiting() > 0 && self.free(index) > 0 {
-            let released = self.entries[index].gate.slot_freed(None, now);
+        while self.entries[index].controller.waiting() > 0 && self.free(index) > 0 {
+            let released = self.entries[index].controller.slot_freed(None, now);
             for (ticket, refusal) in released.refused {
                 self.refuse(ticket, refusal.reason, refusal.retry_after);
             }
@@ -351,7 +353,7 @@
     }
 
     fn look_at_expiry(&mut self, entry: usize) {
-        let Some(at) = self.entries[entry].gate.next_expiry() else {
+        let Some(at) = self.entries[entry].controller.next_expiry() else {
             return;
         };
         let at = at.max(self.now) + Duration::from_micros(1);
--- a/crates/cleat-decide/examples/replay/entry.rs
+++ b/crates/cleat-decide/examples/replay/entry.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use cleat_decide::{Gate, Health, Protections, RetryBudget};
+use cleat_decide::{AdmissionController, Health, Protections, RetryBudget};
 use cleat_world::Service;
 
 /// Its decisions on the one service of a trace.
 pub(crate) struct Entry {
     pub(crate) name: Box<str>,
-    pub(crate) gate: Gate,
+    pub(crate) controller: AdmissionController,
     pub(crate) budget: RetryBudget,
     pub(crate) health: Vec<Health>,
     pub(crate) in_flight: Vec<u32>,
@@ -22,7 +22,7 @@
     pub(crate) fn new(name: &str, service: &Service, seed: u64, protections: Protections) -> Entry {
         Entry {
             name: name.into(),
-            gate: Gate::with_protections(service, seed, protections),
+            controller: AdmissionController::with_protections(service, seed, protections),
             budget: RetryBudget::with_protections(&service.retry, seed, protections),
             health: Vec::new(),
             in_flight: Vec::new(),
--- a/crates/cleat-decide/examples/replay/target.rs
+++ b/crates/cleat-decide/examples/replay/target.rs
@@ -39,7 +39,10 @@
             Mode::Up => (answered(200), Some(ROUND_TRIP + service)),
             Mode::Killed => (AttemptOutcome::NotSent, Some(ROUND_TRIP)),
             Mode::Failing => (answered(FAILING_STATUS), Some(ROUND_TRIP)),
-            Mode::Cutting => (AttemptOutcome::Cut, Some(ROUND_TRIP + service / 2)),
+            Mode::Cutting => (
+                AttemptOutcome::ConnectionLost,
+                Some(ROUND_TRIP + service / 2),
+            ),
             Mode::Hanging => (AttemptOutcome::TimedOut, None),
         };
         Fate { outcome, after }
--- a/crates/cleat-decide/examples/stranded.rs
+++ b/crates/cleat-decide/examples/stranded.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use cleat_decide::{Entry, Outgoing, Slot, SlotTerms, Slots, TargetKey};
+use cleat_decide::{EntryIndex, LeaseTerms, Outgoing, Slot, Slots, TargetKey};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -21,10 +21,10 @@
 const TICK: Duration = Duration::from_millis(10);
 const REQUESTS: usize = 60_000;
 const SEED: u64 = 11;
-const TERMS: SlotTerms = SlotTerms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: Duration::from_secs(2),
-    longest_request: Duration::from_secs(2),
-    keep_idle: Duration::from_millis(20),
+    max_request_duration: Duration::from_secs(2),
+    idle_timeout: Duration::from_millis(20),
 };
 
 /// How the balancer spreads requests over the entries.
@@ -89,7 +89,7 @@
     fn new(way: Way, entries: u32) -> Run {
         let names: Vec<Box<str>> = (0..entries).map(|i| format!("e{i}").into()).collect();
         let node = |index| {
-            let mut slots = Slots::new(Entry(index), 1, &names, TERMS, Duration::ZERO);
+            let mut slots = Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
             let key = |i| slots.set_target(&format!("r{i}"), SLOTS, true);
             Node {
                 keys: (0..TARGETS).map(key).collect(),
@@ -173,7 +173,7 @@
             let waited = self.now - since;
             if waited > WAIT_MAX {
                 self.figures.refused += 1;
-            } else if self.begin(index) {
+            } else if self.acquire(index) {
                 self.figures.waits.push(waited);
             } else {
                 break;
@@ -183,18 +183,21 @@
         if self.way == Way::Demand {
             let node = &mut self.nodes[index];
             let waiting = u32::try_from(node.queue.len()).unwrap_or(u32::MAX);
-            let out = node.slots.want(waiting, self.now);
+            let out = node.slots.request_slots(waiting, self.now);
             self.send(index, out);
         }
     }
 
-    fn begin(&mut self, index: usize) -> bool {
+    fn acquire(&mut self, index: usize) -> bool {
         let node = &mut self.nodes[index];
         let count = node.keys.len();
         let first = self.rng.random_range(0..count);
         let keys = (0..count).map(|i| node.keys[(first + i) % count]);
         let now = self.now;
-        let Some(slot) = keys.into_iter().find_map(|key| node.slots.begin(key, now)) else {
+        let Some(slot) = keys
+            .into_iter()
+            .find_map(|key| node.slots.acquire(key, now))
+        else {
             return false;
         };
         self.busy += 1;
@@ -202,7 +205,7 @@
         let held = Held(self.slots.len() - 1);
         let taken = SERVICE_MEAN
             .mul_f64(self.exponential())
-            .min(TERMS.longest_request);
+            .min(TERMS.max_request_duration);
         self.plan(taken, Step::End(index, held));
         true
     }
@@ -210,7 +213,7 @@
     fn end(&mut self, index: usize, held: Held) {
         self.busy -= 1;
         let slot = self.slots[held.0];
-        self.nodes[index].slots.end(slot, self.now);
+        self.nodes[index].slots.release(slot, self.now);
         self.serve(index);
     }
 
@@ -230,8 +233,10 @@
     fn deliver(&mut self, wire: usize) {
         let (from, out) = self.wires[wire].clone();
         let to = out.to.0 as usize;
-        let from = Entry(u32::try_from(from).unwrap_or(u32::MAX));
-        let answers = self.nodes[to].slots.receive(from, out.message, self.now);
+        let from = EntryIndex(u32::try_from(from).unwrap_or(u32::MAX));
+        let answers = self.nodes[to]
+            .slots
+            .handle_message(from, out.message, self.now);
         self.send(to, answers);
         self.serve(to);
     }
--- a/crates/cleat-decide/src/lib.rs
+++ b/crates/cleat-decide/src/lib.rs
@@ -13,8 +13,11 @@
 #[doc(hidden)]
 pub use protections::Protections;
 pub use request::{
-    Arrival, Arrived, AttemptOutcome, Candidate, FinalOutcome, Gate, Health, Refusal,
-    RefusalReason, Released, RequestFacts, RetryBudget, Ticket, UnknownReason, Verdict, choose,
-    choose_with, eject_slow, free_slots, share, verdict,
+    AdmissionController, AdmissionDecision, Arrival, AttemptContext, AttemptOutcome, Candidate,
+    Dequeued, FinalOutcome, Health, Refusal, RefusalReason, RetryBudget, RetryDecision, Ticket,
+    UnknownReason, choose_target, choose_target_with, decide_retry, eject_slow_targets, free_slots,
+    slot_share,
+};
+pub use slots::{
+    EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, Slots, TargetKey,
 };
-pub use slots::{Entry, Grant, GrantId, Message, Outgoing, Slot, SlotTerms, Slots, TargetKey};
--- a/crates/cleat-decide/src/request/admission/flows.rs
+++ b/crates/cleat-decide/src/request/admission/flows.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes over the callers' terms.
-    pub(super) fn set_terms(&mut self, service: &Service, queue: &mut FairQueue) {
+    pub(super) fn reconfigure(&mut self, service: &Service, queue: &mut FairQueue) {
         for (name, id) in &self.names {
             let flow = &mut self.arena[id.0 as usize];
             queue.reweigh(*id, flow, service.terms(name));
--- a/crates/cleat-decide/src/request/admission/mod.rs
+++ b/crates/cleat-decide/src/request/admission/mod.rs
@@ -19,8 +19,8 @@
 use flows::Flows;
 use pace::Pace;
 use queue::FairQueue;
-use service_time::ServiceTime;
-pub use types::{Arrival, Arrived, Released, Ticket};
+use service_time::ServiceTimeEstimator;
+pub use types::{AdmissionDecision, Arrival, Dequeued, Ticket};
 
 use super::{Refusal, RefusalReason};
 
@@ -34,37 +34,41 @@
 /// Decides which requests of a service start, wait or are refused.
 ///
 /// Every ticket that arrived ends in exactly one way: it starts (by
-/// [`Arrived::Start`] or [`Released::start`]), it is refused (by
-/// [`Arrived::Refuse`], [`Arrived::Displace`], [`Released::refused`] or
-/// [`Gate::expire`]) or it is cancelled.
+/// [`AdmissionDecision::Start`] or [`Dequeued::start`]), it is refused (by
+/// [`AdmissionDecision::Refuse`], [`AdmissionDecision::Displace`], [`Dequeued::refused`] or
+/// [`AdmissionController::expire`]) or it is cancelled.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AdmissionController {
     terms: Service,
     flows: Flows,
     queue: FairQueue,
     pace: Pace,
-    service_time: ServiceTime,
+    service_time: ServiceTimeEstimator,
     spread: Spread,
     /// Of refusals that are no caller's own.
     returns: Returns,
     protections: Protections,
 }
 
-impl Gate {
+impl AdmissionController {
     /// The gate of `service` with nothing waiting.
-    pub fn new(service: &Service, seed: u64) -> Gate {
-        Gate::with_protections(service, seed, Protections::ALL)
+    pub fn new(service: &Service, seed: u64) -> AdmissionController {
+        AdmissionController::with_protections(service, seed, Protections::ALL)
     }
 
     /// A gate with some protections off, for tests of the tests.
     #[doc(hidden)]
-    pub fn with_protections(service: &Service, seed: u64, protections: Protections) -> Gate {
-        Gate {
+    pub fn with_protections(
+        service: &Service,
+        seed: u64,
+        protections: Protections,
+    ) -> AdmissionController {
+        AdmissionController {
             terms: service.clone(),
             flows: Flows::default(),
             queue: FairQueue::default(),
             pace: Pace::default(),
-            service_time: ServiceTime::default(),
+            service_time: ServiceTimeEstimator::default(),
             spread: Spread::new(seed, protections.spread),
             returns: Returns::default(),
             protections,
@@ -73,48 +77,57 @@
 
     /// Takes over new terms; what waits stays. A shorter queue holds for
     /// arrivals from now on.
-    pub fn set_terms(&mut self, service: &Service) {
+    pub fn reconfigure(&mut self, service: &Service) {
         self.terms = service.clone();
-        self.flows.set_terms(service, &mut self.queue);
+        self.flows.reconfigure(service, &mut self.queue);
     }
 
     /// Decides on a new request while `free_slots` more could start.
     ///
     /// It starts only if nothing waits and a slot is free. A slot that appears
     /// otherwise than by a finished request (a target joined, an ejection
-    /// ended) is announced by [`Gate::slot_freed`] without a service time, once
+    /// ended) is announced by [`AdmissionController::slot_freed`] without a service time, once
     /// for each slot as long as something waits.
-    pub fn arrive(&mut self, arrival: Arrival<'_>, free_slots: u32, now: Duration) -> Arrived {
+    pub fn admit(
+        &mut self,
+        arrival: Arrival<'_>,
+        free_slots: u32,
+        now: Duration,
+    ) -> AdmissionDecision {
         let flow = self
             .flows
             .enter(self.payer(&arrival), &self.terms, &self.queue, now);
         if self.over_quota(flow, now) {
-            return Arrived::Refuse(self.refuse_caller(flow, RefusalReason::OverQuota, now));
+            return AdmissionDecision::Refuse(self.refuse_caller(
+                flow,
+                RefusalReason::OverQuota,
+                now,
+            ));
         }
         let starts = free_slots > 0 && self.queue.is_empty();
         if !self.fits(&arrival, flow, starts, now) {
             let reason = RefusalReason::CannotFinishInTime;
-            return Arrived::Refuse(self.refuse_caller(flow, reason, now));
+            return AdmissionDecision::Refuse(self.refuse_caller(flow, reason, now));
         }
         if starts {
             self.flows.charge_quota(flow, now);
-            return Arrived::Start;
+            return AdmissionDecision::Start;
         }
         self.wait(&arrival, flow, now)
     }
 
     /// A request was served in `service_time`, but its slot may not be used
-    /// again (the target is leaving or ejected). Else see [`Gate::slot_freed`].
-    pub fn served(&mut self, service_time: Duration) {
+    /// again (the target is leaving or ejected). Else see [`AdmissionController::slot_freed`].
+    pub fn record_service_time(&mut self, service_time: Duration) {
         self.service_time.record(service_time);
     }
 
     /// A slot is free: its request finished, after `service_time` if it was
     /// served, or the slot is new. At most one waiting request starts, so it is
-    /// called only if [`choose`](crate::choose) has a target to offer.
-    pub fn slot_freed(&mut self, service_time: Option<Duration>, now: Duration) -> Released {
+    /// called only if [`choose_target`](crate::choose_target) has a target to offer.
+    pub fn slot_freed(&mut self, service_time: Option<Duration>, now: Duration) -> Dequeued {
         if let Some(service_time) = service_time {
-            self.served(service_time);
+            self.record_service_time(service_time);
         }
         self.pace.released(self.queue.is_empty(), now);
         let refused = self.expire(now);
@@ -122,7 +135,7 @@
         if self.queue.is_empty() {
             self.pace.idle();
         }
-        Released { start, refused }
+        Dequeued { start, refused }
     }
 
     /// Forgets a waiting request whose caller went away; no effect if it does
@@ -150,7 +163,7 @@
         refused
     }
 
-    /// When [`Gate::expire`] has something to do next, if anything waits.
+    /// When [`AdmissionController::expire`] has something to do next, if anything waits.
     pub fn next_expiry(&self) -> Option<Duration> {
         let next = self.queue.next_expiry();
         next.filter(|_| self.protections.deadline)
@@ -162,8 +175,8 @@
     }
 
     /// What a quick request takes (one in ten is quicker), zero if unknown.
-    pub fn quick_service_time(&self) -> Duration {
-        self.service_time.quick()
+    pub fn service_time_p10(&self) -> Duration {
+        self.service_time.p10()
     }
 
     /// A refusal for a cause that the entry found, with a spread time to come
@@ -220,8 +233,8 @@
         if remaining.is_zero() {
             return false;
         }
-        if remaining < self.quick_service_time() {
-            self.service_time.doubt();
+        if remaining < self.service_time_p10() {
+            self.service_time.reduce_p10();
             return false;
         }
         if starts {
@@ -235,11 +248,11 @@
     /// The time to leave for the work of a request with `remaining` left.
     fn work_time(&self, remaining: Duration) -> Duration {
         self.service_time
-            .slow()
+            .p90()
             .min(remaining / WORK_PART_OF_REMAINING)
     }
 
-    fn wait(&mut self, arrival: &Arrival<'_>, flow: FlowId, now: Duration) -> Arrived {
+    fn wait(&mut self, arrival: &Arrival<'_>, flow: FlowId, now: Duration) -> AdmissionDecision {
         let length = usize::try_from(self.terms.queue.length).unwrap_or(usize::MAX);
         let full = self.protections.queue_bound && self.queue.len() >= length;
         let displaced = if full {
@@ -248,7 +261,11 @@
             None
         };
         if full && displaced.is_none() {
-            return Arrived::Refuse(self.refuse_caller(flow, RefusalReason::QueueFull, now));
+            return AdmissionDecision::Refuse(self.refuse_caller(
+                flow,
+                RefusalReason::QueueFull,
+                now,
+            ));
         }
         if self.queue.is_empty() {
             self.pace.busy(now);
@@ -262,14 +279,14 @@
         self.displace(displaced, now)
     }
 
-    fn displace(&mut self, displaced: Option<Ticket>, now: Duration) -> Arrived {
+    fn displace(&mut self, displaced: Option<Ticket>, now: Duration) -> AdmissionDecision {
         let Some(displaced) = displaced else {
-            return Arrived::Wait;
+            return AdmissionDecision::Wait;
         };
         let Some(flow) = self.queue.remove(displaced, &mut self.flows) else {
-            return Arrived::Wait;
+            return AdmissionDecision::Wait;
         };
         let refusal = self.refuse_caller(flow, RefusalReason::Displaced, now);
-        Arrived::Displace { displaced, refusal }
+        AdmissionDecision::Displace { displaced, refusal }
     }
 }
--- a/crates/cleat-decide/src/request/admission/types.rs
+++ b/crates/cleat-decide/src/request/admission/types.rs
@@ -21,7 +21,7 @@
 
 /// What becomes of a request that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrived {
+pub enum AdmissionDecision {
     /// It starts now and takes one of the free slots.
     Start,
     /// It waits.
@@ -40,7 +40,7 @@
 
 /// What a free slot leads to.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Released {
+pub struct Dequeued {
     /// The request that takes the slot.
     pub start: Option<Ticket>,
     /// Requests that can no longer finish in time; answer them at once.
--- a/crates/cleat-decide/src/request/budget.rs
+++ b/crates/cleat-decide/src/request/budget.rs
@@ -51,13 +51,13 @@
     }
 
     /// Takes over new terms and keeps what was saved.
-    pub fn set_terms(&mut self, retry: &Retry) {
+    pub fn reconfigure(&mut self, retry: &Retry) {
         self.per_success = retry.budget_percent * SUCCESS_PER_PERCENT;
     }
 
-    pub(super) fn account(&mut self, attempt: &AttemptOutcome, tries: u32) {
+    pub(super) fn deposit(&mut self, attempt: &AttemptOutcome, attempts: u32) {
         let mut paid = 0;
-        if tries <= 1 {
+        if attempts <= 1 {
             paid += REQUEST_FLOOR;
         }
         if attempt.is_success() {
--- a/crates/cleat-decide/src/request/choice.rs
+++ b/crates/cleat-decide/src/request/choice.rs
@@ -20,20 +20,20 @@
     /// Requests of this instance in progress there.
     pub in_flight: u32,
     /// The most requests that this instance may have in progress there.
-    pub share: u32,
+    pub max_in_flight: u32,
     /// Moving average of the latency in microseconds, 0 if unknown.
     pub latency_us: u32,
     /// Whether its health says that it should get no work.
     pub ejected: bool,
     /// How much of its usual work a new target should get, 1 to 100.
-    pub warmth_percent: u8,
+    pub warm_up_percent: u8,
     /// Whether it stands in the data centre of this instance.
     pub local: bool,
 }
 
 impl Candidate {
-    fn has_room(&self, protections: &Protections) -> bool {
-        self.in_flight < self.share || !protections.share_cap
+    fn has_free_slot(&self, protections: &Protections) -> bool {
+        self.in_flight < self.max_in_flight || !protections.share_cap
     }
 
     /// Whether `self` is rated better than `other`.
@@ -52,7 +52,7 @@
         };
         let load = u128::from(self.in_flight) + 1;
         let scaled = load * u128::from(latency) * distance * FULL_PERCENT;
-        scaled / u128::from(self.warmth_percent.clamp(1, 100))
+        scaled / u128::from(self.warm_up_percent.clamp(1, 100))
     }
 }
 
@@ -62,13 +62,17 @@
 /// not depend on the number of candidates as long as a fair part of them is
 /// usable; else one pass looks through all. `exclude` is the target of the try
 /// before. Invariant: never a target whose share is used up.
-pub fn choose(candidates: &[Candidate], exclude: Option<usize>, random: u64) -> Option<usize> {
-    choose_with(candidates, exclude, random, &Protections::ALL)
+pub fn choose_target(
+    candidates: &[Candidate],
+    exclude: Option<usize>,
+    random: u64,
+) -> Option<usize> {
+    choose_target_with(candidates, exclude, random, &Protections::ALL)
 }
 
-/// [`choose`] with some protections off, for tests of the tests.
+/// [`choose_target`] with some protections off, for tests of the tests.
 #[doc(hidden)]
-pub fn choose_with(
+pub fn choose_target_with(
     candidates: &[Candidate],
     exclude: Option<usize>,
     random: u64,
@@ -77,7 +81,7 @@
     let healthy = |index: usize| {
         let candidate = &candidates[index];
         let in_service = !candidate.ejected || !protections.ejection;
-        Some(index) != exclude && in_service && candidate.has_room(protections)
+        Some(index) != exclude && in_service && candidate.has_free_slot(protections)
     };
     sample(candidates, random, protections, healthy)
         .or_else(|| scan(candidates, random, protections, healthy))
@@ -89,7 +93,7 @@
 ///
 /// Costs one pass over all, so it is done when the candidates are rebuilt. A
 /// remembered latency fades without work, so a slow target is tried again.
-pub fn eject_slow(candidates: &mut [Candidate]) {
+pub fn eject_slow_targets(candidates: &mut [Candidate]) {
     let known = candidates.iter().filter(|c| c.latency_us > 0 && !c.ejected);
     let mut known: Vec<u32> = known.map(|c| c.latency_us).collect();
     if known.is_empty() {
@@ -105,7 +109,7 @@
 }
 
 /// How many requests of this instance could start now, by the rules of
-/// [`choose`] without an excluded target.
+/// [`choose_target`] without an excluded target.
 pub fn free_slots(candidates: &[Candidate]) -> u32 {
     let ejected = candidates.iter().filter(|c| c.ejected).count();
     let mut held_back = ejected.min(ejected_max(candidates.len()));
@@ -115,7 +119,7 @@
             held_back -= 1;
             continue;
         }
-        free = free.saturating_add(candidate.share.saturating_sub(candidate.in_flight));
+        free = free.saturating_add(candidate.max_in_flight.saturating_sub(candidate.in_flight));
     }
     free
 }
@@ -178,7 +182,7 @@
     }
     let ejected = candidates.iter().enumerate().filter(|(_, c)| c.ejected);
     let beyond = ejected.skip(ejected_max(candidates.len()));
-    let open = beyond.filter(|(index, c)| Some(*index) != exclude && c.has_room(protections));
+    let open = beyond.filter(|(index, c)| Some(*index) != exclude && c.has_free_slot(protections));
     let open: Vec<usize> = open.map(|(index, _)| index).collect();
     if open.is_empty() {
         return None;
--- a/crates/cleat-decide/src/request/health.rs
+++ b/crates/cleat-decide/src/request/health.rs
@@ -107,7 +107,7 @@
     }
 
     /// How much of its usual work the target should get, 10 to 100.
-    pub fn warmth_percent(&self, now: Duration) -> u8 {
+    pub fn warm_up_percent(&self, now: Duration) -> u8 {
         let since = now.saturating_sub(self.warm_since).min(WARM_UP);
         let percent = since.as_micros() * 100 / WARM_UP.as_micros();
         u8::try_from(percent.max(WARMTH_MIN_PERCENT)).unwrap_or(100)
--- a/crates/cleat-decide/src/request/mod.rs
+++ b/crates/cleat-decide/src/request/mod.rs
@@ -1,20 +1,20 @@
 //! Decisions on one request: whether and when it starts, where it goes, and
 //! what follows from how a try ended.
 
+mod admission;
 mod budget;
 mod choice;
-mod gate;
 mod health;
 mod outcome;
 mod refusal;
+mod retry;
 mod share;
-mod verdict;
 
+pub use admission::{AdmissionController, AdmissionDecision, Arrival, Dequeued, Ticket};
 pub use budget::RetryBudget;
-pub use choice::{Candidate, choose, choose_with, eject_slow, free_slots};
-pub use gate::{Arrival, Arrived, Gate, Released, Ticket};
+pub use choice::{Candidate, choose_target, choose_target_with, eject_slow_targets, free_slots};
 pub use health::Health;
-pub use outcome::{AttemptOutcome, FinalOutcome, RequestFacts, UnknownReason, Verdict};
+pub use outcome::{AttemptContext, AttemptOutcome, FinalOutcome, RetryDecision, UnknownReason};
 pub use refusal::{Refusal, RefusalReason};
-pub use share::share;
-pub use verdict::verdict;
+pub use retry::decide_retry;
+pub use share::slot_share;
--- a/crates/cleat-decide/src/request/outcome.rs
+++ b/crates/cleat-decide/src/request/outcome.rs
@@ -15,7 +15,7 @@
     /// No byte of the request left, as when the connection was refused.
     NotSent,
     /// The connection broke after a byte may have left.
-    Cut,
+    ConnectionLost,
     /// No whole answer in time, after a byte may have left.
     TimedOut,
     /// The answer broke the protocol.
@@ -40,27 +40,27 @@
 
 /// What a verdict needs to know of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct AttemptContext {
     /// Whether a second run does no harm.
     pub idempotent: bool,
     /// Tries so far, the one just ended included; at least 1.
-    pub tries: u32,
+    pub attempts: u32,
     /// The most tries, the first included.
-    pub max_tries: u32,
+    pub max_attempts: u32,
     /// Time left until the deadline.
     pub remaining: Duration,
     /// Whether an *earlier* try may have run (see
     /// [`AttemptOutcome::may_have_run`]). With it, the request is never
     /// reported as not run.
-    pub may_have_run: bool,
+    pub earlier_may_have_run: bool,
     /// How long a try usually takes; no try is begun with less time left. Zero
-    /// if unknown (see [`Gate::quick_service_time`](super::Gate::quick_service_time)).
-    pub expected: Duration,
+    /// if unknown (see [`AdmissionController::service_time_p10`](super::AdmissionController::service_time_p10)).
+    pub expected_duration: Duration,
 }
 
 /// What to do after a try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Try again now, preferably on another target.
     Retry,
     /// Answer the caller now.
@@ -90,11 +90,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
     /// The connection to the target broke.
-    Cut,
+    ConnectionLost,
     /// No whole answer came in time.
     TimedOut,
     /// The target's answer broke the protocol.
     Malformed,
     /// An earlier try may have run and the last one was not sent.
-    EarlierTry,
+    EarlierAttempt,
 }
--- a/crates/cleat-decide/src/request/refusal.rs
+++ b/crates/cleat-decide/src/request/refusal.rs
@@ -31,5 +31,5 @@
     NoTarget,
     /// No try reached a target and no further try is allowed; see the
     /// service's `retry` and the health of its targets.
-    TriesUsedUp,
+    AttemptsExhausted,
 }
--- a/crates/cleat-decide/src/request/retry.rs
+++ b/crates/cleat-decide/src/request/retry.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    AttemptOutcome, FinalOutcome, RefusalReason, RequestFacts, RetryBudget, UnknownReason, Verdict,
+    AttemptContext, AttemptOutcome, FinalOutcome, RefusalReason, RetryBudget, RetryDecision,
+    UnknownReason,
 };
 
 /// Less time than this is never enough for another try.
@@ -15,19 +16,23 @@
 /// Invariant: a request that is not idempotent is never retried once a byte of
 /// any of its tries may have left. A request that is given up is answered at
 /// once, however much time is left.
-pub fn verdict(attempt: &AttemptOutcome, req: RequestFacts, budget: &mut RetryBudget) -> Verdict {
-    budget.account(attempt, req.tries);
-    if may_retry(attempt, &req, budget) && budget.withdraw() {
-        return Verdict::Retry;
+pub fn decide_retry(
+    attempt: &AttemptOutcome,
+    context: AttemptContext,
+    budget: &mut RetryBudget,
+) -> RetryDecision {
+    budget.deposit(attempt, context.attempts);
+    if may_retry(attempt, &context, budget) && budget.withdraw() {
+        return RetryDecision::Retry;
     }
-    Verdict::Answer(answer(attempt, &req, budget))
+    RetryDecision::Answer(answer(attempt, &context, budget))
 }
 
-fn may_retry(attempt: &AttemptOutcome, req: &RequestFacts, budget: &RetryBudget) -> bool {
-    let touched = attempt.may_have_run() || req.may_have_run;
-    let harmless = req.idempotent || !touched || !budget.protections().at_most_once;
-    let time_left = req.remaining >= req.expected.max(RETRY_TIME_MIN);
-    harmless && wants_retry(attempt) && req.tries < req.max_tries && time_left
+fn may_retry(attempt: &AttemptOutcome, context: &AttemptContext, budget: &RetryBudget) -> bool {
+    let touched = attempt.may_have_run() || context.earlier_may_have_run;
+    let harmless = context.idempotent || !touched || !budget.protections().at_most_once;
+    let time_left = context.remaining >= context.expected_duration.max(RETRY_TIME_MIN);
+    harmless && wants_retry(attempt) && context.attempts < context.max_attempts && time_left
 }
 
 /// Whether another target may do better. A target's 500 is about the request as
@@ -39,24 +44,30 @@
     }
 }
 
-fn answer(attempt: &AttemptOutcome, req: &RequestFacts, budget: &mut RetryBudget) -> FinalOutcome {
+fn answer(
+    attempt: &AttemptOutcome,
+    context: &AttemptContext,
+    budget: &mut RetryBudget,
+) -> FinalOutcome {
     let reason = match attempt {
         AttemptOutcome::Answered { .. } => return FinalOutcome::Answered,
-        AttemptOutcome::NotSent if !req.may_have_run => return not_run(req, budget),
-        AttemptOutcome::NotSent => UnknownReason::EarlierTry,
-        AttemptOutcome::Cut => UnknownReason::Cut,
+        AttemptOutcome::NotSent if !context.earlier_may_have_run => {
+            return not_run(context, budget);
+        }
+        AttemptOutcome::NotSent => UnknownReason::EarlierAttempt,
+        AttemptOutcome::ConnectionLost => UnknownReason::ConnectionLost,
         AttemptOutcome::TimedOut => UnknownReason::TimedOut,
         AttemptOutcome::Malformed => UnknownReason::Malformed,
     };
     FinalOutcome::Unknown { reason }
 }
 
-fn not_run(req: &RequestFacts, budget: &mut RetryBudget) -> FinalOutcome {
-    let late = req.remaining < req.expected.max(RETRY_TIME_MIN);
+fn not_run(context: &AttemptContext, budget: &mut RetryBudget) -> FinalOutcome {
+    let late = context.remaining < context.expected_duration.max(RETRY_TIME_MIN);
     let reason = if late {
         RefusalReason::CannotFinishInTime
     } else {
-        RefusalReason::TriesUsedUp
+        RefusalReason::AttemptsExhausted
     };
     FinalOutcome::NotRun {
         reason,
--- a/crates/cleat-decide/src/request/share.rs
+++ b/crates/cleat-decide/src/request/share.rs
@@ -9,7 +9,7 @@
 /// `cap` is the lesser of the target's slots and connections; `entries` are all
 /// configured instances of ours in the same order everywhere. Invariant: the
 /// shares of all entries sum to exactly `cap`. An entry not listed gets none.
-pub fn share(target: &str, cap: u32, entries: &[Box<str>], me: &str) -> u32 {
+pub fn slot_share(target: &str, cap: u32, entries: &[Box<str>], me: &str) -> u32 {
     let Some(position) = entries.iter().position(|entry| &**entry == me) else {
         return 0;
     };
--- a/crates/cleat-decide/src/slots/held.rs
+++ b/crates/cleat-decide/src/slots/held.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::{Entry, GrantId};
+use super::{EntryIndex, GrantId};
 
 /// Slots at home, lent and borrowed.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
 /// A slot on loan here.
 #[derive(Debug)]
 pub(super) struct Borrowed {
-    pub(super) lender: Entry,
+    pub(super) lender: EntryIndex,
     /// No request starts on it from here on.
     pub(super) until: Duration,
     pub(super) busy: bool,
@@ -63,10 +63,14 @@
     }
 
     /// Takes out loans that are idle for too long or may not be used further.
-    pub(super) fn surplus(&mut self, keep_idle: Duration, now: Duration) -> Vec<(Entry, GrantId)> {
+    pub(super) fn surplus(
+        &mut self,
+        idle_timeout: Duration,
+        now: Duration,
+    ) -> Vec<(EntryIndex, GrantId)> {
         let leaving = self.leaving;
         let surplus = |b: &Borrowed| {
-            !b.busy && (leaving || now >= b.until || now >= b.idle_since + keep_idle)
+            !b.busy && (leaving || now >= b.until || now >= b.idle_since + idle_timeout)
         };
         let out = self.borrowed.iter().filter(|(_, b)| surplus(b));
         let out: Vec<_> = out.map(|(id, b)| (b.lender, *id)).collect();
--- a/crates/cleat-decide/src/slots/mod.rs
+++ b/crates/cleat-decide/src/slots/mod.rs
@@ -1,6 +1,6 @@
 //! Slots of targets shared between entries by demand.
 //!
-//! Each slot has a home, the entry that [`share`](crate::share) gives it to. A
+//! Each slot has a home, the entry that [`slot_share`](crate::slot_share) gives it to. A
 //! home lends idle slots to entries that ask, one grant a slot, for a lease.
 //! The cap of a target holds because a slot is with its home or lent, never
 //! both: a home takes a lent slot back when the borrower returns it, or when
@@ -12,4 +12,4 @@
 mod types;
 
 pub use sharing::Slots;
-pub use types::{Entry, Grant, GrantId, Message, Outgoing, Slot, SlotTerms, TargetKey};
+pub use types::{EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, TargetKey};
--- a/crates/cleat-decide/src/slots/peers.rs
+++ b/crates/cleat-decide/src/slots/peers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Entry;
+use super::EntryIndex;
 
 /// An unanswered ask counts as lost after this time.
 const ASK_TIMEOUT: Duration = Duration::from_millis(100);
@@ -82,12 +82,12 @@
     /// Whether an ask is new; remembers it. Lives have no order: an ask of an
     /// earlier one that comes late is answered to nobody, and what is lent by
     /// it comes back when its time is over.
-    pub(super) fn is_new(&mut self, life: u64, serial: u64) -> bool {
-        let old = |heard: (u64, u64)| heard.0 == life && heard.1 >= serial;
+    pub(super) fn is_new(&mut self, incarnation: u64, serial: u64) -> bool {
+        let old = |heard: (u64, u64)| heard.0 == incarnation && heard.1 >= serial;
         if self.heard.is_some_and(old) {
             return false;
         }
-        self.heard = Some((life, serial));
+        self.heard = Some((incarnation, serial));
         true
     }
 }
@@ -96,7 +96,7 @@
 /// start.
 pub(super) fn most_hopeful(
     peers: &[Peer],
-    me: Entry,
+    me: EntryIndex,
     turn: u64,
     now: Duration,
 ) -> Option<(usize, u32)> {
--- a/crates/cleat-decide/src/slots/sharing.rs
+++ b/crates/cleat-decide/src/slots/sharing.rs
@@ -6,16 +6,16 @@
 
 use super::held::{Borrowed, Held};
 use super::peers::{Ask, Peer, most_hopeful};
-use super::{Entry, Grant, GrantId, Message, Outgoing, Slot, SlotTerms, TargetKey};
-use crate::{Protections, share};
+use super::{EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, TargetKey};
+use crate::{Protections, slot_share};
 
 /// Lends and borrows slots by demand. One for each service on an entry.
 #[derive(Debug)]
 pub struct Slots {
-    me: Entry,
+    me: EntryIndex,
     entries: Box<[Box<str>]>,
-    life: u64,
-    terms: SlotTerms,
+    incarnation: u64,
+    terms: LeaseTerms,
     /// By name; a target keeps its place, and so its key, for good.
     targets: IndexMap<Box<str>, Held>,
     /// One for each entry, this one included.
@@ -30,16 +30,16 @@
     /// The slots of an entry that starts now, in a `life` that it never had
     /// before.
     pub fn new(
-        me: Entry,
-        life: u64,
+        me: EntryIndex,
+        incarnation: u64,
         entries: &[Box<str>],
-        terms: SlotTerms,
+        terms: LeaseTerms,
         now: Duration,
     ) -> Slots {
         Slots {
             me,
             entries: entries.into(),
-            life,
+            incarnation,
             terms,
             targets: IndexMap::new(),
             peers: entries.iter().map(|_| Peer::default()).collect(),
@@ -67,7 +67,7 @@
     /// for what starts and is lent from now on.
     pub fn set_target(&mut self, name: &str, cap: u32, fresh: bool) -> TargetKey {
         let me = self.entries.get(self.me.0 as usize);
-        let home = me.map_or(0, |me| share(name, cap, &self.entries, me));
+        let home = me.map_or(0, |me| slot_share(name, cap, &self.entries, me));
         let index = match self.targets.get_index_of(name) {
             Some(index) => index,
             None => self.add(name, fresh),
@@ -85,7 +85,7 @@
 
     /// Leaves the target's slots at home unused until what an earlier holder
     /// that is not known here may run on them has ended.
-    pub fn hold_back(&mut self, target: TargetKey, now: Duration) {
+    pub fn withhold_home_slots(&mut self, target: TargetKey, now: Duration) {
         let until = now + self.reclaim_after();
         if let Some(held) = self.held_mut(target) {
             held.home_from = held.home_from.max(until);
@@ -95,11 +95,11 @@
     /// Requests may run for up to `longest` from now on. A lower value changes
     /// nothing: longer requests may still be on their way. Loans made for
     /// shorter requests end.
-    pub fn set_longest_request(&mut self, longest: Duration) {
-        if longest <= self.terms.longest_request {
+    pub fn set_max_request_duration(&mut self, longest: Duration) {
+        if longest <= self.terms.max_request_duration {
             return;
         }
-        self.terms.longest_request = longest;
+        self.terms.max_request_duration = longest;
         let settled = self.started_at + self.reclaim_after();
         for held in self.targets.values_mut() {
             held.close_loans();
@@ -112,7 +112,7 @@
     /// Until when the request that took `slot` may be begun at the target;
     /// `None` for no bound. To be looked at again right before its first byte
     /// is written.
-    pub fn begin_until(&self, slot: Slot) -> Option<Duration> {
+    pub fn start_deadline(&self, slot: Slot) -> Option<Duration> {
         let grant = slot.grant?;
         let borrowed = self.held(slot.target)?.borrowed.get(&grant);
         Some(borrowed.map_or(Duration::ZERO, |borrowed| borrowed.until))
@@ -137,7 +137,7 @@
     }
 
     /// Takes a slot for one request, at home if there is one.
-    pub fn begin(&mut self, target: TargetKey, now: Duration) -> Option<Slot> {
+    pub fn acquire(&mut self, target: TargetKey, now: Duration) -> Option<Slot> {
         let held = self.held_mut(target)?;
         held.reclaim(now);
         if held.home_free(now) > 0 {
@@ -157,7 +157,7 @@
 
     /// Gives a slot back after its request ended. The request no longer runs
     /// at the target, or its deadline passed.
-    pub fn end(&mut self, slot: Slot, now: Duration) {
+    pub fn release(&mut self, slot: Slot, now: Duration) {
         let Some(held) = self.held_mut(slot.target) else {
             return;
         };
@@ -173,7 +173,7 @@
 
     /// Asks for slots for `count` waiting requests, less what is asked for
     /// already.
-    pub fn want(&mut self, count: u32, now: Duration) -> Vec<Outgoing> {
+    pub fn request_slots(&mut self, count: u32, now: Duration) -> Vec<Outgoing> {
         let pending: u32 = self.peers.iter().map(|peer| peer.pending(now)).sum();
         let mut missing = count.saturating_sub(pending);
         let mut out = Vec::new();
@@ -189,19 +189,24 @@
     }
 
     /// Handles a message of another entry.
-    pub fn receive(&mut self, from: Entry, message: Message, now: Duration) -> Vec<Outgoing> {
+    pub fn handle_message(
+        &mut self,
+        from: EntryIndex,
+        message: Message,
+        now: Duration,
+    ) -> Vec<Outgoing> {
         match message {
-            Message::Ask {
-                life,
+            Message::Request {
+                incarnation,
                 serial,
                 count,
-            } => self.lend(from, life, serial, count, now),
+            } => self.lend(from, incarnation, serial, count, now),
             Message::Grants {
-                life,
-                ask,
+                incarnation,
+                request,
                 grants,
                 idle,
-            } => self.borrow(from, life, ask, &grants, idle, now),
+            } => self.borrow(from, incarnation, request, &grants, idle, now),
             Message::Return { grants } => {
                 self.take_back(&grants);
                 Vec::new()
@@ -209,14 +214,14 @@
         }
     }
 
-    /// Returns loans that are idle or over. Called after [`Slots::end`] and at
-    /// least once in each `keep_idle`.
+    /// Returns loans that are idle or over. Called after [`Slots::release`] and at
+    /// least once in each `idle_timeout`.
     pub fn tick(&mut self, now: Duration) -> Vec<Outgoing> {
-        let mut by_lender: IndexMap<Entry, Vec<GrantId>> = IndexMap::new();
-        let keep_idle = self.terms.keep_idle;
+        let mut by_lender: IndexMap<EntryIndex, Vec<GrantId>> = IndexMap::new();
+        let idle_timeout = self.terms.idle_timeout;
         for held in self.targets.values_mut() {
             held.reclaim(now);
-            for (lender, grant) in held.surplus(keep_idle, now) {
+            for (lender, grant) in held.surplus(idle_timeout, now) {
                 by_lender.entry(lender).or_default().push(grant);
             }
         }
@@ -246,20 +251,27 @@
             sent_at: now,
         });
         Outgoing {
-            to: Entry(u32::try_from(index).unwrap_or(u32::MAX)),
-            message: Message::Ask {
-                life: self.life,
+            to: EntryIndex(u32::try_from(index).unwrap_or(u32::MAX)),
+            message: Message::Request {
+                incarnation: self.incarnation,
                 serial,
                 count,
             },
         }
     }
 
-    fn lend(&mut self, to: Entry, life: u64, ask: u64, count: u32, now: Duration) -> Vec<Outgoing> {
+    fn lend(
+        &mut self,
+        to: EntryIndex,
+        incarnation: u64,
+        request: u64,
+        count: u32,
+        now: Duration,
+    ) -> Vec<Outgoing> {
         let Some(peer) = self.peers.get_mut(to.0 as usize) else {
             return Vec::new();
         };
-        if !peer.is_new(life, ask) {
+        if !peer.is_new(incarnation, request) {
             return Vec::new();
         }
         for held in self.targets.values_mut() {
@@ -274,8 +286,8 @@
         }
         let idle = self.targets.values().map(|held| held.home_free(now)).sum();
         let message = Message::Grants {
-            life,
-            ask,
+            incarnation,
+            request,
             grants,
             idle,
         };
@@ -293,14 +305,14 @@
         self.loans += 1;
         let id = GrantId {
             lender: self.me,
-            life: self.life,
+            incarnation: self.incarnation,
             serial: self.loans,
         };
         held.lent.insert(id, back_at);
         Some(Grant {
             id,
             target: name.clone(),
-            longest_request: self.terms.longest_request,
+            max_request_duration: self.terms.max_request_duration,
         })
     }
 
@@ -308,24 +320,25 @@
     /// here before it ends at the lender.
     fn borrow(
         &mut self,
-        from: Entry,
-        life: u64,
-        ask: u64,
+        from: EntryIndex,
+        incarnation: u64,
+        request: u64,
         grants: &[Grant],
         idle: u32,
         now: Duration,
     ) -> Vec<Outgoing> {
-        if life != self.life {
+        if incarnation != self.incarnation {
             return Vec::new();
         }
         let peer = self.peers.get_mut(from.0 as usize);
-        let Some(asked) = peer.and_then(|peer| peer.answered(ask, !grants.is_empty(), idle, now))
+        let Some(asked) =
+            peer.and_then(|peer| peer.answered(request, !grants.is_empty(), idle, now))
         else {
             return Vec::new();
         };
         let mut unwanted = Vec::new();
         for grant in grants {
-            let enough = grant.longest_request >= self.terms.longest_request;
+            let enough = grant.max_request_duration >= self.terms.max_request_duration;
             let held = self.targets.get_mut(&grant.target);
             let Some(held) = held.filter(|_| enough) else {
                 unwanted.push(grant.id);
--- a/crates/cleat-decide/src/slots/types.rs
+++ b/crates/cleat-decide/src/slots/types.rs
@@ -9,7 +9,7 @@
 
 /// An entry, by its position among all configured entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Entry(pub u32);
+pub struct EntryIndex(pub u32);
 
 /// A target, by its position in the order in which an entry learned of it.
 /// Valid at that entry only.
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
     /// The home of the slot.
-    pub lender: Entry,
+    pub lender: EntryIndex,
     /// The lender's life. Invariant: a restarted entry has another one.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the loan in this life.
     pub serial: u64,
 }
@@ -39,21 +39,21 @@
 
 /// How long a loan lasts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SlotTerms {
+pub struct LeaseTerms {
     /// For how long a borrower may start requests on a slot.
     pub lease: Duration,
     /// The longest that a request may run. Never lowered in a life, see
-    /// [`Slots::set_longest_request`](crate::Slots::set_longest_request).
-    pub longest_request: Duration,
+    /// [`Slots::set_max_request_duration`](crate::Slots::set_max_request_duration).
+    pub max_request_duration: Duration,
     /// For how long a borrower keeps a slot that it does not use.
-    pub keep_idle: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl SlotTerms {
+impl LeaseTerms {
     /// After this much time on any clock no request of a holder that is cut
     /// off, frozen or dead runs on a lent slot.
     pub fn reclaim_after(&self) -> Duration {
-        let whole = self.lease + self.longest_request;
+        let whole = self.lease + self.max_request_duration;
         whole + whole / DRIFT_PART
     }
 }
@@ -62,9 +62,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for slots.
-    Ask {
+    Request {
         /// The asker's life.
-        life: u64,
+        incarnation: u64,
         /// Rises with each ask in a life; an old or repeated one is ignored.
         serial: u64,
         /// How many slots.
@@ -73,9 +73,9 @@
     /// Answers one ask.
     Grants {
         /// The life that asked.
-        life: u64,
+        incarnation: u64,
         /// The ask's serial.
-        ask: u64,
+        request: u64,
         /// The loans, at most as many as asked for.
         grants: Vec<Grant>,
         /// How many more slots the lender could lend.
@@ -96,14 +96,14 @@
     /// The target's name.
     pub target: Box<str>,
     /// The longest request for which the lender waits after the lease.
-    pub longest_request: Duration,
+    pub max_request_duration: Duration,
 }
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
     /// Where to.
-    pub to: Entry,
+    pub to: EntryIndex,
     /// What.
     pub message: Message,
 }
--- a/crates/cleat-decide/tests/admission.rs
+++ b/crates/cleat-decide/tests/admission.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use cleat_decide::{Arrival, Arrived, Gate, Protections, Refusal, RefusalReason, Ticket};
+use cleat_decide::{
+    AdmissionController, AdmissionDecision, Arrival, Protections, Refusal, RefusalReason, Ticket,
+};
 use cleat_world::{FleetConfig, Service};
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
@@ -32,7 +34,7 @@
 
 /// A gate with its slots, and how each ticket ended.
 struct Model {
-    gate: Gate,
+    controller: AdmissionController,
     free: u32,
     slots: u32,
     running: Vec<(Ticket, Duration)>,
@@ -46,7 +48,7 @@
 impl Model {
     fn new(terms: Value, slots: u32, protections: Protections) -> Model {
         Model {
-            gate: Gate::with_protections(&service(terms), 1, protections),
+            controller: AdmissionController::with_protections(&service(terms), 1, protections),
             free: slots,
             slots,
             running: Vec::new(),
@@ -58,7 +60,7 @@
         }
     }
 
-    fn arrive(&mut self, caller: &str, allowed: Duration) -> Arrived {
+    fn arrive(&mut self, caller: &str, allowed: Duration) -> AdmissionDecision {
         self.next += 1;
         let ticket = Ticket(self.next);
         let deadline = self.now + allowed;
@@ -69,12 +71,12 @@
             caller,
             deadline,
         };
-        let arrived = self.gate.arrive(arrival, self.free, self.now);
+        let arrived = self.controller.admit(arrival, self.free, self.now);
         match arrived {
-            Arrived::Start => self.start(ticket),
-            Arrived::Wait => {}
-            Arrived::Displace { displaced, refusal } => self.refuse(displaced, &refusal),
-            Arrived::Refuse(refusal) => self.refuse(ticket, &refusal),
+            AdmissionDecision::Start => self.start(ticket),
+            AdmissionDecision::Wait => {}
+            AdmissionDecision::Displace { displaced, refusal } => self.refuse(displaced, &refusal),
+            AdmissionDecision::Refuse(refusal) => self.refuse(ticket, &refusal),
         }
         arrived
     }
@@ -101,7 +103,7 @@
         let (_, since) = (!self.running.is_empty()).then(|| self.running.remove(0))?;
         self.free += 1;
         let taken = self.now - since;
-        let released = self.gate.slot_freed(Some(taken), self.now);
+        let released = self.controller.slot_freed(Some(taken), self.now);
         for (ticket, refusal) in &released.refused {
             self.refuse(*ticket, refusal);
         }
@@ -112,15 +114,15 @@
     }
 
     fn expire(&mut self) {
-        for (ticket, refusal) in self.gate.expire(self.now) {
+        for (ticket, refusal) in self.controller.expire(self.now) {
             self.refuse(ticket, &refusal);
         }
-        assert!(self.gate.next_expiry().is_none_or(|at| at > self.now));
+        assert!(self.controller.next_expiry().is_none_or(|at| at > self.now));
     }
 
     fn cancel(&mut self, position: usize) {
         if let Some(ticket) = self.live.get_index(position).copied() {
-            self.gate.cancel(ticket);
+            self.controller.cancel(ticket);
             self.end(ticket, "cancelled");
         }
     }
@@ -167,11 +169,11 @@
                 Event::Pass(passed) => model.now += ms(passed),
                 Event::SetTerms(weight) => {
                     let terms = json!({"queue": {"length": 6}, "callers": {"desk": {"weight": weight}}});
-                    model.gate.set_terms(&service(terms));
+                    model.controller.reconfigure(&service(terms));
                 }
             }
-            prop_assert_eq!(model.gate.waiting(), model.live.len());
-            prop_assert!(model.gate.waiting() <= 6);
+            prop_assert_eq!(model.controller.waiting(), model.live.len());
+            prop_assert!(model.controller.waiting() <= 6);
             prop_assert_eq!(model.running.len() as u64, u64::from(model.slots - model.free));
         }
         model.now += ms(10_000);
@@ -233,10 +235,12 @@
     }
     let refused = model.arrive("batch", ms(60_000));
     let full = |refusal: Refusal| refusal.reason == RefusalReason::QueueFull;
-    assert!(matches!(refused, Arrived::Refuse(refusal) if full(refusal)));
+    assert!(matches!(refused, AdmissionDecision::Refuse(refusal) if full(refusal)));
     let other = model.arrive("school", ms(60_000));
-    assert!(matches!(other, Arrived::Displace { displaced, .. } if displaced == Ticket(5)));
-    assert_eq!(model.gate.waiting(), 4);
+    assert!(
+        matches!(other, AdmissionDecision::Displace { displaced, .. } if displaced == Ticket(5))
+    );
+    assert_eq!(model.controller.waiting(), 4);
 }
 
 #[test]
@@ -249,14 +253,18 @@
     for _ in 0..9 {
         model.arrive("batch", ms(60_000));
     }
-    assert_eq!(model.gate.waiting(), 8, "the bound is what keeps it at 4");
+    assert_eq!(
+        model.controller.waiting(),
+        8,
+        "the bound is what keeps it at 4"
+    );
 }
 
 /// The longest that any of a hundred refused requests of `caller` is told to
 /// stay away.
 fn longest_return(model: &mut Model, caller: &str) -> Duration {
     let refusals = (0..100).filter_map(|_| match model.arrive(caller, ms(60_000)) {
-        Arrived::Refuse(refusal) => Some(refusal.retry_after),
+        AdmissionDecision::Refuse(refusal) => Some(refusal.retry_after),
         _ => None,
     });
     refusals.max().unwrap_or_default()
@@ -301,7 +309,12 @@
         model.arrive("batch", ms(900_000));
     }
     let now = model.now;
-    let mut one = || model.gate.refuse(RefusalReason::NoTarget, now).retry_after;
+    let mut one = || {
+        model
+            .controller
+            .refuse(RefusalReason::NoTarget, now)
+            .retry_after
+    };
     let longest = (0..20).map(|_| one()).max().unwrap();
     assert!(
         longest < ms(10_000),
--- a/crates/cleat-decide/tests/choice.rs
+++ b/crates/cleat-decide/tests/choice.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cleat_decide::{
-    AttemptOutcome, Candidate, Health, Protections, choose, choose_with, eject_slow, free_slots,
-    share,
+    AttemptOutcome, Candidate, Health, Protections, choose_target, choose_target_with,
+    eject_slow_targets, free_slots, slot_share,
 };
 use proptest::prelude::*;
 
@@ -24,12 +24,12 @@
         any::<bool>(),
     )
         .prop_map(
-            |((in_flight, share), latency_us, ejected, warmth_percent, local)| Candidate {
+            |((in_flight, max_in_flight), latency_us, ejected, warm_up_percent, local)| Candidate {
                 in_flight,
-                share,
+                max_in_flight,
                 latency_us,
                 ejected,
-                warmth_percent,
+                warm_up_percent,
                 local,
             },
         )
@@ -39,7 +39,7 @@
 fn allowed(candidates: &[Candidate], chosen: usize) -> bool {
     let ejected_before = candidates[..chosen].iter().filter(|c| c.ejected).count();
     let c = candidates[chosen];
-    c.in_flight < c.share && (!c.ejected || ejected_before >= candidates.len() / 2)
+    c.in_flight < c.max_in_flight && (!c.ejected || ejected_before >= candidates.len() / 2)
 }
 
 proptest! {
@@ -47,30 +47,30 @@
 
     #[test]
     fn choose_any_candidates(candidates in prop::collection::vec(candidate(), 0..40), random: u64) {
-        let chosen = choose(&candidates, None, random);
+        let chosen = choose_target(&candidates, None, random);
         prop_assert_eq!(chosen.is_some(), free_slots(&candidates) > 0);
         if let Some(chosen) = chosen {
             prop_assert!(allowed(&candidates, chosen));
-            prop_assert_ne!(choose(&candidates, Some(chosen), random), Some(chosen));
+            prop_assert_ne!(choose_target(&candidates, Some(chosen), random), Some(chosen));
         }
     }
 
     #[test]
     fn share_any_target_sums_to_cap(name in "[a-z]{1,8}[0-9]{0,3}", cap in 0..200u32, count in 1..12usize) {
         let entries: Vec<Box<str>> = (0..count).map(|i| format!("e{i}").into()).collect();
-        let sum: u32 = entries.iter().map(|me| share(&name, cap, &entries, me)).sum();
+        let sum: u32 = entries.iter().map(|me| slot_share(&name, cap, &entries, me)).sum();
         prop_assert_eq!(sum, cap);
-        prop_assert_eq!(share(&name, cap, &entries, "stranger"), 0);
+        prop_assert_eq!(slot_share(&name, cap, &entries, "stranger"), 0);
     }
 }
 
 fn idle(ejected: bool) -> Candidate {
     Candidate {
         in_flight: 0,
-        share: 8,
+        max_in_flight: 8,
         latency_us: 10_000,
         ejected,
-        warmth_percent: 100,
+        warm_up_percent: 100,
         local: true,
     }
 }
@@ -79,7 +79,8 @@
 fn choose_all_ejected_keeps_half() {
     let all = [idle(true); 10];
     let chosen = |protections| {
-        (0..200).filter_map(move |i| choose_with(&[idle(true); 10], None, i << 55, &protections))
+        (0..200)
+            .filter_map(move |i| choose_target_with(&[idle(true); 10], None, i << 55, &protections))
     };
     assert!(chosen(Protections::ALL).all(|index| index >= 5));
     assert_eq!(chosen(Protections::ALL).count(), 200);
@@ -96,7 +97,8 @@
     let mut candidates = vec![idle(false); 2];
     candidates[0].latency_us = 30_000;
     let slow = |protections| {
-        let picks = (0..500u64).map(|i| choose_with(&candidates, None, i << 55, &protections));
+        let picks =
+            (0..500u64).map(|i| choose_target_with(&candidates, None, i << 55, &protections));
         picks.filter(|pick| *pick == Some(0)).count()
     };
     assert!(slow(Protections::ALL) < 20);
@@ -111,7 +113,7 @@
 fn eject_slow_far_from_most() {
     let mut candidates = vec![idle(false); 3];
     candidates[2].latency_us = 100_000;
-    eject_slow(&mut candidates);
+    eject_slow_targets(&mut candidates);
     let ejected: Vec<bool> = candidates.iter().map(|c| c.ejected).collect();
     assert_eq!(ejected, [false, false, true]);
 }
@@ -128,7 +130,7 @@
         let until = health.ejected_until(now).unwrap();
         away.push(until - now);
         now = until;
-        assert_eq!(health.warmth_percent(now), 10, "it starts slowly again");
+        assert_eq!(health.warm_up_percent(now), 10, "it starts slowly again");
         assert_eq!(health.latency_us(now), 0, "failures do not look quick");
     }
     assert_eq!(away, [ms(1_000), ms(2_000), ms(4_000), ms(8_000)]);
@@ -139,7 +141,7 @@
     let mut health = Health::new(ms(0));
     for i in 0..1_000u64 {
         let outcome = if i % 4 == 0 {
-            AttemptOutcome::Cut
+            AttemptOutcome::ConnectionLost
         } else {
             GOOD
         };
--- a/crates/cleat-decide/tests/retry.rs
+++ b/crates/cleat-decide/tests/retry.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use cleat_decide::{
-    AttemptOutcome, FinalOutcome, Protections, RequestFacts, RetryBudget, Verdict, verdict,
+    AttemptContext, AttemptOutcome, FinalOutcome, Protections, RetryBudget, RetryDecision,
+    decide_retry,
 };
 use cleat_world::Retry;
 use proptest::prelude::*;
@@ -17,7 +18,7 @@
     prop_oneof![
         (200..600u16).prop_map(|status| AttemptOutcome::Answered { status }),
         Just(AttemptOutcome::NotSent),
-        Just(AttemptOutcome::Cut),
+        Just(AttemptOutcome::ConnectionLost),
         Just(AttemptOutcome::TimedOut),
         Just(AttemptOutcome::Malformed),
     ]
@@ -34,18 +35,18 @@
     let (mut runs, mut tries) = (0, 0);
     for outcome in outcomes.iter().cycle() {
         tries += 1;
-        let facts = RequestFacts {
+        let facts = AttemptContext {
             idempotent,
-            tries,
-            max_tries: 3,
+            attempts: tries,
+            max_attempts: 3,
             remaining,
-            may_have_run: runs > 0,
-            expected: Duration::from_millis(20),
+            earlier_may_have_run: runs > 0,
+            expected_duration: Duration::from_millis(20),
         };
         runs += u32::from(outcome.may_have_run());
-        match verdict(outcome, facts, budget) {
-            Verdict::Retry => {}
-            Verdict::Answer(answer) => return (runs, tries, answer),
+        match decide_retry(outcome, facts, budget) {
+            RetryDecision::Retry => {}
+            RetryDecision::Answer(answer) => return (runs, tries, answer),
         }
     }
     unreachable!("no outcomes")
@@ -100,7 +101,7 @@
         at_most_once: false,
         ..Protections::ALL
     };
-    let cut = [(false, vec![AttemptOutcome::Cut], 100)];
+    let cut = [(false, vec![AttemptOutcome::ConnectionLost], 100)];
     assert!(breaks_promise(&cut, off));
     assert!(!breaks_promise(&cut, Protections::ALL));
 }
--- a/crates/cleat-decide/tests/slots.rs
+++ b/crates/cleat-decide/tests/slots.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use cleat_decide::{
-    Entry, Message, Outgoing, Protections, Slot, SlotTerms, Slots, TargetKey, share,
+    EntryIndex, LeaseTerms, Message, Outgoing, Protections, Slot, Slots, TargetKey, slot_share,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const TERMS: SlotTerms = SlotTerms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: Duration::from_millis(300),
-    longest_request: Duration::from_millis(400),
-    keep_idle: Duration::from_millis(50),
+    max_request_duration: Duration::from_millis(400),
+    idle_timeout: Duration::from_millis(50),
 };
 const TARGETS: [(&str, u32); 3] = [("r1", 8), ("r2", 5), ("r3", 1)];
 const STEP_MS: u64 = 5;
@@ -22,7 +22,7 @@
 struct Running {
     target: usize,
     entry: usize,
-    life: u64,
+    incarnation: u64,
     slot: Slot,
     ends_at: u64,
 }
@@ -30,7 +30,7 @@
 struct Node {
     slots: Slots,
     keys: Vec<TargetKey>,
-    life: u64,
+    incarnation: u64,
     started_at: u64,
     /// Thousandths by which its clock is fast.
     drift: i64,
@@ -72,9 +72,9 @@
         fleet
     }
 
-    fn start(&mut self, index: usize, life: u64, fresh: bool) -> Node {
-        let me = Entry(u32::try_from(index).expect("few entries"));
-        let slots = Slots::new(me, life, &self.names, TERMS, Duration::ZERO);
+    fn start(&mut self, index: usize, incarnation: u64, fresh: bool) -> Node {
+        let me = EntryIndex(u32::try_from(index).expect("few entries"));
+        let slots = Slots::new(me, incarnation, &self.names, TERMS, Duration::ZERO);
         let mut slots = slots.with_protections(self.protections);
         let keys = TARGETS
             .iter()
@@ -82,7 +82,7 @@
         Node {
             keys: keys.collect(),
             slots,
-            life,
+            incarnation,
             started_at: self.now,
             drift: self.rng.random_range(-9..=9),
             frozen_until: 0,
@@ -114,15 +114,16 @@
     fn end_requests(&mut self) {
         let (nodes, now) = (&self.nodes, self.now);
         // A frozen entry notices the end of its requests only when it thaws.
-        let unnoticed =
-            |r: &Running| r.life == nodes[r.entry].life && now < nodes[r.entry].frozen_until;
+        let unnoticed = |r: &Running| {
+            r.incarnation == nodes[r.entry].incarnation && now < nodes[r.entry].frozen_until
+        };
         let ended = |r: &mut Running| r.ends_at <= now && !unnoticed(r);
         let ended: Vec<Running> = self.running.extract_if(.., ended).collect();
         for request in ended {
             let local = self.local(request.entry);
             let node = &mut self.nodes[request.entry];
-            if node.life == request.life {
-                node.slots.end(request.slot, local);
+            if node.incarnation == request.incarnation {
+                node.slots.release(request.slot, local);
             }
         }
     }
@@ -136,8 +137,10 @@
         for (_, from, out) in due {
             let to = out.to.0 as usize;
             let local = self.local(to);
-            let from_entry = Entry(u32::try_from(from).expect("few entries"));
-            let answers = self.nodes[to].slots.receive(from_entry, out.message, local);
+            let from_entry = EntryIndex(u32::try_from(from).expect("few entries"));
+            let answers = self.nodes[to]
+                .slots
+                .handle_message(from_entry, out.message, local);
             self.send(to, answers);
         }
     }
@@ -164,7 +167,7 @@
         let index = self.rng.random_range(0..self.nodes.len());
         let lasting = self.now + self.rng.random_range(50..2_000);
         match self.rng.random_range(0..400) {
-            0 => self.nodes[index] = self.start(index, self.nodes[index].life + 1, false),
+            0 => self.nodes[index] = self.start(index, self.nodes[index].incarnation + 1, false),
             1 | 2 => self.nodes[index].frozen_until = lasting,
             3 => self.cut_off = (index, lasting),
             _ => {}
@@ -188,24 +191,24 @@
         let mut waiting = 0;
         for _ in 0..arrivals {
             let target = self.rng.random_range(0..TARGETS.len());
-            waiting += u32::from(!self.begin(index, target, local));
+            waiting += u32::from(!self.acquire(index, target, local));
         }
-        let out = self.nodes[index].slots.want(waiting, local);
+        let out = self.nodes[index].slots.request_slots(waiting, local);
         self.send(index, out);
     }
 
-    fn begin(&mut self, index: usize, target: usize, local: Duration) -> bool {
+    fn acquire(&mut self, index: usize, target: usize, local: Duration) -> bool {
         let node = &mut self.nodes[index];
-        let Some(slot) = node.slots.begin(node.keys[target], local) else {
+        let Some(slot) = node.slots.acquire(node.keys[target], local) else {
             return false;
         };
         self.begun_on_loan += u64::from(slot.grant.is_some());
-        let longest = u64::try_from(TERMS.longest_request.as_millis()).expect("short");
+        let longest = u64::try_from(TERMS.max_request_duration.as_millis()).expect("short");
         let takes = self.rng.random_range(1..=longest);
         self.running.push(Running {
             target,
             entry: index,
-            life: node.life,
+            incarnation: node.incarnation,
             slot,
             ends_at: self.now + takes,
         });
@@ -260,7 +263,8 @@
         let node = &mut fleet.nodes[index];
         node.slots.tick(local);
         let usable = node.keys.iter().map(|key| node.slots.usable(*key, local));
-        let home = |(name, cap): &(&str, u32)| share(name, *cap, &fleet.names, &fleet.names[index]);
+        let home =
+            |(name, cap): &(&str, u32)| slot_share(name, *cap, &fleet.names, &fleet.names[index]);
         assert_eq!(usable.sum::<u32>(), TARGETS.iter().map(home).sum::<u32>());
     }
 }
@@ -268,17 +272,21 @@
 #[test]
 fn receive_ask_again_lends_once() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
-    let mut slots = Slots::new(Entry(0), 1, &names, TERMS, Duration::ZERO);
+    let mut slots = Slots::new(EntryIndex(0), 1, &names, TERMS, Duration::ZERO);
     let key = slots.set_target("r1", 8, true);
-    let ask = Message::Ask {
-        life: 1,
+    let ask = Message::Request {
+        incarnation: 1,
         serial: 1,
         count: 2,
     };
-    let first = slots.receive(Entry(1), ask.clone(), Duration::ZERO);
+    let first = slots.handle_message(EntryIndex(1), ask.clone(), Duration::ZERO);
     assert_eq!(first.len(), 1);
     assert_eq!(slots.usable(key, Duration::ZERO), 2);
-    assert!(slots.receive(Entry(1), ask, Duration::ZERO).is_empty());
+    assert!(
+        slots
+            .handle_message(EntryIndex(1), ask, Duration::ZERO)
+            .is_empty()
+    );
     assert_eq!(slots.usable(key, Duration::ZERO), 2);
 }
 
@@ -286,8 +294,8 @@
 fn exchange(nodes: &mut [Slots; 2], from: usize, out: Vec<Outgoing>, now: Duration) {
     for out in out {
         let to = out.to.0 as usize;
-        let sender = Entry(u32::try_from(from).expect("two entries"));
-        let answers = nodes[to].receive(sender, out.message, now);
+        let sender = EntryIndex(u32::try_from(from).expect("two entries"));
+        let answers = nodes[to].handle_message(sender, out.message, now);
         exchange(nodes, to, answers, now);
     }
 }
@@ -295,24 +303,27 @@
 #[test]
 fn tick_idle_loan_goes_home() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
-    let start = |index| Slots::new(Entry(index), 1, &names, TERMS, Duration::ZERO);
+    let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
     let key = nodes[0].set_target("r1", 8, true);
     let other = nodes[1].set_target("r1", 8, true);
     let mut now = Duration::ZERO;
-    let out = nodes[1].want(1, now);
+    let out = nodes[1].request_slots(1, now);
     exchange(&mut nodes, 1, out, now);
     let split = |nodes: &[Slots; 2], now| (nodes[0].usable(key, now), nodes[1].usable(other, now));
     assert_eq!(split(&nodes, now), (3, 5));
 
-    let busy: Vec<Slot> = (0..5).filter_map(|_| nodes[1].begin(other, now)).collect();
-    now += TERMS.keep_idle * 2;
+    let busy: Vec<Slot> = (0..5)
+        .filter_map(|_| nodes[1].acquire(other, now))
+        .collect();
+    now += TERMS.idle_timeout * 2;
     let out = nodes[1].tick(now);
     exchange(&mut nodes, 1, out, now);
     assert_eq!(split(&nodes, now), (3, 5), "a loan in use stays");
 
-    busy.into_iter().for_each(|slot| nodes[1].end(slot, now));
-    now += TERMS.keep_idle;
+    busy.into_iter()
+        .for_each(|slot| nodes[1].release(slot, now));
+    now += TERMS.idle_timeout;
     assert!(now < TERMS.lease);
     let out = nodes[1].tick(now);
     exchange(&mut nodes, 1, out, now);
@@ -322,22 +333,22 @@
 #[test]
 fn borrow_grant_for_shorter_requests_goes_back() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
-    let start = |index| Slots::new(Entry(index), 1, &names, TERMS, Duration::ZERO);
+    let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
     let now = Duration::ZERO;
     let lender = nodes[0].set_target("r1", 8, true);
     let borrower = nodes[1].set_target("r1", 8, true);
-    let out = nodes[1].want(1, now);
+    let out = nodes[1].request_slots(1, now);
     exchange(&mut nodes, 1, out, now);
     assert_eq!(nodes[1].usable(borrower, now), 5);
 
     // The borrower learns first that requests may take longer.
-    nodes[1].set_longest_request(TERMS.longest_request * 2);
+    nodes[1].set_max_request_duration(TERMS.max_request_duration * 2);
     assert_eq!(nodes[1].usable(borrower, now), 4, "the loan ends");
     let later = now + Duration::from_millis(200);
     let out = nodes[1].tick(later);
     exchange(&mut nodes, 1, out, later);
-    let out = nodes[1].want(1, later);
+    let out = nodes[1].request_slots(1, later);
     exchange(&mut nodes, 1, out, later);
     assert_eq!(nodes[1].usable(borrower, later), 4);
     assert_eq!(nodes[0].usable(lender, later), 4);
@@ -346,15 +357,15 @@
 #[test]
 fn begin_until_loan_is_bounded() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
-    let start = |index| Slots::new(Entry(index), 1, &names, TERMS, Duration::ZERO);
+    let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
     let now = Duration::from_millis(10);
     nodes[0].set_target("r1", 2, true);
     let key = nodes[1].set_target("r1", 2, true);
-    let out = nodes[1].want(1, now);
+    let out = nodes[1].request_slots(1, now);
     exchange(&mut nodes, 1, out, now);
-    let home = nodes[1].begin(key, now).expect("the slot at home");
-    assert_eq!(nodes[1].begin_until(home), None);
-    let loan = nodes[1].begin(key, now).expect("the loan");
-    assert_eq!(nodes[1].begin_until(loan), Some(now + TERMS.lease));
+    let home = nodes[1].acquire(key, now).expect("the slot at home");
+    assert_eq!(nodes[1].start_deadline(home), None);
+    let loan = nodes[1].acquire(key, now).expect("the loan");
+    assert_eq!(nodes[1].start_deadline(loan), Some(now + TERMS.lease));
 }
--- a/crates/cleat-entry/src/answer/stream.rs
+++ b/crates/cleat-entry/src/answer/stream.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cleat_decide::{AttemptOutcome, RequestFacts};
+use cleat_decide::{AttemptContext, AttemptOutcome};
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 use tokio::task::AbortHandle;
@@ -171,11 +171,11 @@
 }
 
 /// The answer was begun: nothing but its end can follow.
-const FINAL: RequestFacts = RequestFacts {
+const FINAL: AttemptContext = AttemptContext {
     idempotent: false,
-    tries: 1,
-    max_tries: 1,
+    attempts: 1,
+    max_attempts: 1,
     remaining: Duration::ZERO,
-    may_have_run: true,
-    expected: Duration::ZERO,
+    earlier_may_have_run: true,
+    expected_duration: Duration::ZERO,
 };
--- a/crates/cleat-entry/src/problem/kind.rs
+++ b/crates/cleat-entry/src/problem/kind.rs
@@ -227,7 +227,7 @@
             RefusalReason::Displaced => K::Displaced,
             RefusalReason::CannotFinishInTime => K::CannotFinishInTime,
             RefusalReason::NoTarget => K::NoTarget,
-            RefusalReason::TriesUsedUp => K::TargetsUnreachable,
+            RefusalReason::AttemptsExhausted => K::TargetsUnreachable,
         }
     }
 }
--- a/crates/cleat-entry/src/route/publisher.rs
+++ b/crates/cleat-entry/src/route/publisher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_decide::share;
+use cleat_decide::slot_share;
 use cleat_world::{Service, Target as Announced, World};
 use indexmap::IndexMap;
 use tokio::sync::mpsc;
@@ -174,7 +174,7 @@
                 slots
             }
         };
-        slots.set_connections(share(name, said.connections, &cfg.entries, &cfg.name));
+        slots.set_connections(slot_share(name, said.connections, &cfg.entries, &cfg.name));
         self.slots.insert(name.into(), Arc::clone(&slots));
         slots
     }
--- a/crates/cleat-entry/src/service/admission.rs
+++ b/crates/cleat-entry/src/service/admission.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cleat_decide::{Arrival, Arrived, Refusal, RefusalReason};
+use cleat_decide::{AdmissionDecision, Arrival, Refusal, RefusalReason};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -46,15 +46,15 @@
         };
         let mut inner = self.lock();
         let (arrived, placed) = inner.arrive(arrival, now);
-        if let (Arrived::Start, Some(placed)) = (arrived, placed) {
+        if let (AdmissionDecision::Start, Some(placed)) = (arrived, placed) {
             let slot = Slot::new(Arc::clone(self), placed, now);
             return Ok(Admission::Started(slot));
         }
         match arrived {
-            Arrived::Refuse(refusal) => Err(refusal),
+            AdmissionDecision::Refuse(refusal) => Err(refusal),
             // The gate starts nothing while nothing is free.
-            Arrived::Start => Err(inner.refuse(RefusalReason::NoTarget, now)),
-            Arrived::Wait | Arrived::Displace { .. } => {
+            AdmissionDecision::Start => Err(inner.refuse(RefusalReason::NoTarget, now)),
+            AdmissionDecision::Wait | AdmissionDecision::Displace { .. } => {
                 let (tx, rx) = oneshot::channel();
                 inner.wait(ticket, tx);
                 self.slots().want(inner.missing());
--- a/crates/cleat-entry/src/service/inner.rs
+++ b/crates/cleat-entry/src/service/inner.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cleat_decide::{
-    Arrival, Arrived, Candidate, Gate, Refusal, RefusalReason, RetryBudget, Ticket, choose,
-    eject_slow, free_slots,
+    AdmissionController, AdmissionDecision, Arrival, Candidate, Refusal, RefusalReason,
+    RetryBudget, Ticket, choose_target, eject_slow_targets, free_slots,
 };
 use cleat_world::Service;
 use rand::rngs::SmallRng;
@@ -21,7 +21,7 @@
 
 pub(super) struct Inner {
     terms: Service,
-    gate: Gate,
+    gate: AdmissionController,
     budget: RetryBudget,
     targets: Vec<Arc<Target>>,
     /// Invariant: exactly the tickets that wait in `gate`.
@@ -37,7 +37,7 @@
     pub(super) fn new(terms: &Service, seed: u64) -> Inner {
         Inner {
             terms: terms.clone(),
-            gate: Gate::new(terms, seed),
+            gate: AdmissionController::new(terms, seed),
             budget: RetryBudget::new(&terms.retry, seed),
             targets: Vec::new(),
             waiting: HashMap::new(),
@@ -52,8 +52,8 @@
             return;
         }
         self.terms = terms.clone();
-        self.gate.set_terms(terms);
-        self.budget.set_terms(&terms.retry);
+        self.gate.reconfigure(terms);
+        self.budget.reconfigure(&terms.retry);
     }
 
     pub(super) fn set_targets(&mut self, targets: Vec<Arc<Target>>) {
@@ -96,8 +96,8 @@
         &mut self.budget
     }
 
-    pub(super) fn quick_service_time(&self) -> Duration {
-        self.gate.quick_service_time()
+    pub(super) fn service_time_p10(&self) -> Duration {
+        self.gate.service_time_p10()
     }
 
     pub(super) fn refuse(&mut self, reason: RefusalReason, now: Duration) -> Refusal {
@@ -109,10 +109,10 @@
         &mut self,
         arrival: Arrival<'_>,
         now: Duration,
-    ) -> (Arrived, Option<Placed>) {
+    ) -> (AdmissionDecision, Option<Placed>) {
         if !self.has_capacity() {
             let refusal = self.refuse(RefusalReason::NoTarget, now);
-            return (Arrived::Refuse(refusal), None);
+            return (AdmissionDecision::Refuse(refusal), None);
         }
         self.look(now);
         let free = free_slots(&self.candidates);
@@ -120,12 +120,12 @@
         let starts = free > 0 && self.gate.waiting() == 0;
         let placed = starts.then(|| self.place(None)).flatten();
         let free = if placed.is_some() { free } else { 0 };
-        let arrived = self.gate.arrive(arrival, free, now);
-        if let Arrived::Displace { displaced, refusal } = arrived {
+        let arrived = self.gate.admit(arrival, free, now);
+        if let AdmissionDecision::Displace { displaced, refusal } = arrived {
             self.refuse_ticket(displaced, refusal);
         }
         match (arrived, placed) {
-            (Arrived::Start, placed) => (arrived, placed),
+            (AdmissionDecision::Start, placed) => (arrived, placed),
             (arrived, Some(unused)) => {
                 unused.target.release(unused.taken);
                 (arrived, None)
@@ -171,7 +171,7 @@
         let candidates = self.targets.iter().map(|target| target.candidate(now));
         self.candidates.clear();
         self.candidates.extend(candidates);
-        eject_slow(&mut self.candidates);
+        eject_slow_targets(&mut self.candidates);
     }
 
     /// Chooses a target and takes a slot of it. Call [`Inner::look`] before.
@@ -179,7 +179,7 @@
         let is_excluded = |target: &Arc<Target>| exclude.is_some_and(|e| Arc::ptr_eq(e, target));
         let exclude = exclude.and_then(|_| self.targets.iter().position(is_excluded));
         loop {
-            let index = choose(&self.candidates, exclude, self.random.next_u64())?;
+            let index = choose_target(&self.candidates, exclude, self.random.next_u64())?;
             let target = &self.targets[index];
             let candidate = &mut self.candidates[index];
             if let Some(taken) = target.acquire() {
@@ -187,7 +187,7 @@
                 let target = Arc::clone(target);
                 return Some(Placed { target, taken });
             }
-            candidate.share = 0;
+            candidate.max_in_flight = 0;
         }
     }
 
--- a/crates/cleat-entry/src/service/retry.rs
+++ b/crates/cleat-entry/src/service/retry.rs
@@ -95,7 +95,7 @@
     fn begin_retry(self: &Arc<Self>, before: &Arc<Target>, deadline: Instant) -> Begun {
         let now = self.now();
         let mut inner = self.lock();
-        let expected = inner.quick_service_time().max(TRY_TIME_MIN);
+        let expected = inner.service_time_p10().max(TRY_TIME_MIN);
         let latest = self.at(deadline).saturating_sub(expected);
         if !inner.has_capacity() || now >= latest {
             return Begun::Hopeless;
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use cleat_decide::{AttemptOutcome, Message, RequestFacts, Ticket, Verdict, verdict};
+use cleat_decide::{AttemptContext, AttemptOutcome, Message, RetryDecision, Ticket, decide_retry};
 use cleat_world::Service;
 use tokio::runtime::Handle;
 use tokio::time::{Instant, sleep};
@@ -126,8 +126,8 @@
         self: &Arc<Self>,
         mut slot: Slot,
         outcome: AttemptOutcome,
-        mut facts: RequestFacts,
-    ) -> Verdict {
+        mut facts: AttemptContext,
+    ) -> RetryDecision {
         let now = self.now();
         let latency = slot.age(now);
         let target = slot.disarm(now);
@@ -138,8 +138,8 @@
         if let Some(target) = target {
             target.release();
         }
-        facts.expected = inner.quick_service_time();
-        let verdict = verdict(&outcome, facts, inner.budget());
+        facts.expected_duration = inner.service_time_p10();
+        let verdict = decide_retry(&outcome, facts, inner.budget());
         inner.fill(self, sample, now);
         verdict
     }
--- a/crates/cleat-entry/src/target/service_slots.rs
+++ b/crates/cleat-entry/src/target/service_slots.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use cleat_decide::{Entry, Message, Outgoing, SlotTerms, TargetKey};
+use cleat_decide::{EntryIndex, LeaseTerms, Message, Outgoing, TargetKey};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -56,13 +56,13 @@
         epoch: Instant,
         outbox: mpsc::Sender<SlotMessage>,
     ) -> ServiceSlots {
-        let terms = SlotTerms {
+        let terms = LeaseTerms {
             lease: LEASE,
-            longest_request,
-            keep_idle: KEEP_IDLE,
+            max_request_duration: longest_request,
+            idle_timeout: KEEP_IDLE,
         };
         let me = cfg.entries.iter().position(|name| *name == cfg.name);
-        let me = Entry(index(me.unwrap_or(usize::MAX)));
+        let me = EntryIndex(index(me.unwrap_or(usize::MAX)));
         // What ran before this life began is over later than that by the time
         // that the decisions count from the epoch.
         let slots = cleat_decide::Slots::new(me, cfg.life, &cfg.entries, terms, Duration::ZERO);
@@ -78,9 +78,9 @@
         }
     }
 
-    /// See [`cleat_decide::Slots::set_longest_request`].
+    /// See [`cleat_decide::Slots::set_max_request_duration`].
     pub(crate) fn set_longest_request(&self, longest: Duration) {
-        self.lock().slots.set_longest_request(longest);
+        self.lock().slots.set_max_request_duration(longest);
     }
 
     /// A handle on the slots of a target that was not known or left.
@@ -103,10 +103,10 @@
         machine.refresh(self.now());
     }
 
-    /// See [`cleat_decide::Slots::hold_back`].
+    /// See [`cleat_decide::Slots::withhold_home_slots`].
     pub(crate) fn hold_back(&self, key: TargetKey) {
         let mut machine = self.lock();
-        machine.slots.hold_back(key, self.now());
+        machine.slots.withhold_home_slots(key, self.now());
         machine.refresh(self.now());
     }
 
@@ -119,15 +119,15 @@
 
     pub(super) fn begin(&self, key: TargetKey) -> Option<Taken> {
         let mut machine = self.lock();
-        let slot = machine.slots.begin(key, self.now())?;
-        let until = machine.slots.begin_until(slot);
+        let slot = machine.slots.acquire(key, self.now())?;
+        let until = machine.slots.start_deadline(slot);
         let begin_until = until.map(|until| self.epoch + until);
         Some(Taken { slot, begin_until })
     }
 
     pub(super) fn end(&self, taken: Taken) {
         let now = self.now();
-        self.lock().slots.end(taken.slot, now);
+        self.lock().slots.release(taken.slot, now);
     }
 
     /// Asks the others for slots for `count` waiting requests.
@@ -136,7 +136,7 @@
             return;
         }
         let now = self.now();
-        let out = self.lock().slots.want(count, now);
+        let out = self.lock().slots.request_slots(count, now);
         self.send(out);
     }
 
@@ -147,7 +147,9 @@
         };
         let now = self.now();
         let mut machine = self.lock();
-        let out = machine.slots.receive(Entry(index(from)), message, now);
+        let out = machine
+            .slots
+            .handle_message(EntryIndex(index(from)), message, now);
         machine.refresh(now);
         drop(machine);
         self.send(out);
--- a/crates/cleat-entry/src/target/target.rs
+++ b/crates/cleat-entry/src/target/target.rs
@@ -49,10 +49,10 @@
         let health = self.health();
         Candidate {
             in_flight: self.slots.in_flight(),
-            share: self.slots.share(),
+            max_in_flight: self.slots.share(),
             latency_us: health.latency_us(now),
             ejected: health.is_ejected(now),
-            warmth_percent: health.warmth_percent(now),
+            warm_up_percent: health.warm_up_percent(now),
             local: self.local,
         }
     }
--- a/crates/cleat-entry/src/tries/run.rs
+++ b/crates/cleat-entry/src/tries/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cleat_decide::{FinalOutcome, RequestFacts, UnknownReason, Verdict};
+use cleat_decide::{AttemptContext, FinalOutcome, RetryDecision, UnknownReason};
 use http::Version;
 use http::header::CONTENT_LENGTH;
 use http::response::Parts;
@@ -98,7 +98,7 @@
         let service = Arc::clone(slot.service());
         let verdict = service.conclude(slot, outcome, self.facts(progress));
         match (verdict, target) {
-            (Verdict::Retry, Some(target)) => {
+            (RetryDecision::Retry, Some(target)) => {
                 progress.fallback = Some(answer);
                 self.again(target, true, progress)
             }
@@ -112,15 +112,17 @@
         let service = Arc::clone(slot.service());
         let verdict = service.conclude(slot, outcome, self.facts(progress));
         match (verdict, target) {
-            (Verdict::Retry, Some(target)) => self.again(target, outcome.may_have_run(), progress),
+            (RetryDecision::Retry, Some(target)) => {
+                self.again(target, outcome.may_have_run(), progress)
+            }
             (
-                Verdict::Answer(FinalOutcome::NotRun {
+                RetryDecision::Answer(FinalOutcome::NotRun {
                     reason,
                     retry_after,
                 }),
                 _,
             ) => Step::Done(Err(Problem::retry_after(reason.into(), retry_after))),
-            (Verdict::Answer(FinalOutcome::Unknown { reason }), _) => {
+            (RetryDecision::Answer(FinalOutcome::Unknown { reason }), _) => {
                 let kind = unknown(reason, failure);
                 Step::Done(progress.or_fallback(kind))
             }
@@ -139,18 +141,18 @@
         Step::Again(target)
     }
 
-    fn facts(&self, progress: &Progress) -> RequestFacts {
-        RequestFacts {
+    fn facts(&self, progress: &Progress) -> AttemptContext {
+        AttemptContext {
             idempotent: self.idempotent,
-            tries: progress.tries,
-            max_tries: self.tries_max,
+            attempts: progress.tries,
+            max_attempts: self.tries_max,
             remaining: self
                 .terms
                 .deadline
                 .saturating_duration_since(Instant::now()),
-            may_have_run: progress.may_have_run,
+            earlier_may_have_run: progress.may_have_run,
             // The service knows it and fills it in.
-            expected: std::time::Duration::ZERO,
+            expected_duration: std::time::Duration::ZERO,
         }
     }
 
@@ -177,9 +179,9 @@
 
 fn unknown(reason: UnknownReason, failure: Failure) -> ProblemKind {
     match (reason, failure) {
-        (UnknownReason::EarlierTry, _) => ProblemKind::EarlierTry,
+        (UnknownReason::EarlierAttempt, _) => ProblemKind::EarlierTry,
         (UnknownReason::TimedOut, _) => ProblemKind::TargetLate,
-        (UnknownReason::Cut, _) => ProblemKind::TargetCut,
+        (UnknownReason::ConnectionLost, _) => ProblemKind::TargetCut,
         (UnknownReason::Malformed, Failure::Unframed) => ProblemKind::AnswerUnframed,
         (UnknownReason::Malformed, Failure::Surplus) => ProblemKind::AnswerSurplus,
         (UnknownReason::Malformed, _) => ProblemKind::AnswerMalformed,
--- a/crates/cleat-entry/src/upstream/failure.rs
+++ b/crates/cleat-entry/src/upstream/failure.rs
@@ -25,7 +25,7 @@
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match self {
             Failure::NotSent => AttemptOutcome::NotSent,
-            Failure::Cut => AttemptOutcome::Cut,
+            Failure::Cut => AttemptOutcome::ConnectionLost,
             Failure::Late => AttemptOutcome::TimedOut,
             Failure::Malformed | Failure::Unframed | Failure::Surplus => AttemptOutcome::Malformed,
         }
