--- a/crates/cleat-decide/src/lib.rs
+++ b/crates/cleat-decide/src/lib.rs
@@ -1,14 +1,16 @@
-//! Pure decisions of the request path and of control: (state, event, now) to
-//! effects.
+//! The decision logic of the request path and of slot sharing between entries,
+//! without side effects.
 //!
-//! Time is a monotonic `Duration` since the process's start, passed in as
-//! `now`; randomness is a seed or a number passed in. Nothing here locks, waits
-//! or does I/O.
+//! Each decision is a function of a state, an event and the current time.
+//!
+//! Time is a monotonic `Duration` since the process started, passed in as
+//! `now`. Randomness is passed in too, as a seed or as a random number. Nothing
+//! here takes locks, blocks or performs I/O.
 
 mod protections;
 mod request;
+mod retry_jitter;
 mod slots;
-mod spread;
 
 #[doc(hidden)]
 pub use protections::Protections;
--- a/crates/cleat-decide/src/protections.rs
+++ b/crates/cleat-decide/src/protections.rs
@@ -1,54 +1,56 @@
-//! Switches that let a test show that its check notices a missing protection.
+//! Switches that disable individual protections, so that tests can show that
+//! their checks detect the loss of one.
 
-/// The protections of the decisions, all on by default.
+/// The protections that the decisions apply. All are enabled by default.
 ///
-/// Only tests turn one off: a check that stays green without the protection
-/// that it is meant for proves nothing.
+/// Only tests disable one: a check that still passes without the protection
+/// that it covers proves nothing.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Protections {
-    /// Callers are served by weight rather than in order of arrival, and a
-    /// full queue displaces the caller that is furthest over its share.
+    /// Callers are served by weight instead of in order of arrival, and a full
+    /// queue displaces a request of the caller furthest above its share.
     pub fair_queue: bool,
-    /// The queue's length is bounded.
-    pub queue_bound: bool,
-    /// Requests that cannot finish in time are refused, not started.
+    /// The length of the queue is limited.
+    pub queue_limit: bool,
+    /// Requests that cannot finish before their deadline are refused without
+    /// being started.
     pub deadline: bool,
     /// Quotas are enforced.
     pub quota: bool,
-    /// The times to come back are spread.
-    pub spread: bool,
-    /// A request is only retried if no second run can come of it.
+    /// The retry-after times of refused requests are spread at random.
+    pub retry_jitter: bool,
+    /// A request is retried only if the retry cannot make it run twice.
     pub at_most_once: bool,
-    /// Retries are limited to a share of successes.
+    /// Retries are limited to a percentage of successful attempts.
     pub retry_budget: bool,
-    /// No try goes to a target that holds its share of slots.
-    pub share_cap: bool,
+    /// A target at this entry's limit of concurrent requests gets no attempt.
+    pub slot_limit: bool,
     /// Failing targets are ejected.
     pub ejection: bool,
-    /// At most a share of the targets counts as ejected.
-    pub ejection_bound: bool,
-    /// Latency counts in the choice of a target.
-    pub latency: bool,
-    /// A holder that is cut off keeps its slots until its lease and the
-    /// longest request deadline have passed.
+    /// At most a fixed percentage of the targets is treated as ejected.
+    pub ejection_limit: bool,
+    /// The choice of a target takes latency into account.
+    pub latency_weighting: bool,
+    /// A lender reclaims a slot from an unreachable borrower only after the
+    /// lease plus the maximum duration of a request.
     pub lease_grace: bool,
 }
 
 impl Protections {
-    /// Everything on.
+    /// All protections enabled.
     pub const ALL: Protections = Protections {
         fair_queue: true,
-        queue_bound: true,
+        queue_limit: true,
         deadline: true,
         quota: true,
-        spread: true,
+        retry_jitter: true,
         at_most_once: true,
         retry_budget: true,
-        share_cap: true,
+        slot_limit: true,
         ejection: true,
-        ejection_bound: true,
-        latency: true,
+        ejection_limit: true,
+        latency_weighting: true,
         lease_grace: true,
     };
 }
--- a/crates/cleat-decide/src/request/admission/flow.rs
+++ b/crates/cleat-decide/src/request/admission/flow.rs
@@ -1,4 +1,4 @@
-//! One caller at a gate.
+//! The state of one caller at an admission controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,60 +6,60 @@
 use cleat_world::CallerTerms;
 
 use super::Ticket;
-use super::pace::Pace;
-use super::quota::QuotaUse;
-use crate::spread::Returns;
+use super::quota::QuotaUsage;
+use super::release_interval::ReleaseInterval;
+use crate::retry_jitter::PendingReturns;
 
-/// Virtual time that one request costs at weight 1. Large, so that heavy
-/// weights still divide it finely.
+/// The virtual time that one request costs at weight 1. Large, so that the
+/// division by a large weight still has a fine resolution.
 const COST: u128 = 1 << 40;
 
-/// A small key of a caller known to a gate.
+/// Identifies a caller known to an admission controller, by its index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct FlowId(pub(super) u32);
 
-/// Where a request stands among those of its caller: the earliest deadline
-/// first, then in order of arrival.
+/// The order of the requests of one caller: by deadline, then by arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueueKey {
     pub(super) deadline: Duration,
     pub(super) serial: u64,
 }
 
-/// A caller's waiting requests and its account.
+/// A caller's waiting requests, settings and accounting.
 #[derive(Debug)]
 pub(super) struct Flow {
     pub(super) terms: CallerTerms,
-    pub(super) quota_use: QuotaUse,
-    /// Virtual time at which its next request is due. Invariant: at least that
-    /// of the last request started from here while it had requests waiting.
-    pub(super) due: u128,
-    pub(super) waiting: BTreeMap<Place, Ticket>,
-    /// How fast its own requests start while some wait.
-    pub(super) pace: Pace,
-    /// Its refused requests that are still due to return.
-    pub(super) returns: Returns,
+    pub(super) quota_usage: QuotaUsage,
+    /// The virtual time at which its next request is due. Invariant: at least the
+    /// due time of the last request that it started from the queue.
+    pub(super) next_due: u128,
+    pub(super) waiting: BTreeMap<QueueKey, Ticket>,
+    /// The average time between two starts of its requests while some wait.
+    pub(super) start_interval: ReleaseInterval,
+    /// The expected returns of its refused requests.
+    pub(super) returns: PendingReturns,
 }
 
 impl Flow {
     pub(super) fn new(terms: CallerTerms) -> Flow {
         Flow {
             terms,
-            quota_use: QuotaUse::default(),
-            due: 0,
+            quota_usage: QuotaUsage::default(),
+            next_due: 0,
             waiting: BTreeMap::new(),
-            pace: Pace::default(),
-            returns: Returns::default(),
+            start_interval: ReleaseInterval::default(),
+            returns: PendingReturns::default(),
         }
     }
 
-    /// Virtual time that one request of this caller costs.
+    /// The virtual time that one request of this caller costs.
     pub(super) fn cost(&self) -> u128 {
         COST / u128::from(self.terms.weight.max(1))
     }
 
-    /// Virtual time at which its last waiting request is due.
-    pub(super) fn tail(&self) -> u128 {
-        self.due + self.cost() * self.waiting.len() as u128
+    /// The virtual time at which its last waiting request is finished: the due time
+    /// of a request after it.
+    pub(super) fn finish(&self) -> u128 {
+        self.next_due + self.cost() * self.waiting.len() as u128
     }
 }
--- a/crates/cleat-decide/src/request/admission/flows.rs
+++ b/crates/cleat-decide/src/request/admission/flows.rs
@@ -1,4 +1,4 @@
-//! The callers known to a gate.
+//! The callers known to an admission controller.
 
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use super::queue::FairQueue;
 use super::quota;
 
-/// Idle callers are looked for when this many more are known than after the
-/// last look.
+/// Idle callers are removed when at least this many were added since the last
+/// sweep.
 const SWEEP_AFTER: usize = 256;
 
-/// Arena of callers. One is forgotten when nothing of it waits and neither its
-/// share nor its quota would decide otherwise for a newcomer.
+/// An arena of callers. A caller is removed when none of its requests wait and
+/// its fair share and quota are the same as those of a new caller.
 #[derive(Debug, Default)]
 pub(super) struct Flows {
     names: IndexMap<Box<str>, FlowId>,
-    /// Invariant: every id in `names` is below its length and not in `free`.
+    /// Invariant: every id in `names` is a valid index and not in `free`.
     arena: Vec<Flow>,
     free: Vec<FlowId>,
     sweep_at: usize,
 }
 
 impl Flows {
-    /// The caller's flow, known from now on.
-    pub(super) fn enter(
+    /// The caller's id; adds the caller if it is unknown.
+    pub(super) fn get_or_insert(
         &mut self,
         caller: &str,
         service: &Service,
@@ -41,16 +41,16 @@
             self.sweep(queue.virtual_now(), now);
             self.sweep_at = self.names.len() + SWEEP_AFTER.max(self.names.len());
         }
-        let id = self.place(Flow::new(service.terms(caller)));
+        let id = self.insert(Flow::new(service.terms(caller)));
         self.names.insert(caller.into(), id);
         id
     }
 
-    /// Takes over the callers' terms.
+    /// Applies new settings to all known callers.
     pub(super) fn reconfigure(&mut self, service: &Service, queue: &mut FairQueue) {
         for (name, id) in &self.names {
             let flow = &mut self.arena[id.0 as usize];
-            queue.reweigh(*id, flow, service.terms(name));
+            queue.set_flow_terms(*id, flow, service.terms(name));
         }
     }
 
@@ -59,24 +59,24 @@
     }
 
     /// How long until the quota allows one more request, and the time between
-    /// two in the long run; zero without a quota.
+    /// two requests at the long-run rate. Both are zero without a quota.
     pub(super) fn quota_times(&self, id: FlowId, now: Duration) -> (Duration, Duration) {
         let flow = &self[id];
         let Some(quota) = flow.terms.quota else {
             return (Duration::ZERO, Duration::ZERO);
         };
-        let wait = flow.quota_use.wait(&quota, now);
+        let wait = flow.quota_usage.wait(&quota, now);
         (wait.unwrap_or_default(), quota::interval(&quota))
     }
 
     pub(super) fn charge_quota(&mut self, id: FlowId, now: Duration) {
         let flow = &mut self[id];
         if let Some(quota) = flow.terms.quota {
-            flow.quota_use.charge(&quota, now);
+            flow.quota_usage.charge(&quota, now);
         }
     }
 
-    fn place(&mut self, flow: Flow) -> FlowId {
+    fn insert(&mut self, flow: Flow) -> FlowId {
         if let Some(id) = self.free.pop() {
             self[id] = flow;
             return id;
@@ -86,12 +86,13 @@
         id
     }
 
+    /// Removes idle callers.
     fn sweep(&mut self, virtual_now: u128, now: Duration) {
         let (arena, free) = (&self.arena, &mut self.free);
         self.names.retain(|_, id| {
             let flow = &arena[id.0 as usize];
-            let caught_up = flow.due <= virtual_now && flow.quota_use.is_unused(now);
-            let keep = !flow.waiting.is_empty() || !caught_up;
+            let same_as_new = flow.next_due <= virtual_now && flow.quota_usage.is_unused(now);
+            let keep = !flow.waiting.is_empty() || !same_as_new;
             if !keep {
                 free.push(*id);
             }
--- a/crates/cleat-decide/src/request/admission/mod.rs
+++ b/crates/cleat-decide/src/request/admission/mod.rs
@@ -1,11 +1,11 @@
-//! Admission to a service on one instance: quotas, a bounded queue that is fair
-//! by caller, and deadlines.
+//! Admission control for a service on one instance: quotas, a bounded queue that
+//! is fair between callers, and deadlines.
 
 mod flow;
 mod flows;
-mod pace;
 mod queue;
 mod quota;
+mod release_interval;
 mod service_time;
 mod types;
 
@@ -14,49 +14,50 @@
 use cleat_world::Service;
 
 use crate::Protections;
-use crate::spread::{Returns, Spread};
+use crate::retry_jitter::{PendingReturns, RetryJitter};
 use flow::FlowId;
 use flows::Flows;
-use pace::Pace;
 use queue::FairQueue;
+use release_interval::ReleaseInterval;
 use service_time::ServiceTimeEstimator;
 pub use types::{AdmissionDecision, Arrival, Dequeued, Ticket};
 
 use super::{Refusal, RefusalReason};
 
-/// A waiting request is given up when the time left is what nine in ten take,
-/// but not before this part of its time is left: the work of another caller may
-/// be what takes long.
-const WORK_PART_OF_REMAINING: u32 = 4;
+/// A waiting request expires when its remaining time is less than the 90th
+/// percentile of service times, but at most this fraction (1 / 4) of its time is
+/// set aside for that: the long service times may be those of another caller.
+const SERVICE_TIME_DIVISOR: u32 = 4;
 
-const ONE_FOR_ALL: &str = "*";
+/// The flow that all callers share when fair queueing is disabled.
+const SHARED_FLOW: &str = "*";
 
 /// Decides which requests of a service start, wait or are refused.
 ///
-/// Every ticket that arrived ends in exactly one way: it starts (by
-/// [`AdmissionDecision::Start`] or [`Dequeued::start`]), it is refused (by
-/// [`AdmissionDecision::Refuse`], [`AdmissionDecision::Displace`], [`Dequeued::refused`] or
-/// [`AdmissionController::expire`]) or it is cancelled.
+/// Every ticket that arrives ends in exactly one way: it is started (by
+/// [`AdmissionDecision::Start`] or [`Dequeued::start`]), refused (by
+/// [`AdmissionDecision::Refuse`], [`AdmissionDecision::Displace`],
+/// [`Dequeued::refused`] or [`AdmissionController::expire`]) or cancelled.
 #[derive(Debug)]
 pub struct AdmissionController {
-    terms: Service,
+    service: Service,
     flows: Flows,
     queue: FairQueue,
-    pace: Pace,
+    release_interval: ReleaseInterval,
     service_time: ServiceTimeEstimator,
-    spread: Spread,
-    /// Of refusals that are no caller's own.
-    returns: Returns,
+    retry_jitter: RetryJitter,
+    /// The expected returns after refusals that do not depend on the caller.
+    returns: PendingReturns,
     protections: Protections,
 }
 
 impl AdmissionController {
-    /// The gate of `service` with nothing waiting.
+    /// A controller for `service` with an empty queue.
     pub fn new(service: &Service, seed: u64) -> AdmissionController {
         AdmissionController::with_protections(service, seed, Protections::ALL)
     }
 
-    /// A gate with some protections off, for tests of the tests.
+    /// A controller with some protections disabled, to test that checks detect it.
     #[doc(hidden)]
     pub fn with_protections(
         service: &Service,
@@ -64,39 +65,39 @@
         protections: Protections,
     ) -> AdmissionController {
         AdmissionController {
-            terms: service.clone(),
+            service: service.clone(),
             flows: Flows::default(),
             queue: FairQueue::default(),
-            pace: Pace::default(),
+            release_interval: ReleaseInterval::default(),
             service_time: ServiceTimeEstimator::default(),
-            spread: Spread::new(seed, protections.spread),
-            returns: Returns::default(),
+            retry_jitter: RetryJitter::new(seed, protections.retry_jitter),
+            returns: PendingReturns::default(),
             protections,
         }
     }
 
-    /// Takes over new terms; what waits stays. A shorter queue holds for
-    /// arrivals from now on.
+    /// Applies new settings. Waiting requests stay in the queue; a lower limit on
+    /// its length applies to new arrivals only.
     pub fn reconfigure(&mut self, service: &Service) {
-        self.terms = service.clone();
+        self.service = service.clone();
         self.flows.reconfigure(service, &mut self.queue);
     }
 
-    /// Decides on a new request while `free_slots` more could start.
+    /// Decides on a new request when `free_slots` more requests could start.
     ///
-    /// It starts only if nothing waits and a slot is free. A slot that appears
-    /// otherwise than by a finished request (a target joined, an ejection
-    /// ended) is announced by [`AdmissionController::slot_freed`] without a service time, once
-    /// for each slot as long as something waits.
+    /// The request starts only if the queue is empty and a slot is free. When a
+    /// slot becomes free without a request finishing (a target joined, an ejection
+    /// ended), call [`AdmissionController::slot_freed`] without a service time,
+    /// once per slot while requests wait.
     pub fn admit(
         &mut self,
         arrival: Arrival<'_>,
         free_slots: u32,
         now: Duration,
     ) -> AdmissionDecision {
-        let flow = self
-            .flows
-            .enter(self.payer(&arrival), &self.terms, &self.queue, now);
+        let flow =
+            self.flows
+                .get_or_insert(self.flow_name(&arrival), &self.service, &self.queue, now);
         if self.over_quota(flow, now) {
             return AdmissionDecision::Refuse(self.refuse_caller(
                 flow,
@@ -105,7 +106,7 @@
             ));
         }
         let starts = free_slots > 0 && self.queue.is_empty();
-        if !self.fits(&arrival, flow, starts, now) {
+        if !self.can_finish_in_time(&arrival, flow, starts, now) {
             let reason = RefusalReason::CannotFinishInTime;
             return AdmissionDecision::Refuse(self.refuse_caller(flow, reason, now));
         }
@@ -113,41 +114,43 @@
             self.flows.charge_quota(flow, now);
             return AdmissionDecision::Start;
         }
-        self.wait(&arrival, flow, now)
+        self.enqueue(&arrival, flow, now)
     }
 
-    /// A request was served in `service_time`, but its slot may not be used
-    /// again (the target is leaving or ejected). Else see [`AdmissionController::slot_freed`].
+    /// Records a request that was served in `service_time` but whose slot must not
+    /// be used again (the target is leaving or ejected). Otherwise call
+    /// [`AdmissionController::slot_freed`].
     pub fn record_service_time(&mut self, service_time: Duration) {
         self.service_time.record(service_time);
     }
 
-    /// A slot is free: its request finished, after `service_time` if it was
-    /// served, or the slot is new. At most one waiting request starts, so it is
-    /// called only if [`choose_target`](crate::choose_target) has a target to offer.
+    /// Records that a slot is free: its request finished, after `service_time` if
+    /// it was served, or the slot is new. Starts at most one waiting request, so
+    /// call this only if [`choose_target`](crate::choose_target) returns a target.
     pub fn slot_freed(&mut self, service_time: Option<Duration>, now: Duration) -> Dequeued {
         if let Some(service_time) = service_time {
             self.record_service_time(service_time);
         }
-        self.pace.released(self.queue.is_empty(), now);
+        self.release_interval
+            .record_release(self.queue.is_empty(), now);
         let refused = self.expire(now);
         let start = self.queue.pop(&mut self.flows, now);
         if self.queue.is_empty() {
-            self.pace.idle();
+            self.release_interval.stop();
         }
         Dequeued { start, refused }
     }
 
-    /// Forgets a waiting request whose caller went away; no effect if it does
-    /// not wait.
+    /// Removes a waiting request whose caller disconnected. No effect if it is not
+    /// waiting.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket, &mut self.flows);
         if self.queue.is_empty() {
-            self.pace.idle();
+            self.release_interval.stop();
         }
     }
 
-    /// Takes out and refuses what can no longer finish in time.
+    /// Removes and refuses the requests that can no longer finish in time.
     pub fn expire(&mut self, now: Duration) -> Vec<(Ticket, Refusal)> {
         if !self.protections.deadline {
             return Vec::new();
@@ -163,7 +166,8 @@
         refused
     }
 
-    /// When [`AdmissionController::expire`] has something to do next, if anything waits.
+    /// The time of the next call to [`AdmissionController::expire`] that refuses a
+    /// request, if any waits.
     pub fn next_expiry(&self) -> Option<Duration> {
         let next = self.queue.next_expiry();
         next.filter(|_| self.protections.deadline)
@@ -174,49 +178,51 @@
         self.queue.len()
     }
 
-    /// What a quick request takes (one in ten is quicker), zero if unknown.
+    /// The 10th percentile of service times (one request in ten is faster); zero if
+    /// unknown.
     pub fn service_time_p10(&self) -> Duration {
         self.service_time.p10()
     }
 
-    /// A refusal for a cause that the entry found, with a spread time to come
-    /// back.
+    /// A refusal for a reason that the entry determined, with a random retry-after
+    /// time.
     pub fn refuse(&mut self, reason: RefusalReason, now: Duration) -> Refusal {
         let (backlog, interval) = self.backlog(now);
         let returns = &mut self.returns;
-        let retry_after = self.spread.next(returns, backlog, interval, now);
+        let retry_after = self.retry_jitter.next(returns, backlog, interval, now);
         Refusal {
             reason,
             retry_after,
         }
     }
 
-    /// A refusal that counts among those of one caller only.
+    /// A refusal that only affects the retry-after times of the same caller.
     fn refuse_caller(&mut self, flow: FlowId, reason: RefusalReason, now: Duration) -> Refusal {
         let (earliest, interval) = match reason {
             RefusalReason::OverQuota => self.flows.quota_times(flow, now),
             _ => self.backlog(now),
         };
         let returns = &mut self.flows[flow].returns;
-        let retry_after = self.spread.next(returns, earliest, interval, now);
+        let retry_after = self.retry_jitter.next(returns, earliest, interval, now);
         Refusal {
             reason,
             retry_after,
         }
     }
 
-    /// How long all that waits takes to start, and one of it.
+    /// How long it takes to start all waiting requests, and to start one of them.
     fn backlog(&self, now: Duration) -> (Duration, Duration) {
-        let interval = self.pace.interval(now);
+        let interval = self.release_interval.expected(now);
         (interval.saturating_mul(self.queue.len_u32()), interval)
     }
 
-    /// Without fair queueing all callers share one account.
-    fn payer<'a>(&self, arrival: &Arrival<'a>) -> &'a str {
+    /// The name of the flow that the request is accounted to. Without fair queueing
+    /// all callers share one flow.
+    fn flow_name<'a>(&self, arrival: &Arrival<'a>) -> &'a str {
         if self.protections.fair_queue {
             arrival.caller
         } else {
-            ONE_FOR_ALL
+            SHARED_FLOW
         }
     }
 
@@ -225,7 +231,13 @@
     }
 
     /// Whether the request is likely to finish in time.
-    fn fits(&mut self, arrival: &Arrival<'_>, flow: FlowId, starts: bool, now: Duration) -> bool {
+    fn can_finish_in_time(
+        &mut self,
+        arrival: &Arrival<'_>,
+        flow: FlowId,
+        starts: bool,
+        now: Duration,
+    ) -> bool {
         if !self.protections.deadline {
             return true;
         }
@@ -240,23 +252,24 @@
         if starts {
             return true;
         }
-        let interval = self.pace.interval(now);
-        let wait = self.queue.wait(flow, &self.flows, interval, now);
-        wait + self.work_time(remaining) <= remaining
+        let interval = self.release_interval.expected(now);
+        let wait = self.queue.expected_wait(flow, &self.flows, interval, now);
+        wait + self.reserved_service_time(remaining) <= remaining
     }
 
-    /// The time to leave for the work of a request with `remaining` left.
-    fn work_time(&self, remaining: Duration) -> Duration {
+    /// The service time to set aside for a request with `remaining` time left.
+    fn reserved_service_time(&self, remaining: Duration) -> Duration {
         self.service_time
             .p90()
-            .min(remaining / WORK_PART_OF_REMAINING)
+            .min(remaining / SERVICE_TIME_DIVISOR)
     }
 
-    fn wait(&mut self, arrival: &Arrival<'_>, flow: FlowId, now: Duration) -> AdmissionDecision {
-        let length = usize::try_from(self.terms.queue.length).unwrap_or(usize::MAX);
-        let full = self.protections.queue_bound && self.queue.len() >= length;
+    /// Adds the request to the queue, displacing another one if it is full.
+    fn enqueue(&mut self, arrival: &Arrival<'_>, flow: FlowId, now: Duration) -> AdmissionDecision {
+        let length = usize::try_from(self.service.queue.length).unwrap_or(usize::MAX);
+        let full = self.protections.queue_limit && self.queue.len() >= length;
         let displaced = if full {
-            self.queue.displaceable(flow, &self.flows)
+            self.queue.request_to_displace(flow, &self.flows)
         } else {
             None
         };
@@ -268,14 +281,14 @@
             ));
         }
         if self.queue.is_empty() {
-            self.pace.busy(now);
+            self.release_interval.start(now);
         }
         self.flows.charge_quota(flow, now);
-        let work = self.work_time(arrival.deadline.saturating_sub(now));
-        let gives_up = arrival.deadline.saturating_sub(work);
+        let service_time = self.reserved_service_time(arrival.deadline.saturating_sub(now));
+        let expires_at = arrival.deadline.saturating_sub(service_time);
         let (ticket, deadline) = (arrival.ticket, arrival.deadline);
         self.queue
-            .push(ticket, deadline, gives_up, flow, &mut self.flows, now);
+            .push(ticket, deadline, expires_at, flow, &mut self.flows, now);
         self.displace(displaced, now)
     }
 
--- a/crates/cleat-decide/src/request/admission/service_time.rs
+++ b/crates/cleat-decide/src/request/admission/service_time.rs
@@ -1,20 +1,21 @@
-//! How long requests take once they are started.
+//! Estimates of how long requests take once they are started.
 
 use std::time::Duration;
 
-/// The factor of one step of an estimate.
+/// The relative size of one step of an estimate.
 const STEP_FACTOR: f64 = 0.05;
 const P10: f64 = 0.1;
 const P90: f64 = 0.9;
-/// What is left of the quick estimate after it refused a request.
+/// The factor by which the p10 estimate is reduced when a request is refused
+/// because of it.
 const P10_REDUCTION: f64 = 0.9;
 
-/// Running estimates of two quantiles, by multiplicative steps: each sample
-/// moves an estimate up or down so that it rests where the wanted share of
-/// samples lies below.
+/// Running estimates of two quantiles by multiplicative steps: each sample moves
+/// an estimate up or down so that it settles where the wanted fraction of
+/// samples lies below it.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimeEstimator {
-    /// Seconds; 0 while nothing was measured.
+    /// Seconds; 0 while there are no samples.
     p10: f64,
     p90: f64,
 }
@@ -26,18 +27,18 @@
         self.p90 = step(self.p90, sample, P90);
     }
 
-    /// What one request in ten stays below.
+    /// The 10th percentile: one request in ten is faster.
     pub(super) fn p10(&self) -> Duration {
         Duration::from_secs_f64(self.p10)
     }
 
-    /// What nine requests in ten stay below.
+    /// The 90th percentile: nine requests in ten are faster.
     pub(super) fn p90(&self) -> Duration {
         Duration::from_secs_f64(self.p90)
     }
 
-    /// Lowers the quick estimate after it was a reason to refuse: an estimate
-    /// too high would let nothing start and so never be corrected.
+    /// Reduces the p10 estimate after a request was refused because of it. If it
+    /// were too high, no request would start and it would never be corrected.
     pub(super) fn reduce_p10(&mut self) {
         self.p10 *= P10_REDUCTION;
     }
--- a/crates/cleat-decide/src/request/admission/types.rs
+++ b/crates/cleat-decide/src/request/admission/types.rs
@@ -1,48 +1,49 @@
-//! What goes into and comes out of a gate.
+//! Inputs and results of the admission controller.
 
 use std::time::Duration;
 
 use crate::request::Refusal;
 
-/// Names one request at one gate. The entry never uses a number twice.
+/// Identifies one request at one admission controller. The entry never reuses a
+/// number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request that asks for admission.
+/// A request that arrives for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival<'a> {
-    /// Its name at this gate.
+    /// Its identifier at this controller.
     pub ticket: Ticket,
-    /// Who pays in fairness.
+    /// The caller whose share and quota it counts against.
     pub caller: &'a str,
-    /// When its time is up, on the clock of `now`.
+    /// Its deadline, on the same clock as `now`.
     pub deadline: Duration,
 }
 
-/// What becomes of a request that arrived.
+/// What happens to a request on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It starts now and takes one of the free slots.
+    /// It starts now and uses one of the free slots.
     Start,
-    /// It waits.
+    /// It waits in the queue.
     Wait,
-    /// It waits in a full queue in place of a request of the caller that is
-    /// furthest over its share.
+    /// It waits in the queue, which was full, in place of a request of the caller
+    /// that is furthest above its share.
     Displace {
-        /// The request that no longer waits; answer it at once.
+        /// The request that lost its place and must be answered at once.
         displaced: Ticket,
-        /// Its answer.
+        /// The answer to the displaced request.
         refusal: Refusal,
     },
-    /// It does not run; answer it at once.
+    /// It does not run and must be answered at once.
     Refuse(Refusal),
 }
 
-/// What a free slot leads to.
+/// The requests that leave the queue when a slot is freed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Dequeued {
-    /// The request that takes the slot.
+    /// The request that starts on the slot.
     pub start: Option<Ticket>,
-    /// Requests that can no longer finish in time; answer them at once.
+    /// Requests that can no longer finish in time and must be answered at once.
     pub refused: Vec<(Ticket, Refusal)>,
 }
--- a/crates/cleat-decide/src/request/budget.rs
+++ b/crates/cleat-decide/src/request/budget.rs
@@ -1,4 +1,5 @@
-//! How many retries successes pay for.
+//! The retry budget: how many retries a service may make, earned by successful
+//! attempts.
 
 use std::time::Duration;
 
@@ -6,21 +7,23 @@
 
 use super::AttemptOutcome;
 use crate::Protections;
-use crate::spread::Spread;
+use crate::retry_jitter::RetryJitter;
 
-/// One retry, in the unit of account.
+/// The cost of one retry, in budget tokens.
 const RETRY_COST: u64 = 10_000;
-/// What a success pays for each percent of the budget.
+/// The tokens that a successful attempt earns for each percent of the budget.
 const SUCCESS_PER_PERCENT: u64 = RETRY_COST / 100;
-/// What every request pays, successful or not, so that a service without any
-/// success still probes: one retry in a hundred requests.
+/// The tokens that every request earns, successful or not: one retry in a
+/// hundred requests, so that a service without any success still probes its
+/// targets.
 const REQUEST_FLOOR: u64 = RETRY_COST / 100;
-/// Retries allowed before any success.
+/// The retries allowed before the first success.
 const INITIAL_RETRIES: u64 = 3;
-/// Retries that can be saved up.
+/// The maximum number of retries that can be saved up.
 const SAVED_RETRIES_MAX: u64 = 50;
 
-/// Tokens for retries: a share of successes with a small floor.
+/// A token bucket that limits retries to a percentage of successful attempts,
+/// plus a small minimum.
 ///
 /// Over any run of requests from the start, retries stay at or below
 /// `3 + requests × (budget_percent + 1) / 100`.
@@ -29,7 +32,7 @@
     /// Invariant: at most `SAVED_RETRIES_MAX × RETRY_COST`.
     tokens: u64,
     per_success: u64,
-    spread: Spread,
+    retry_jitter: RetryJitter,
     protections: Protections,
 }
 
@@ -39,34 +42,36 @@
         RetryBudget::with_protections(retry, seed, Protections::ALL)
     }
 
-    /// A budget with some protections off, for tests of the tests.
+    /// A budget with some protections disabled, to test that checks detect it.
     #[doc(hidden)]
     pub fn with_protections(retry: &Retry, seed: u64, protections: Protections) -> RetryBudget {
         RetryBudget {
             tokens: INITIAL_RETRIES * RETRY_COST,
             per_success: retry.budget_percent * SUCCESS_PER_PERCENT,
-            spread: Spread::new(seed, protections.spread),
+            retry_jitter: RetryJitter::new(seed, protections.retry_jitter),
             protections,
         }
     }
 
-    /// Takes over new terms and keeps what was saved.
+    /// Applies new settings and keeps the saved tokens.
     pub fn reconfigure(&mut self, retry: &Retry) {
         self.per_success = retry.budget_percent * SUCCESS_PER_PERCENT;
     }
 
+    /// Adds the tokens that an attempt earns: the minimum if it is the first of
+    /// its request, and the tokens of a success if it succeeded.
     pub(super) fn deposit(&mut self, attempt: &AttemptOutcome, attempts: u32) {
-        let mut paid = 0;
+        let mut earned = 0;
         if attempts <= 1 {
-            paid += REQUEST_FLOOR;
+            earned += REQUEST_FLOOR;
         }
         if attempt.is_success() {
-            paid += self.per_success;
+            earned += self.per_success;
         }
-        self.tokens = (self.tokens + paid).min(SAVED_RETRIES_MAX * RETRY_COST);
+        self.tokens = (self.tokens + earned).min(SAVED_RETRIES_MAX * RETRY_COST);
     }
 
-    /// Pays for one retry, if the budget allows.
+    /// Withdraws the cost of one retry. Returns whether the budget allows it.
     pub(super) fn withdraw(&mut self) -> bool {
         if !self.protections.retry_budget {
             return true;
@@ -81,7 +86,7 @@
     }
 
     pub(super) fn retry_after(&mut self) -> Duration {
-        self.spread.jitter()
+        self.retry_jitter.jitter()
     }
 
     pub(super) fn protections(&self) -> &Protections {
--- a/crates/cleat-decide/src/request/choice.rs
+++ b/crates/cleat-decide/src/request/choice.rs
@@ -1,46 +1,48 @@
-//! Which target a try goes to.
+//! The choice of a target for an attempt.
 
 use crate::Protections;
 
-/// The most targets that count as ejected at once, in percent.
+/// The maximum percentage of targets that is treated as ejected at once.
 const EJECTED_MAX_PERCENT: usize = 50;
-/// How many usable targets are compared.
+/// How many usable targets are compared (power of two choices).
 const CHOICES: u32 = 2;
-/// How many random picks are made before all targets are looked through.
+/// How many random picks are made before all targets are scanned.
 const PICKS_MAX: u32 = 16;
-/// A target slower than this many times the median counts as ejected.
-const SLOW_TIMES: u32 = 4;
-/// A target in another data centre is rated as this much dearer.
+/// A target slower than this multiple of the median is treated as ejected.
+const SLOW_MULTIPLE: u32 = 4;
+/// The cost of a target in another data centre, in percent of a local one.
 const REMOTE_PERCENT: u128 = 110;
 const FULL_PERCENT: u128 = 100;
 
-/// A target as the choice sees it.
+/// What the choice knows about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Requests of this instance in progress there.
+    /// Requests of this instance in progress at the target.
     pub in_flight: u32,
-    /// The most requests that this instance may have in progress there.
+    /// The maximum number of requests that this instance may have in progress
+    /// at the target.
     pub max_in_flight: u32,
-    /// Moving average of the latency in microseconds, 0 if unknown.
+    /// Moving average of the latency in microseconds; 0 if unknown.
     pub latency_us: u32,
-    /// Whether its health says that it should get no work.
+    /// Whether the target should get no requests because of its health.
     pub ejected: bool,
-    /// How much of its usual work a new target should get, 1 to 100.
+    /// The percentage of its normal load that the target should get while it
+    /// warms up, 1 to 100.
     pub warm_up_percent: u8,
-    /// Whether it stands in the data centre of this instance.
+    /// Whether the target is in the data centre of this instance.
     pub local: bool,
 }
 
 impl Candidate {
     fn has_free_slot(&self, protections: &Protections) -> bool {
-        self.in_flight < self.max_in_flight || !protections.share_cap
+        self.in_flight < self.max_in_flight || !protections.slot_limit
     }
 
-    /// Whether `self` is rated better than `other`.
-    fn better_than(&self, other: &Candidate, protections: &Protections) -> bool {
-        // An unknown latency says nothing, so only the load is compared.
-        let known = self.latency_us > 0 && other.latency_us > 0 && protections.latency;
-        self.cost(known) < other.cost(known)
+    fn is_cheaper_than(&self, other: &Candidate, protections: &Protections) -> bool {
+        // If either latency is unknown, only the load is compared.
+        let latency_known =
+            self.latency_us > 0 && other.latency_us > 0 && protections.latency_weighting;
+        self.cost(latency_known) < other.cost(latency_known)
     }
 
     fn cost(&self, with_latency: bool) -> u128 {
@@ -56,12 +58,13 @@
     }
 }
 
-/// The target for the next try, by its position, or `None` if none has room.
+/// The index of the target for the next attempt, or `None` if none has a free
+/// slot.
 ///
-/// Two random usable targets are compared by load times latency. The cost does
-/// not depend on the number of candidates as long as a fair part of them is
-/// usable; else one pass looks through all. `exclude` is the target of the try
-/// before. Invariant: never a target whose share is used up.
+/// Compares two random usable targets by load times latency. The run time does
+/// not depend on the number of candidates as long as a good part of them is
+/// usable; otherwise one pass scans all of them. `exclude` is the target of the
+/// previous attempt. Invariant: never a target at its `max_in_flight`.
 pub fn choose_target(
     candidates: &[Candidate],
     exclude: Option<usize>,
@@ -70,7 +73,8 @@
     choose_target_with(candidates, exclude, random, &Protections::ALL)
 }
 
-/// [`choose_target`] with some protections off, for tests of the tests.
+/// [`choose_target`] with some protections disabled, to test that checks
+/// detect it.
 #[doc(hidden)]
 pub fn choose_target_with(
     candidates: &[Candidate],
@@ -78,45 +82,47 @@
     random: u64,
     protections: &Protections,
 ) -> Option<usize> {
-    let healthy = |index: usize| {
+    let usable = |index: usize| {
         let candidate = &candidates[index];
         let in_service = !candidate.ejected || !protections.ejection;
         Some(index) != exclude && in_service && candidate.has_free_slot(protections)
     };
-    sample(candidates, random, protections, healthy)
-        .or_else(|| scan(candidates, random, protections, healthy))
-        .or_else(|| beyond_bound(candidates, exclude, random, protections))
+    sample(candidates, random, protections, usable)
+        .or_else(|| scan(candidates, random, protections, usable))
+        .or_else(|| beyond_ejection_limit(candidates, exclude, random, protections))
 }
 
-/// Counts targets as ejected whose latency is far above that of most: waiting
-/// for another one is then quicker. The bound on ejection holds for them too.
+/// Marks targets as ejected whose latency is far above the median, because
+/// waiting for another target is faster. The limit on ejection applies to them
+/// too.
 ///
-/// Costs one pass over all, so it is done when the candidates are rebuilt. A
-/// remembered latency fades without work, so a slow target is tried again.
+/// Takes one pass over all candidates, so call it when they are rebuilt. A
+/// recorded latency decays while a target gets no requests, so a slow target is
+/// tried again.
 pub fn eject_slow_targets(candidates: &mut [Candidate]) {
     let known = candidates.iter().filter(|c| c.latency_us > 0 && !c.ejected);
     let mut known: Vec<u32> = known.map(|c| c.latency_us).collect();
     if known.is_empty() {
         return;
     }
-    // Of two, the quicker one is what most are.
+    // Of two targets, the faster one counts as the median.
     let middle = (known.len() - 1) / 2;
     let (_, median, _) = known.select_nth_unstable(middle);
-    let bound = median.saturating_mul(SLOW_TIMES);
+    let latency_max = median.saturating_mul(SLOW_MULTIPLE);
     for candidate in candidates {
-        candidate.ejected |= candidate.latency_us > bound;
+        candidate.ejected |= candidate.latency_us > latency_max;
     }
 }
 
 /// How many requests of this instance could start now, by the rules of
-/// [`choose_target`] without an excluded target.
+/// [`choose_target`] with no target excluded.
 pub fn free_slots(candidates: &[Candidate]) -> u32 {
     let ejected = candidates.iter().filter(|c| c.ejected).count();
-    let mut held_back = ejected.min(ejected_max(candidates.len()));
+    let mut skipped = ejected.min(ejected_max(candidates.len()));
     let mut free = 0u32;
     for candidate in candidates {
-        if candidate.ejected && held_back > 0 {
-            held_back -= 1;
+        if candidate.ejected && skipped > 0 {
+            skipped -= 1;
             continue;
         }
         free = free.saturating_add(candidate.max_in_flight.saturating_sub(candidate.in_flight));
@@ -124,7 +130,7 @@
     free
 }
 
-/// The best of a few random picks that are usable.
+/// The cheapest of a few random usable targets.
 fn sample(
     candidates: &[Candidate],
     random: u64,
@@ -142,7 +148,7 @@
         if best == Some(index) || !usable(index) {
             continue;
         }
-        best = Some(better(candidates, best, index, protections));
+        best = Some(cheaper(candidates, best, index, protections));
         compared += 1;
         if compared == CHOICES {
             break;
@@ -151,7 +157,7 @@
     best
 }
 
-/// The best usable target of all, from a random start.
+/// The cheapest of all usable targets; the scan starts at a random index.
 fn scan(
     candidates: &[Candidate],
     random: u64,
@@ -163,45 +169,46 @@
     let mut best = None;
     for index in (start..count).chain(0..start) {
         if usable(index) {
-            best = Some(better(candidates, best, index, protections));
+            best = Some(cheaper(candidates, best, index, protections));
         }
     }
     best
 }
 
-/// The best of the ejected targets that the bound does not let count as ejected.
-/// They are a last resort: the rest has no room.
-fn beyond_bound(
+/// A random one of the ejected targets that exceed the limit on ejection. They
+/// are the last resort, when no other target has a free slot.
+fn beyond_ejection_limit(
     candidates: &[Candidate],
     exclude: Option<usize>,
     random: u64,
     protections: &Protections,
 ) -> Option<usize> {
-    if !protections.ejection_bound {
+    if !protections.ejection_limit {
         return None;
     }
     let ejected = candidates.iter().enumerate().filter(|(_, c)| c.ejected);
     let beyond = ejected.skip(ejected_max(candidates.len()));
-    let open = beyond.filter(|(index, c)| Some(*index) != exclude && c.has_free_slot(protections));
-    let open: Vec<usize> = open.map(|(index, _)| index).collect();
-    if open.is_empty() {
+    let usable =
+        beyond.filter(|(index, c)| Some(*index) != exclude && c.has_free_slot(protections));
+    let usable: Vec<usize> = usable.map(|(index, _)| index).collect();
+    if usable.is_empty() {
         return None;
     }
-    Some(open[below(random, open.len())])
+    Some(usable[below(random, usable.len())])
 }
 
 fn ejected_max(count: usize) -> usize {
     count * EJECTED_MAX_PERCENT / 100
 }
 
-fn better(
+fn cheaper(
     candidates: &[Candidate],
     best: Option<usize>,
     index: usize,
     protections: &Protections,
 ) -> usize {
     match best {
-        Some(best) if !candidates[index].better_than(&candidates[best], protections) => best,
+        Some(best) if !candidates[index].is_cheaper_than(&candidates[best], protections) => best,
         _ => index,
     }
 }
@@ -215,7 +222,8 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Maps a random number to `0..count` without a bias that matters here.
+/// Maps a random number to `0..count`. The bias is negligible for counts of
+/// targets.
 fn below(random: u64, count: usize) -> usize {
     let wide = u128::from(random) * count as u128;
     usize::try_from(wide >> 64).unwrap_or(0)
--- a/crates/cleat-decide/src/request/health.rs
+++ b/crates/cleat-decide/src/request/health.rs
@@ -1,74 +1,76 @@
-//! The health of one target as one instance sees it.
+//! The health of a target as observed by one instance.
 
 use std::time::Duration;
 
 use super::AttemptOutcome;
 use crate::Protections;
 
-/// Points of failures in a row that eject.
-const POINTS_MAX: u32 = 12;
-/// The points of a failure that is surely the target's.
-const POINTS_FAILURE: u32 = 4;
-/// The points of a try that its deadline ended early: mostly the fault of the
-/// wait before it, unless it goes on.
-const POINTS_SHORT_TIMEOUT: u32 = 1;
-/// A timeout after less than this many times the usual latency is a short one.
-const FAIR_TIMES: f64 = 2.0;
-/// The share of failed tries that ejects, as a moving average.
-const FAILED_SHARE_MAX: f64 = 0.5;
-/// Tries before the share of failures counts.
-const TRIES_MIN: u32 = 8;
-/// The weight of one try in the moving averages.
+/// The score of consecutive failures at which a target is ejected.
+const SCORE_MAX: u32 = 12;
+/// The score of a failure that is certainly the target's fault.
+const SCORE_FAILURE: u32 = 4;
+/// The score of an attempt that had little time left before its deadline. The
+/// wait before the attempt usually causes such a timeout, unless they continue.
+const SCORE_SHORT_TIMEOUT: u32 = 1;
+/// A timeout after less than this multiple of the usual latency is a short one.
+const SHORT_TIMEOUT_MULTIPLE: f64 = 2.0;
+/// The failure rate, as a moving average, above which a target is ejected.
+const FAILURE_RATE_MAX: f64 = 0.5;
+/// The minimum number of attempts before the failure rate counts.
+const ATTEMPTS_MIN: u32 = 8;
+/// The weight of one attempt in the moving averages.
 const AVERAGE_WEIGHT: f64 = 0.1;
-/// The first ejection; each further one doubles it.
+/// The duration of the first ejection; it doubles with each further one.
 const EJECTION_FIRST: Duration = Duration::from_secs(1);
 const EJECTION_DOUBLINGS_MAX: u32 = 5;
-/// Good time after which an ejection is forgotten, one each.
+/// One past ejection is forgotten for each period of this length without a new
+/// one.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Successes that end the probation after an ejection.
+/// The number of successes that end the probation after an ejection.
 const PROBATION_SUCCESSES: u32 = 5;
-/// How long a new or returned target is warmed up.
+/// How long a target warms up when it is new or was ejected.
 const WARM_UP: Duration = Duration::from_secs(10);
 const WARMTH_MIN_PERCENT: u128 = 10;
-/// Time without a try in which a remembered latency halves, so that a target
-/// that was slow is tried again.
+/// The time in which the recorded latency halves while there are no attempts, so
+/// that a target that was slow is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// What an instance knows of a target from its own tries.
+/// What an instance knows about a target from its own attempts.
 #[derive(Debug, Clone)]
 pub struct Health {
-    warm_since: Duration,
+    warm_up_since: Duration,
     latency_us: f64,
     measured_at: Duration,
-    failed_share: f64,
-    tries: u32,
-    /// Since the last success.
-    points: u32,
-    /// How often it was ejected lately.
+    failure_rate: f64,
+    attempts: u32,
+    /// The score of the failures since the last success.
+    failure_score: u32,
+    /// The number of recent ejections.
     ejections: u32,
     ejected_until: Option<Duration>,
-    /// Successes still to come before one failure no longer ejects.
+    /// The number of successes until the probation ends. During the probation a
+    /// single failure ejects the target.
     probation: u32,
     last_ejection_change: Duration,
     protections: Protections,
 }
 
 impl Health {
-    /// A target that was not tried yet.
+    /// A target without any attempts.
     pub fn new(now: Duration) -> Health {
         Health::with_protections(now, Protections::ALL)
     }
 
-    /// A target watched with some protections off, for tests of the tests.
+    /// A target with some protections disabled, to test that checks detect it.
     #[doc(hidden)]
     pub fn with_protections(now: Duration, protections: Protections) -> Health {
         Health {
-            warm_since: now,
+            warm_up_since: now,
             latency_us: 0.0,
             measured_at: now,
-            failed_share: 0.0,
-            tries: 0,
-            points: 0,
+            failure_rate: 0.0,
+            attempts: 0,
+            failure_score: 0,
             ejections: 0,
             ejected_until: None,
             probation: 0,
@@ -77,43 +79,43 @@
         }
     }
 
-    /// Accounts one try that took `latency`.
+    /// Records an attempt that took `latency`.
     pub fn record(&mut self, outcome: AttemptOutcome, latency: Duration, now: Duration) {
         let success = outcome.is_success();
         let short = self.is_short_timeout(outcome, latency);
-        // A failure says nothing of the speed, unless it was a timeout: the
-        // target that fails fastest must not look like the fastest.
+        // A failure says nothing about latency, unless it was a timeout: a target
+        // that fails quickly must not look like a fast one.
         if success || (outcome == AttemptOutcome::TimedOut && !short) {
             self.measure(latency, now);
         }
         if self.is_ejected(now) {
             return;
         }
-        self.forget(now);
-        self.count(outcome, short);
+        self.forget_ejection(now);
+        self.score(outcome, short);
         if self.is_failing() {
             self.eject(now);
         }
     }
 
-    /// Whether the target should get no work.
+    /// Whether the target should get no requests.
     pub fn is_ejected(&self, now: Duration) -> bool {
         self.protections.ejection && self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// When the present ejection ends, if there is one.
+    /// The end of the current ejection, if there is one.
     pub fn ejected_until(&self, now: Duration) -> Option<Duration> {
         self.ejected_until.filter(|until| now < *until)
     }
 
-    /// How much of its usual work the target should get, 10 to 100.
+    /// The percentage of its normal load that the target should get, 10 to 100.
     pub fn warm_up_percent(&self, now: Duration) -> u8 {
-        let since = now.saturating_sub(self.warm_since).min(WARM_UP);
+        let since = now.saturating_sub(self.warm_up_since).min(WARM_UP);
         let percent = since.as_micros() * 100 / WARM_UP.as_micros();
         u8::try_from(percent.max(WARMTH_MIN_PERCENT)).unwrap_or(100)
     }
 
-    /// The remembered latency in microseconds, 0 if unknown.
+    /// The recorded latency in microseconds; 0 if unknown.
     pub fn latency_us(&self, now: Duration) -> u32 {
         let idle = now.saturating_sub(self.measured_at);
         let halvings = idle.as_secs_f64() / LATENCY_HALF_LIFE.as_secs_f64();
@@ -128,7 +130,7 @@
             1.0
         };
         let decayed = f64::from(self.latency_us(now));
-        // A try that is slower than hoped confirms what was remembered.
+        // An attempt slower than the decayed latency confirms the recorded one.
         let before = if sample > decayed {
             self.latency_us
         } else {
@@ -139,31 +141,31 @@
     }
 
     fn is_short_timeout(&self, outcome: AttemptOutcome, latency: Duration) -> bool {
-        let fair = self.latency_us * FAIR_TIMES;
-        outcome == AttemptOutcome::TimedOut && latency.as_secs_f64() * 1e6 < fair
+        let short = self.latency_us * SHORT_TIMEOUT_MULTIPLE;
+        outcome == AttemptOutcome::TimedOut && latency.as_secs_f64() * 1e6 < short
     }
 
-    fn count(&mut self, outcome: AttemptOutcome, short: bool) {
+    fn score(&mut self, outcome: AttemptOutcome, short: bool) {
         if short {
-            self.points += POINTS_SHORT_TIMEOUT;
+            self.failure_score += SCORE_SHORT_TIMEOUT;
             return;
         }
-        self.tries = self.tries.saturating_add(1);
+        self.attempts = self.attempts.saturating_add(1);
         let success = outcome.is_success();
         let failed = if success { 0.0 } else { 1.0 };
-        self.failed_share += (failed - self.failed_share) * AVERAGE_WEIGHT;
+        self.failure_rate += (failed - self.failure_rate) * AVERAGE_WEIGHT;
         if success {
-            self.points = 0;
+            self.failure_score = 0;
             self.probation = self.probation.saturating_sub(1);
-        } else if !is_about_request(outcome) {
-            self.points += POINTS_FAILURE;
+        } else if !may_be_caused_by_request(outcome) {
+            self.failure_score += SCORE_FAILURE;
         }
     }
 
     fn is_failing(&self) -> bool {
-        let on_probation = self.probation > 0 && self.points >= POINTS_FAILURE;
-        let often = self.tries >= TRIES_MIN && self.failed_share > FAILED_SHARE_MAX;
-        on_probation || often || self.points >= POINTS_MAX
+        let on_probation = self.probation > 0 && self.failure_score >= SCORE_FAILURE;
+        let over_rate = self.attempts >= ATTEMPTS_MIN && self.failure_rate > FAILURE_RATE_MAX;
+        on_probation || over_rate || self.failure_score >= SCORE_MAX
     }
 
     fn eject(&mut self, now: Duration) {
@@ -172,15 +174,15 @@
         self.ejections = self.ejections.saturating_add(1);
         self.ejected_until = Some(until);
         self.last_ejection_change = until;
-        self.warm_since = until;
+        self.warm_up_since = until;
         self.probation = PROBATION_SUCCESSES;
-        self.points = 0;
-        self.failed_share = 0.0;
-        self.tries = 0;
+        self.failure_score = 0;
+        self.failure_rate = 0.0;
+        self.attempts = 0;
     }
 
-    /// Forgets one past ejection for each good stretch.
-    fn forget(&mut self, now: Duration) {
+    /// Forgets one past ejection after [`FORGET_AFTER`] without a new one.
+    fn forget_ejection(&mut self, now: Duration) {
         if self.ejections > 0 && now.saturating_sub(self.last_ejection_change) >= FORGET_AFTER {
             self.ejections -= 1;
             self.last_ejection_change = now;
@@ -188,14 +190,14 @@
     }
 }
 
-/// A 500 may be the request's fault: it counts towards the share of failures
+/// A status of 500 may be the request's fault. It counts towards the failure rate
 /// only, so that one caller's bad requests do not eject target after target.
-fn is_about_request(outcome: AttemptOutcome) -> bool {
+fn may_be_caused_by_request(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Answered { status: 500 })
 }
 
 fn saturating_u32(value: f64) -> u32 {
-    // A float to integer cast saturates.
+    // Casting a float to an integer saturates.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let value = value.round() as u32;
     value
--- a/crates/cleat-decide/src/request/mod.rs
+++ b/crates/cleat-decide/src/request/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions on one request: whether and when it starts, where it goes, and
-//! what follows from how a try ended.
+//! Decisions on a single request: whether and when it starts, which target it
+//! goes to, and what follows from the outcome of an attempt.
 
 mod admission;
 mod budget;
--- a/crates/cleat-decide/src/request/outcome.rs
+++ b/crates/cleat-decide/src/request/outcome.rs
@@ -1,100 +1,101 @@
-//! How a try ended, and what the caller is told.
+//! The outcome of an attempt, and the final outcome reported to the caller.
 
 use std::time::Duration;
 
 use super::RefusalReason;
 
-/// What provably happened to one try.
+/// What provably happened to one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer of the target.
+    /// The target sent a complete response.
     Answered {
         /// Its HTTP status.
         status: u16,
     },
-    /// No byte of the request left, as when the connection was refused.
+    /// No byte of the request was sent, as when the connection was refused.
     NotSent,
-    /// The connection broke after a byte may have left.
+    /// The connection was lost after a byte may have been sent.
     ConnectionLost,
-    /// No whole answer in time, after a byte may have left.
+    /// No complete response came in time, after a byte may have been sent.
     TimedOut,
-    /// The answer broke the protocol.
+    /// The response violated the protocol.
     Malformed,
 }
 
-/// The lowest status by which a target says that it failed.
+/// The lowest status that counts as a failure of the target.
 const STATUS_FAILED: u16 = 500;
 
 impl AttemptOutcome {
-    /// Whether the target may have run the request. An answer counts: the
-    /// target got the request, whatever it says of it.
+    /// Whether the target may have run the request. A response counts whatever
+    /// its status: it shows that the target received the request.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, AttemptOutcome::NotSent)
     }
 
-    /// Whether the try speaks for the health of the target.
+    /// Whether the attempt counts as a success in the target's health.
     pub fn is_success(&self) -> bool {
         matches!(self, AttemptOutcome::Answered { status } if *status < STATUS_FAILED)
     }
 }
 
-/// What a verdict needs to know of the request.
+/// What the decision to retry needs to know about a request after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptContext {
-    /// Whether a second run does no harm.
+    /// Whether running the request twice is harmless.
     pub idempotent: bool,
-    /// Tries so far, the one just ended included; at least 1.
+    /// The attempts so far, including the one that just ended; at least 1.
     pub attempts: u32,
-    /// The most tries, the first included.
+    /// The maximum number of attempts, including the first.
     pub max_attempts: u32,
     /// Time left until the deadline.
     pub remaining: Duration,
-    /// Whether an *earlier* try may have run (see
-    /// [`AttemptOutcome::may_have_run`]). With it, the request is never
-    /// reported as not run.
+    /// Whether an *earlier* attempt may have run (see
+    /// [`AttemptOutcome::may_have_run`]). If so, the request is never reported
+    /// as not run.
     pub earlier_may_have_run: bool,
-    /// How long a try usually takes; no try is begun with less time left. Zero
-    /// if unknown (see [`AdmissionController::service_time_p10`](super::AdmissionController::service_time_p10)).
+    /// The shortest time that an attempt is likely to take; none is started with
+    /// less time left. Zero if unknown (see
+    /// [`AdmissionController::service_time_p10`](super::AdmissionController::service_time_p10)).
     pub expected_duration: Duration,
 }
 
-/// What to do after a try.
+/// What to do after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again now, preferably on another target.
+    /// Retry now, preferably on another target.
     Retry,
     /// Answer the caller now.
     Answer(FinalOutcome),
 }
 
-/// What the caller is told.
+/// The outcome that is reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// The target's own whole answer.
+    /// The target's complete response is passed on.
     Answered,
-    /// The request really did not run.
+    /// The request certainly did not run.
     NotRun {
         /// Why.
         reason: RefusalReason,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
     /// The request may have run.
     Unknown {
-        /// Why nothing better is known.
+        /// Why it is unknown.
         reason: UnknownReason,
     },
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
-    /// The connection to the target broke.
+    /// The connection to the target was lost.
     ConnectionLost,
-    /// No whole answer came in time.
+    /// No complete response came in time.
     TimedOut,
-    /// The target's answer broke the protocol.
+    /// The target's response violated the protocol.
     Malformed,
-    /// An earlier try may have run and the last one was not sent.
+    /// An earlier attempt may have run and the last one was not sent.
     EarlierAttempt,
 }
--- a/crates/cleat-decide/src/request/refusal.rs
+++ b/crates/cleat-decide/src/request/refusal.rs
@@ -1,35 +1,36 @@
-//! Why a request was refused before any byte of it was sent.
+//! Refusals: final answers to requests of which no byte was sent.
 
 use std::time::Duration;
 
-/// A final answer `not-run`: the request did not run.
+/// A final `not-run` answer: the request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
     pub reason: RefusalReason,
-    /// When the caller should come back, from now. Spread by a seed so that
-    /// callers refused together do not return together.
+    /// How long the caller should wait before it retries. Spread at random so
+    /// that callers refused together do not return together.
     pub retry_after: Duration,
 }
 
-/// The causes of a refusal.
+/// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The caller used up its quota; it has to slow down, or an operator
-    /// raises the quota.
+    /// The caller used up its quota. It has to slow down, or an operator has to
+    /// raise the quota.
     OverQuota,
-    /// As many requests wait as the queue allows, and none of a caller that is
-    /// further over its share; add capacity or raise `queue.length`.
+    /// The queue is full, and no caller in it is further above its share than
+    /// this one. Add capacity or raise `queue.length`.
     QueueFull,
-    /// The request displaced by one of a caller that is under its share.
+    /// The queue was full, and a request of a caller that is less far above its
+    /// share took this request's place.
     Displaced,
-    /// The wait and the work together would outlast the deadline; add capacity
-    /// or allow more time.
+    /// The wait and the service time together would exceed the deadline. Add
+    /// capacity or allow more time.
     CannotFinishInTime,
-    /// The service has no target that takes requests; start one, or look why
-    /// the known ones are leaving.
+    /// The service has no target that accepts requests. Start one, or find out
+    /// why the known ones are leaving.
     NoTarget,
-    /// No try reached a target and no further try is allowed; see the
-    /// service's `retry` and the health of its targets.
+    /// No attempt reached a target and no further attempt is allowed. Check the
+    /// service's `retry` settings and the health of its targets.
     AttemptsExhausted,
 }
--- a/crates/cleat-decide/src/request/retry.rs
+++ b/crates/cleat-decide/src/request/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request is tried again.
+//! Whether a request is retried.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
     UnknownReason,
 };
 
-/// Less time than this is never enough for another try.
+/// With less time left than this, a request is never retried.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(1);
 
-/// What follows from `attempt`. Called once for each try: it also accounts the
-/// try in `budget`.
+/// Decides what follows from `attempt`. Must be called once for each attempt,
+/// because it also records the attempt in `budget`.
 ///
 /// Invariant: a request that is not idempotent is never retried once a byte of
-/// any of its tries may have left. A request that is given up is answered at
-/// once, however much time is left.
+/// any of its attempts may have been sent. A request that is not retried is
+/// answered at once, however much time is left.
 pub fn decide_retry(
     attempt: &AttemptOutcome,
     context: AttemptContext,
@@ -29,15 +29,15 @@
 }
 
 fn may_retry(attempt: &AttemptOutcome, context: &AttemptContext, budget: &RetryBudget) -> bool {
-    let touched = attempt.may_have_run() || context.earlier_may_have_run;
-    let harmless = context.idempotent || !touched || !budget.protections().at_most_once;
+    let may_have_run = attempt.may_have_run() || context.earlier_may_have_run;
+    let harmless = context.idempotent || !may_have_run || !budget.protections().at_most_once;
     let time_left = context.remaining >= context.expected_duration.max(RETRY_TIME_MIN);
-    harmless && wants_retry(attempt) && context.attempts < context.max_attempts && time_left
+    harmless && is_retryable(attempt) && context.attempts < context.max_attempts && time_left
 }
 
-/// Whether another target may do better. A target's 500 is about the request as
-/// likely as about the target, so it is passed on.
-fn wants_retry(attempt: &AttemptOutcome) -> bool {
+/// Whether another target may succeed. A status of 500 is as likely caused by
+/// the request as by the target, so it is passed on to the caller.
+fn is_retryable(attempt: &AttemptOutcome) -> bool {
     match attempt {
         AttemptOutcome::Answered { status } => matches!(status, 502..=504),
         _ => true,
--- a/crates/cleat-decide/src/slots/mod.rs
+++ b/crates/cleat-decide/src/slots/mod.rs
@@ -1,14 +1,16 @@
-//! Slots of targets shared between entries by demand.
+//! Sharing the slots of targets between entries by demand.
 //!
-//! Each slot has a home, the entry that [`slot_share`](crate::slot_share) gives it to. A
-//! home lends idle slots to entries that ask, one grant a slot, for a lease.
-//! The cap of a target holds because a slot is with its home or lent, never
-//! both: a home takes a lent slot back when the borrower returns it, or when
-//! the lease and the longest request have passed by any clock.
+//! Each slot has a home: the entry that it belongs to by
+//! [`slot_share`](crate::slot_share). The home lends its idle slots to entries
+//! that request them, with one grant per slot and for the duration of a lease.
+//! A target never gets more requests than it has slots, because a slot is either
+//! at home or lent, never both. The home reclaims a lent slot when the borrower
+//! returns it, or once the lease plus the maximum duration of a request have
+//! passed, with a margin for clock drift.
 
-mod held;
 mod peers;
 mod sharing;
+mod target_slots;
 mod types;
 
 pub use sharing::Slots;
--- a/crates/cleat-decide/src/slots/peers.rs
+++ b/crates/cleat-decide/src/slots/peers.rs
@@ -1,110 +1,118 @@
-//! Whom to ask for slots.
+//! Which entry to request slots from.
 
 use std::time::Duration;
 
 use super::EntryIndex;
 
-/// An unanswered ask counts as lost after this time.
-const ASK_TIMEOUT: Duration = Duration::from_millis(100);
-/// What a peer said of its idle slots counts for this long.
-const HINT_AGE_MAX: Duration = Duration::from_millis(50);
-/// That a peer has nothing to lend counts for longer each time it says so, up
-/// to this long: in an overload of all, asking only costs messages.
+/// A request without an answer counts as lost after this time.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long the number of idle slots that a peer reported is valid.
+const REPORT_AGE_MAX: Duration = Duration::from_millis(50);
+/// A report that a peer has nothing to lend is valid for longer each time the
+/// peer repeats it, up to this time: when all entries are overloaded, requests
+/// only cost messages.
 const REFUSED_AGE_MAX: Duration = Duration::from_millis(200);
-/// What is assumed of a peer of which nothing fresh is known.
+/// The minimum number of idle slots assumed of a peer without a valid report.
 const IDLE_ASSUMED: u32 = 1;
 
 /// One other entry.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// The life and serial of its last ask.
-    pub(super) heard: Option<(u64, u64)>,
+    /// The incarnation and serial of the last request received from it.
+    pub(super) last_request: Option<(u64, u64)>,
     idle: u32,
-    hinted_at: Option<Duration>,
-    /// How long the last hint counts.
-    hint_age: Duration,
-    /// The ask that waits for an answer.
-    ask: Option<Ask>,
+    reported_at: Option<Duration>,
+    /// How long the last report is valid.
+    report_age_max: Duration,
+    /// The request that it has not answered yet.
+    pending: Option<PendingRequest>,
 }
 
-/// An ask under way.
+/// A request sent to a peer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ask {
+pub(super) struct PendingRequest {
     pub(super) serial: u64,
     pub(super) count: u32,
     pub(super) sent_at: Duration,
 }
 
 impl Peer {
-    /// How many slots to hope for, 0 while an ask is under way.
-    pub(super) fn hope(&self, now: Duration) -> u32 {
+    /// How many slots the peer is expected to lend; 0 while a request is pending.
+    pub(super) fn expected_idle(&self, now: Duration) -> u32 {
         if self.pending(now) > 0 {
             return 0;
         }
-        let fresh = self.hinted_at.is_some_and(|at| now < at + self.hint_age);
-        if fresh {
+        let valid = self
+            .reported_at
+            .is_some_and(|at| now < at + self.report_age_max);
+        if valid {
             self.idle
         } else {
             self.idle.max(IDLE_ASSUMED)
         }
     }
 
-    /// Slots asked for and not answered yet.
+    /// The number of slots in the pending request, if any.
     pub(super) fn pending(&self, now: Duration) -> u32 {
-        let ask = self.ask.filter(|ask| now < ask.sent_at + ASK_TIMEOUT);
-        ask.map_or(0, |ask| ask.count)
+        let pending = self
+            .pending
+            .filter(|request| now < request.sent_at + REQUEST_TIMEOUT);
+        pending.map_or(0, |request| request.count)
     }
 
-    pub(super) fn asked(&mut self, ask: Ask) {
-        self.ask = Some(ask);
+    pub(super) fn set_pending(&mut self, request: PendingRequest) {
+        self.pending = Some(request);
     }
 
-    /// Ends the ask `serial`, if it is the one under way: whether slots were
-    /// granted, and how many more are idle.
-    pub(super) fn answered(
+    /// Completes the request `serial`, if it is the pending one. `granted` says
+    /// whether slots were granted, `idle` how many more the peer could lend.
+    pub(super) fn complete(
         &mut self,
         serial: u64,
         granted: bool,
         idle: u32,
         now: Duration,
-    ) -> Option<Ask> {
-        let ask = self.ask.take_if(|ask| ask.serial == serial)?;
-        self.hint_age = if granted {
-            HINT_AGE_MAX
+    ) -> Option<PendingRequest> {
+        let request = self.pending.take_if(|request| request.serial == serial)?;
+        self.report_age_max = if granted {
+            REPORT_AGE_MAX
         } else {
-            (self.hint_age * 2).clamp(HINT_AGE_MAX, REFUSED_AGE_MAX)
+            (self.report_age_max * 2).clamp(REPORT_AGE_MAX, REFUSED_AGE_MAX)
         };
         self.idle = idle;
-        self.hinted_at = Some(now);
-        Some(ask)
+        self.reported_at = Some(now);
+        Some(request)
     }
 
-    /// Whether an ask is new; remembers it. Lives have no order: an ask of an
-    /// earlier one that comes late is answered to nobody, and what is lent by
-    /// it comes back when its time is over.
-    pub(super) fn is_new(&mut self, incarnation: u64, serial: u64) -> bool {
-        let old = |heard: (u64, u64)| heard.0 == incarnation && heard.1 >= serial;
-        if self.heard.is_some_and(old) {
+    /// Records a request of the peer. Returns whether it is new.
+    ///
+    /// Incarnations have no order, so a late request of an earlier one counts as
+    /// new. The peer ignores the answer to it, and the lent slots are reclaimed
+    /// after the lease.
+    pub(super) fn record_request(&mut self, incarnation: u64, serial: u64) -> bool {
+        let is_old = |last: (u64, u64)| last.0 == incarnation && last.1 >= serial;
+        if self.last_request.is_some_and(is_old) {
             return false;
         }
-        self.heard = Some((incarnation, serial));
+        self.last_request = Some((incarnation, serial));
         true
     }
 }
 
-/// The peer to ask next: the one with the most to hope for, from a rotating
-/// start.
-pub(super) fn most_hopeful(
+/// The peer to send the next request to, with the number of slots that it is
+/// expected to lend: the peer with the most, searched from `offset` so that ties
+/// rotate.
+pub(super) fn best_lender(
     peers: &[Peer],
     me: EntryIndex,
-    turn: u64,
+    offset: u64,
     now: Duration,
 ) -> Option<(usize, u32)> {
     let count = peers.len();
-    let start = usize::try_from(turn % count.max(1) as u64).unwrap_or(0);
+    let start = usize::try_from(offset % count.max(1) as u64).unwrap_or(0);
     let order = (start..count).chain(0..start);
     let others = order.filter(|index| *index != me.0 as usize);
-    let hopes = others.map(|index| (index, peers[index].hope(now)));
-    let best = hopes.reduce(|best, next| if next.1 > best.1 { next } else { best });
-    best.filter(|(_, hope)| *hope > 0)
+    let expected = others.map(|index| (index, peers[index].expected_idle(now)));
+    let best = expected.reduce(|best, next| if next.1 > best.1 { next } else { best });
+    best.filter(|(_, expected)| *expected > 0)
 }
--- a/crates/cleat-decide/src/slots/sharing.rs
+++ b/crates/cleat-decide/src/slots/sharing.rs
@@ -1,34 +1,37 @@
-//! The slots of a service's targets at one entry.
+//! The slots of a service's targets, as managed by one entry.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 
-use super::held::{Borrowed, Held};
-use super::peers::{Ask, Peer, most_hopeful};
+use super::peers::{Peer, PendingRequest, best_lender};
+use super::target_slots::{BorrowedSlot, TargetSlots};
 use super::{EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, TargetKey};
 use crate::{Protections, slot_share};
 
-/// Lends and borrows slots by demand. One for each service on an entry.
+/// Lends and borrows the slots of one service by demand. Each entry has one for
+/// each service.
 #[derive(Debug)]
 pub struct Slots {
     me: EntryIndex,
     entries: Box<[Box<str>]>,
     incarnation: u64,
     terms: LeaseTerms,
-    /// By name; a target keeps its place, and so its key, for good.
-    targets: IndexMap<Box<str>, Held>,
-    /// One for each entry, this one included.
+    /// By name. A target keeps its position, and thus its key, forever.
+    targets: IndexMap<Box<str>, TargetSlots>,
+    /// One for each entry, including this one.
     peers: Vec<Peer>,
-    asks: u64,
-    loans: u64,
+    /// The number of requests sent.
+    requests: u64,
+    /// The number of slots lent.
+    grants: u64,
     started_at: Duration,
     protections: Protections,
 }
 
 impl Slots {
-    /// The slots of an entry that starts now, in a `life` that it never had
-    /// before.
+    /// The slots of an entry that starts now, in an `incarnation` that it never
+    /// had before.
     pub fn new(
         me: EntryIndex,
         incarnation: u64,
@@ -43,14 +46,14 @@
             terms,
             targets: IndexMap::new(),
             peers: entries.iter().map(|_| Peer::default()).collect(),
-            asks: 0,
-            loans: 0,
+            requests: 0,
+            grants: 0,
             started_at: now,
             protections: Protections::ALL,
         }
     }
 
-    /// Turns some protections off, for tests of the tests.
+    /// Disables some protections, to test that checks detect it.
     #[doc(hidden)]
     #[must_use]
     pub fn with_protections(mut self, protections: Protections) -> Slots {
@@ -58,137 +61,141 @@
         self
     }
 
-    /// Adds a target or gives it another cap (the lesser of its slots and
+    /// Adds a target or changes its cap (the smaller of its slots and
     /// connections).
     ///
-    /// `fresh` says that it announced itself after this life began. Else an
-    /// earlier life may have lent its slots or left requests running on them,
-    /// and those at home stay unused until these have passed. A lower cap holds
-    /// for what starts and is lent from now on.
+    /// `fresh` says that the target announced itself after this incarnation began.
+    /// Otherwise an earlier incarnation may have lent its slots or left requests
+    /// running on them, and the slots at home stay unused until these have ended.
+    /// A lower cap applies to requests started and slots lent from now on.
     pub fn set_target(&mut self, name: &str, cap: u32, fresh: bool) -> TargetKey {
         let me = self.entries.get(self.me.0 as usize);
         let home = me.map_or(0, |me| slot_share(name, cap, &self.entries, me));
         let index = match self.targets.get_index_of(name) {
             Some(index) => index,
-            None => self.add(name, fresh),
+            None => self.add_target(name, fresh),
         };
         let started_at = self.started_at;
-        let held = &mut self.targets[index];
-        held.home = home;
-        held.leaving = false;
-        if fresh && !held.fresh {
-            held.fresh = true;
-            held.home_from = started_at;
+        let slots = &mut self.targets[index];
+        slots.home = home;
+        slots.leaving = false;
+        if fresh && !slots.fresh {
+            slots.fresh = true;
+            slots.home_usable_from = started_at;
         }
         TargetKey(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    /// Leaves the target's slots at home unused until what an earlier holder
-    /// that is not known here may run on them has ended.
+    /// Keeps the target's slots at home unused until all requests have ended that
+    /// an earlier user unknown to this entry may run on them.
     pub fn withhold_home_slots(&mut self, target: TargetKey, now: Duration) {
         let until = now + self.reclaim_after();
-        if let Some(held) = self.held_mut(target) {
-            held.home_from = held.home_from.max(until);
+        if let Some(slots) = self.target_mut(target) {
+            slots.home_usable_from = slots.home_usable_from.max(until);
         }
     }
 
-    /// Requests may run for up to `longest` from now on. A lower value changes
-    /// nothing: longer requests may still be on their way. Loans made for
-    /// shorter requests end.
-    pub fn set_max_request_duration(&mut self, longest: Duration) {
-        if longest <= self.terms.max_request_duration {
+    /// Raises the maximum duration of requests from now on. A lower value has no
+    /// effect, because longer requests may still be in progress. Leases granted
+    /// for shorter requests end.
+    pub fn set_max_request_duration(&mut self, duration: Duration) {
+        if duration <= self.terms.max_request_duration {
             return;
         }
-        self.terms.max_request_duration = longest;
-        let settled = self.started_at + self.reclaim_after();
-        for held in self.targets.values_mut() {
-            held.close_loans();
-            if !held.fresh {
-                held.home_from = held.home_from.max(settled);
+        self.terms.max_request_duration = duration;
+        let usable_from = self.started_at + self.reclaim_after();
+        for slots in self.targets.values_mut() {
+            slots.end_leases();
+            if !slots.fresh {
+                slots.home_usable_from = slots.home_usable_from.max(usable_from);
             }
         }
     }
 
-    /// Until when the request that took `slot` may be begun at the target;
-    /// `None` for no bound. To be looked at again right before its first byte
-    /// is written.
+    /// The time before which the request that acquired `slot` must be started at
+    /// the target; `None` if there is no limit. Must be checked again right before
+    /// the first byte is written.
     pub fn start_deadline(&self, slot: Slot) -> Option<Duration> {
         let grant = slot.grant?;
-        let borrowed = self.held(slot.target)?.borrowed.get(&grant);
+        let borrowed = self.target(slot.target)?.borrowed.get(&grant);
         Some(borrowed.map_or(Duration::ZERO, |borrowed| borrowed.until))
     }
 
-    /// Whether anything is on loan here, so that [`Slots::tick`] has work.
+    /// Whether this entry has borrowed any slots, so that [`Slots::tick`] may have
+    /// some to return.
     pub fn has_borrowed(&self) -> bool {
-        self.targets.values().any(|held| !held.borrowed.is_empty())
+        self.targets
+            .values()
+            .any(|slots| !slots.borrowed.is_empty())
     }
 
-    /// The target takes no new work; what runs on it and what is lent stays
+    /// Stops new requests to the target. Requests in progress and lent slots stay
     /// accounted for.
     pub fn remove_target(&mut self, name: &str) {
-        if let Some(held) = self.targets.get_mut(name) {
-            held.leaving = true;
+        if let Some(slots) = self.targets.get_mut(name) {
+            slots.leaving = true;
         }
     }
 
-    /// How many requests of this entry the target may have in progress now.
+    /// How many requests of this entry may be in progress at the target now.
     pub fn usable(&self, target: TargetKey, now: Duration) -> u32 {
-        self.held(target).map_or(0, |held| held.usable(now))
+        self.target(target).map_or(0, |slots| slots.usable(now))
     }
 
-    /// Takes a slot for one request, at home if there is one.
+    /// Acquires a slot for one request, at home if one is free.
     pub fn acquire(&mut self, target: TargetKey, now: Duration) -> Option<Slot> {
-        let held = self.held_mut(target)?;
-        held.reclaim(now);
-        if held.home_free(now) > 0 {
-            held.home_busy += 1;
+        let slots = self.target_mut(target)?;
+        slots.reclaim(now);
+        if slots.home_free(now) > 0 {
+            slots.home_busy += 1;
             return Some(Slot {
                 target,
                 grant: None,
             });
         }
-        let grant = held.borrowed_free(now)?;
-        held.borrowed.get_mut(&grant)?.busy = true;
+        let grant = slots.borrowed_free(now)?;
+        slots.borrowed.get_mut(&grant)?.busy = true;
         Some(Slot {
             target,
             grant: Some(grant),
         })
     }
 
-    /// Gives a slot back after its request ended. The request no longer runs
-    /// at the target, or its deadline passed.
+    /// Releases the slot of a request that no longer runs at the target or whose
+    /// deadline has passed.
     pub fn release(&mut self, slot: Slot, now: Duration) {
-        let Some(held) = self.held_mut(slot.target) else {
+        let Some(slots) = self.target_mut(slot.target) else {
             return;
         };
         let Some(grant) = slot.grant else {
-            held.home_busy = held.home_busy.saturating_sub(1);
+            slots.home_busy = slots.home_busy.saturating_sub(1);
             return;
         };
-        if let Some(borrowed) = held.borrowed.get_mut(&grant) {
+        if let Some(borrowed) = slots.borrowed.get_mut(&grant) {
             borrowed.busy = false;
             borrowed.idle_since = now;
         }
     }
 
-    /// Asks for slots for `count` waiting requests, less what is asked for
-    /// already.
+    /// Requests slots from other entries for `count` waiting requests, less those
+    /// in pending requests.
     pub fn request_slots(&mut self, count: u32, now: Duration) -> Vec<Outgoing> {
         let pending: u32 = self.peers.iter().map(|peer| peer.pending(now)).sum();
         let mut missing = count.saturating_sub(pending);
         let mut out = Vec::new();
         while missing > 0 {
-            let Some((index, hope)) = most_hopeful(&self.peers, self.me, self.asks, now) else {
+            let Some((index, expected)) = best_lender(&self.peers, self.me, self.requests, now)
+            else {
                 break;
             };
-            let count = hope.min(missing);
-            out.push(self.ask(index, count, now));
+            let count = expected.min(missing);
+            out.push(self.request_from(index, count, now));
             missing -= count;
         }
         out
     }
 
-    /// Handles a message of another entry.
+    /// Handles a message from another entry.
     pub fn handle_message(
         &mut self,
         from: EntryIndex,
@@ -208,20 +215,20 @@
                 idle,
             } => self.borrow(from, incarnation, request, &grants, idle, now),
             Message::Return { grants } => {
-                self.take_back(&grants);
+                self.remove_returned(&grants);
                 Vec::new()
             }
         }
     }
 
-    /// Returns loans that are idle or over. Called after [`Slots::release`] and at
-    /// least once in each `idle_timeout`.
+    /// Returns borrowed slots that are idle or whose lease is over. Call after
+    /// [`Slots::release`] and at least once per `idle_timeout`.
     pub fn tick(&mut self, now: Duration) -> Vec<Outgoing> {
         let mut by_lender: IndexMap<EntryIndex, Vec<GrantId>> = IndexMap::new();
         let idle_timeout = self.terms.idle_timeout;
-        for held in self.targets.values_mut() {
-            held.reclaim(now);
-            for (lender, grant) in held.surplus(idle_timeout, now) {
+        for slots in self.targets.values_mut() {
+            slots.reclaim(now);
+            for (lender, grant) in slots.take_returnable(idle_timeout, now) {
                 by_lender.entry(lender).or_default().push(grant);
             }
         }
@@ -232,20 +239,20 @@
         by_lender.into_iter().map(send).collect()
     }
 
-    fn add(&mut self, name: &str, fresh: bool) -> usize {
-        let settled = self.started_at + self.reclaim_after();
-        let held = Held {
-            home_from: if fresh { self.started_at } else { settled },
+    fn add_target(&mut self, name: &str, fresh: bool) -> usize {
+        let usable_from = self.started_at + self.reclaim_after();
+        let slots = TargetSlots {
+            home_usable_from: if fresh { self.started_at } else { usable_from },
             fresh,
-            ..Held::default()
+            ..TargetSlots::default()
         };
-        self.targets.insert_full(name.into(), held).0
+        self.targets.insert_full(name.into(), slots).0
     }
 
-    fn ask(&mut self, index: usize, count: u32, now: Duration) -> Outgoing {
-        self.asks += 1;
-        let serial = self.asks;
-        self.peers[index].asked(Ask {
+    fn request_from(&mut self, index: usize, count: u32, now: Duration) -> Outgoing {
+        self.requests += 1;
+        let serial = self.requests;
+        self.peers[index].set_pending(PendingRequest {
             serial,
             count,
             sent_at: now,
@@ -271,11 +278,11 @@
         let Some(peer) = self.peers.get_mut(to.0 as usize) else {
             return Vec::new();
         };
-        if !peer.is_new(incarnation, request) {
+        if !peer.record_request(incarnation, request) {
             return Vec::new();
         }
-        for held in self.targets.values_mut() {
-            held.reclaim(now);
+        for slots in self.targets.values_mut() {
+            slots.reclaim(now);
         }
         let mut grants = Vec::new();
         while (grants.len() as u64) < u64::from(count) {
@@ -284,7 +291,11 @@
             };
             grants.push(grant);
         }
-        let idle = self.targets.values().map(|held| held.home_free(now)).sum();
+        let idle = self
+            .targets
+            .values()
+            .map(|slots| slots.home_free(now))
+            .sum();
         let message = Message::Grants {
             incarnation,
             request,
@@ -294,21 +305,21 @@
         vec![Outgoing { to, message }]
     }
 
-    /// Lends a slot of the target with the most idle ones.
+    /// Lends a slot of the target with the most free slots at home.
     fn lend_one(&mut self, now: Duration) -> Option<Grant> {
-        let back_at = now + self.reclaim_after();
-        let open = self.targets.iter_mut();
-        let (name, held) = open.max_by_key(|(_, held)| held.home_free(now))?;
-        if held.home_free(now) == 0 {
+        let reclaim_at = now + self.reclaim_after();
+        let targets = self.targets.iter_mut();
+        let (name, slots) = targets.max_by_key(|(_, slots)| slots.home_free(now))?;
+        if slots.home_free(now) == 0 {
             return None;
         }
-        self.loans += 1;
+        self.grants += 1;
         let id = GrantId {
             lender: self.me,
             incarnation: self.incarnation,
-            serial: self.loans,
+            serial: self.grants,
         };
-        held.lent.insert(id, back_at);
+        slots.lent.insert(id, reclaim_at);
         Some(Grant {
             id,
             target: name.clone(),
@@ -316,8 +327,8 @@
         })
     }
 
-    /// Accepts loans. The lease counts from when the ask was sent, so it ends
-    /// here before it ends at the lender.
+    /// Accepts granted slots. The lease counts from when the request was sent, so
+    /// it ends at the borrower before it ends at the lender.
     fn borrow(
         &mut self,
         from: EntryIndex,
@@ -331,38 +342,38 @@
             return Vec::new();
         }
         let peer = self.peers.get_mut(from.0 as usize);
-        let Some(asked) =
-            peer.and_then(|peer| peer.answered(request, !grants.is_empty(), idle, now))
+        let Some(pending) =
+            peer.and_then(|peer| peer.complete(request, !grants.is_empty(), idle, now))
         else {
             return Vec::new();
         };
-        let mut unwanted = Vec::new();
+        let mut rejected = Vec::new();
         for grant in grants {
-            let enough = grant.max_request_duration >= self.terms.max_request_duration;
-            let held = self.targets.get_mut(&grant.target);
-            let Some(held) = held.filter(|_| enough) else {
-                unwanted.push(grant.id);
+            let is_long_enough = grant.max_request_duration >= self.terms.max_request_duration;
+            let slots = self.targets.get_mut(&grant.target);
+            let Some(slots) = slots.filter(|_| is_long_enough) else {
+                rejected.push(grant.id);
                 continue;
             };
-            let borrowed = Borrowed {
+            let borrowed = BorrowedSlot {
                 lender: from,
-                until: asked.sent_at + self.terms.lease,
+                until: pending.sent_at + self.terms.lease,
                 busy: false,
                 idle_since: now,
             };
-            held.borrowed.insert(grant.id, borrowed);
+            slots.borrowed.insert(grant.id, borrowed);
         }
-        if unwanted.is_empty() {
+        if rejected.is_empty() {
             return Vec::new();
         }
-        let message = Message::Return { grants: unwanted };
+        let message = Message::Return { grants: rejected };
         vec![Outgoing { to: from, message }]
     }
 
-    fn take_back(&mut self, grants: &[GrantId]) {
-        for held in self.targets.values_mut() {
+    fn remove_returned(&mut self, grants: &[GrantId]) {
+        for slots in self.targets.values_mut() {
             for grant in grants {
-                held.lent.swap_remove(grant);
+                slots.lent.swap_remove(grant);
             }
         }
     }
@@ -375,11 +386,11 @@
         }
     }
 
-    fn held(&self, target: TargetKey) -> Option<&Held> {
+    fn target(&self, target: TargetKey) -> Option<&TargetSlots> {
         Some(self.targets.get_index(target.0 as usize)?.1)
     }
 
-    fn held_mut(&mut self, target: TargetKey) -> Option<&mut Held> {
+    fn target_mut(&mut self, target: TargetKey) -> Option<&mut TargetSlots> {
         Some(self.targets.get_index_mut(target.0 as usize)?.1)
     }
 }
--- a/crates/cleat-decide/src/slots/held.rs
+++ b/crates/cleat-decide/src/slots/target_slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one target as one entry holds them.
+//! The slots of one target as accounted for by one entry.
 
 use std::time::Duration;
 
@@ -8,36 +8,39 @@
 
 /// Slots at home, lent and borrowed.
 #[derive(Debug, Default)]
-pub(super) struct Held {
+pub(super) struct TargetSlots {
     pub(super) home: u32,
     /// Requests in progress on slots at home.
     pub(super) home_busy: u32,
-    /// Until when loans and requests of an earlier life may be out.
-    pub(super) home_from: Duration,
-    /// Whether no earlier life had to do with the target.
+    /// The time from which slots at home may be used. Until then, grants and
+    /// requests of an earlier incarnation may still be in use.
+    pub(super) home_usable_from: Duration,
+    /// Whether no earlier incarnation of this entry used the target.
     pub(super) fresh: bool,
-    /// Loans out, with the time at which the slot is back without a return.
+    /// Lent slots, with the time at which each is reclaimed if it is not returned.
     pub(super) lent: IndexMap<GrantId, Duration>,
-    pub(super) borrowed: IndexMap<GrantId, Borrowed>,
-    /// Whether the target takes no new work.
+    pub(super) borrowed: IndexMap<GrantId, BorrowedSlot>,
+    /// Whether the target accepts no new requests.
     pub(super) leaving: bool,
 }
 
-/// A slot on loan here.
+/// A slot that this entry borrowed.
 #[derive(Debug)]
-pub(super) struct Borrowed {
+pub(super) struct BorrowedSlot {
     pub(super) lender: EntryIndex,
-    /// No request starts on it from here on.
+    /// The end of the lease: no request starts on the slot from then on.
     pub(super) until: Duration,
     pub(super) busy: bool,
     pub(super) idle_since: Duration,
 }
 
-impl Held {
-    /// Slots at home on which a request could start now. Invariant: at home,
-    /// `home_busy + lent` never rises beyond `home`.
+impl TargetSlots {
+    /// The number of slots at home on which a request could start now.
+    ///
+    /// Invariant: `home_busy` plus the number of lent slots never increases beyond
+    /// `home`.
     pub(super) fn home_free(&self, now: Duration) -> u32 {
-        if self.leaving || now < self.home_from {
+        if self.leaving || now < self.home_usable_from {
             return 0;
         }
         let lent = u32::try_from(self.lent.len()).unwrap_or(u32::MAX);
@@ -45,12 +48,12 @@
             .saturating_sub(self.home_busy.saturating_add(lent))
     }
 
-    /// Requests in progress and those that could start now.
+    /// The number of requests in progress and of those that could start now.
     pub(super) fn usable(&self, now: Duration) -> u32 {
         let borrowed = self
             .borrowed
             .values()
-            .filter(|b| b.busy || self.open(b, now));
+            .filter(|b| b.busy || self.may_start_on(b, now));
         let borrowed = u32::try_from(borrowed.count()).unwrap_or(u32::MAX);
         self.home_busy + self.home_free(now) + borrowed
     }
@@ -58,21 +61,22 @@
     /// A borrowed slot on which a request could start now.
     pub(super) fn borrowed_free(&self, now: Duration) -> Option<GrantId> {
         let mut grants = self.borrowed.iter();
-        let open = grants.find(|(_, b)| !b.busy && self.open(b, now));
-        open.map(|(id, _)| *id)
+        let free = grants.find(|(_, b)| !b.busy && self.may_start_on(b, now));
+        free.map(|(id, _)| *id)
     }
 
-    /// Takes out loans that are idle for too long or may not be used further.
-    pub(super) fn surplus(
+    /// Removes the borrowed slots to return: those that were idle for too long or
+    /// may not be used any more.
+    pub(super) fn take_returnable(
         &mut self,
         idle_timeout: Duration,
         now: Duration,
     ) -> Vec<(EntryIndex, GrantId)> {
         let leaving = self.leaving;
-        let surplus = |b: &Borrowed| {
+        let returnable = |b: &BorrowedSlot| {
             !b.busy && (leaving || now >= b.until || now >= b.idle_since + idle_timeout)
         };
-        let out = self.borrowed.iter().filter(|(_, b)| surplus(b));
+        let out = self.borrowed.iter().filter(|(_, b)| returnable(b));
         let out: Vec<_> = out.map(|(id, b)| (b.lender, *id)).collect();
         for (_, id) in &out {
             self.borrowed.swap_remove(id);
@@ -80,19 +84,19 @@
         out
     }
 
-    /// Lets no further request start on what is on loan here.
-    pub(super) fn close_loans(&mut self) {
+    /// Ends the leases of all borrowed slots: no further request starts on them.
+    pub(super) fn end_leases(&mut self) {
         for borrowed in self.borrowed.values_mut() {
             borrowed.until = Duration::ZERO;
         }
     }
 
-    /// Takes back loans whose time has passed on any clock.
+    /// Reclaims the lent slots on which no request can run any more.
     pub(super) fn reclaim(&mut self, now: Duration) {
-        self.lent.retain(|_, back_at| now < *back_at);
+        self.lent.retain(|_, reclaim_at| now < *reclaim_at);
     }
 
-    fn open(&self, borrowed: &Borrowed, now: Duration) -> bool {
+    fn may_start_on(&self, borrowed: &BorrowedSlot, now: Duration) -> bool {
         !self.leaving && now < borrowed.until
     }
 }
--- a/crates/cleat-decide/src/slots/types.rs
+++ b/crates/cleat-decide/src/slots/types.rs
@@ -1,11 +1,11 @@
-//! Names, terms and messages of slot sharing.
+//! Identifiers, settings and messages of slot sharing.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The most that two clocks' rates differ, as a part: 1 / 50.
-const DRIFT_PART: u32 = 50;
+/// The maximum difference between the rates of two clocks, as a fraction: 1 / 50.
+const CLOCK_DRIFT_DIVISOR: u32 = 50;
 
 /// An entry, by its position among all configured entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -16,94 +16,97 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetKey(pub u32);
 
-/// One loan of one slot.
+/// Identifies the lending of one slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
     /// The home of the slot.
     pub lender: EntryIndex,
-    /// The lender's life. Invariant: a restarted entry has another one.
+    /// The lender's incarnation. Invariant: an entry has a different one after a
+    /// restart.
     pub incarnation: u64,
-    /// The number of the loan in this life.
+    /// The number of the grant in this incarnation.
     pub serial: u64,
 }
 
 /// A slot in use by one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-#[must_use = "a slot that is not given back is lost"]
+#[must_use = "a slot that is not released is lost"]
 pub struct Slot {
     /// The target.
     pub target: TargetKey,
-    /// The loan, or `None` for a slot at home.
+    /// The grant of a borrowed slot; `None` for a slot at home.
     pub grant: Option<GrantId>,
 }
 
-/// How long a loan lasts.
+/// How long slots are lent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// For how long a borrower may start requests on a slot.
+    /// How long a borrower may start requests on a slot.
     pub lease: Duration,
-    /// The longest that a request may run. Never lowered in a life, see
+    /// The maximum duration of a request. Never lowered in an incarnation, see
     /// [`Slots::set_max_request_duration`](crate::Slots::set_max_request_duration).
     pub max_request_duration: Duration,
-    /// For how long a borrower keeps a slot that it does not use.
+    /// How long a borrower keeps a slot that it does not use.
     pub idle_timeout: Duration,
 }
 
 impl LeaseTerms {
-    /// After this much time on any clock no request of a holder that is cut
-    /// off, frozen or dead runs on a lent slot.
+    /// The time after which no request runs on a lent slot, measured by any
+    /// clock, even if the borrower is unreachable, frozen or dead.
     pub fn reclaim_after(&self) -> Duration {
-        let whole = self.lease + self.max_request_duration;
-        whole + whole / DRIFT_PART
+        let total = self.lease + self.max_request_duration;
+        total + total / CLOCK_DRIFT_DIVISOR
     }
 }
 
-/// What entries say to each other.
+/// A message between entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for slots.
+    /// Requests slots.
     Request {
-        /// The asker's life.
+        /// The requester's incarnation.
         incarnation: u64,
-        /// Rises with each ask in a life; an old or repeated one is ignored.
+        /// Increases with each request of an incarnation. An old or repeated one
+        /// is ignored.
         serial: u64,
-        /// How many slots.
+        /// How many slots are requested.
         count: u32,
     },
-    /// Answers one ask.
+    /// Answers one request.
     Grants {
-        /// The life that asked.
+        /// The requester's incarnation.
         incarnation: u64,
-        /// The ask's serial.
+        /// The serial of the request.
         request: u64,
-        /// The loans, at most as many as asked for.
+        /// The granted slots, at most as many as requested.
         grants: Vec<Grant>,
         /// How many more slots the lender could lend.
         idle: u32,
     },
-    /// Gives loans back; no request runs on them any more.
+    /// Returns borrowed slots on which no request runs any more.
     Return {
-        /// The loans. Repeating one has no effect.
+        /// The grants that end. Returning one again has no effect.
         grants: Vec<GrantId>,
     },
 }
 
-/// One lent slot as the message names it.
+/// One lent slot, as the message describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The loan.
+    /// The identifier of the grant.
     pub id: GrantId,
     /// The target's name.
     pub target: Box<str>,
-    /// The longest request for which the lender waits after the lease.
+    /// The maximum duration of a request for which the lender waits after the
+    /// lease.
     pub max_request_duration: Duration,
 }
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where to.
+    /// The recipient.
     pub to: EntryIndex,
-    /// What.
+    /// The message.
     pub message: Message,
 }
--- a/crates/cleat-decide/tests/admission.rs
+++ b/crates/cleat-decide/tests/admission.rs
@@ -246,7 +246,7 @@
 #[test]
 fn arrive_full_queue_without_bound() {
     let off = Protections {
-        queue_bound: false,
+        queue_limit: false,
         ..Protections::ALL
     };
     let mut model = Model::new(json!({"queue": {"length": 4}}), 1, off);
--- a/crates/cleat-decide/tests/choice.rs
+++ b/crates/cleat-decide/tests/choice.rs
@@ -86,7 +86,7 @@
     assert_eq!(chosen(Protections::ALL).count(), 200);
     assert_eq!(free_slots(&all), 40);
     let off = Protections {
-        ejection_bound: false,
+        ejection_limit: false,
         ..Protections::ALL
     };
     assert_eq!(chosen(off).count(), 0, "the bound is what keeps targets in");
@@ -103,7 +103,7 @@
     };
     assert!(slow(Protections::ALL) < 20);
     let off = Protections {
-        latency: false,
+        latency_weighting: false,
         ..Protections::ALL
     };
     assert!(slow(off) > 150);
--- a/crates/cleat-decide/tests/replay.rs
+++ b/crates/cleat-decide/tests/replay.rs
@@ -84,7 +84,7 @@
 #[test]
 fn replay_without_spread() {
     let off = Protections {
-        spread: false,
+        retry_jitter: false,
         ..Protections::ALL
     };
     assert_notices("burst-over-quota.jsonl", off, "returns in one second");
@@ -102,7 +102,7 @@
 #[test]
 fn replay_without_share_cap() {
     let off = Protections {
-        share_cap: false,
+        slot_limit: false,
         ..Protections::ALL
     };
     assert_notices("wave-vanishing-targets.jsonl", off, "over its slots");
--- a/crates/cleat-maintain/src/lib.rs
+++ b/crates/cleat-maintain/src/lib.rs
@@ -1,9 +1,10 @@
 //! Moves of instances between pools, and maintenance waves.
 //!
-//! [`Reconciler`] decides, purely, what comes next; [`run`] carries it out on
-//! an instance while it leads. Each step is committed to the replicated log
-//! before its effect on the [`Platform`] begins, and every effect is
-//! idempotent by its [`ActionToken`], so a step can be taken up again by any leader.
+//! [`Reconciler`] decides what to do next, without side effects. [`run`] executes
+//! the decisions on an instance while it is the leader. Each step is committed to
+//! the replicated log before its action on the [`Platform`] begins, and every
+//! action is idempotent by its [`ActionToken`], so any later leader can resume a
+//! step.
 
 mod plan;
 mod platform;
--- a/crates/cleat-maintain/src/plan/mod.rs
+++ b/crates/cleat-maintain/src/plan/mod.rs
@@ -1,11 +1,11 @@
-//! What comes next, decided from the replicated state.
+//! Planning: decides from the replicated state what to do next.
 
 mod moves;
+mod observations;
 mod order;
 mod reconciler;
 mod steps;
 mod wait_reason;
-mod watch;
 
 pub use order::next_instance;
 pub use reconciler::{Effect, Event, Reconciler};
--- a/crates/cleat-maintain/src/plan/moves.rs
+++ b/crates/cleat-maintain/src/plan/moves.rs
@@ -5,29 +5,29 @@
 use cleat_world::{AdvanceMove, Availability, CommandBody, Phase, Place, Step, World};
 
 use super::Effect;
-use super::watch::Watch;
+use super::observations::Observation;
 
-/// What takes the move of `instance` on, if anything does now.
+/// The effect that advances the move of `instance`, if it can advance now.
 pub(super) fn next(
     world: &World,
     instance: &str,
     place: &Place,
-    watch: &Watch,
+    observation: &Observation,
     now: Duration,
 ) -> Option<Effect> {
     let phase = match &place.phase {
         Phase::Joining | Phase::Member => return None,
         Phase::Ordered { to } => {
-            if is_maintained(world, instance, place) || !has_room(world, instance, place) {
+            if is_maintained(world, instance, place) || !may_leave(world, instance, place) {
                 return None;
             }
             Phase::Leaving { to: to.clone() }
         }
         Phase::Leaving { to } => {
-            let Some(in_force_at) = watch.in_force_at else {
+            let Some(in_force_at) = observation.in_force_at else {
                 return Some(Effect::AwaitInForce { index: place.epoch });
             };
-            if now < in_force_at + longest_request(world, &place.pool) {
+            if now < in_force_at + max_request_duration(world, &place.pool) {
                 return None;
             }
             Phase::Drained { to: to.clone() }
@@ -41,20 +41,23 @@
     })))
 }
 
-/// A wave finishes with the instance first.
+/// Whether a wave is maintaining the instance. The move waits until it is done.
 fn is_maintained(world: &World, instance: &str, place: &Place) -> bool {
     let wave = world.waves().get(&place.pool);
     let step = wave.and_then(|wave| wave.step(instance));
     step.is_some_and(|step| step.is_away() && step != Step::Failed)
 }
 
-fn has_room(world: &World, instance: &str, place: &Place) -> bool {
-    let found = world.availability(&place.pool);
-    world.is_away(instance) || found.is_some_and(Availability::has_room)
+/// Whether the instance may leave its pool: it is unavailable already, or the
+/// budget of the pool allows one more to be.
+fn may_leave(world: &World, instance: &str, place: &Place) -> bool {
+    let availability = world.availability(&place.pool);
+    world.is_away(instance) || availability.is_some_and(Availability::has_room)
 }
 
-/// After this long nothing that was sent to the pool before is in progress.
-pub(super) fn longest_request(world: &World, pool: &str) -> Duration {
+/// The maximum duration of a request to the pool. After this time none of the
+/// requests sent before is in progress.
+pub(super) fn max_request_duration(world: &World, pool: &str) -> Duration {
     let fleet = world.fleet();
     let pool = fleet.pools.find(pool);
     let services = fleet.services.iter().map(|(_, _, service)| service);
--- a/crates/cleat-maintain/src/plan/order.rs
+++ b/crates/cleat-maintain/src/plan/order.rs
@@ -1,19 +1,19 @@
-//! Which instance a wave takes next.
+//! Which instance a wave maintains next.
 
 use cleat_world::{Instance, Phase, Step, Wave, World};
 use indexmap::IndexMap;
 
 use super::WaitReason;
 
-/// The instance that the wave of `pool` takes next.
+/// The instance that the wave of `pool` maintains next.
 ///
-/// Beside the budget itself, room is left for the loss of the rack with most
-/// serving instances, as far as the budget allows that at all: at least one
-/// instance may be taken. Instances are taken rack by rack, so that those away
-/// at once share failure domains.
+/// Part of the budget is reserved for the failure of the rack with the most
+/// serving instances, but a budget above zero always allows one instance to be
+/// maintained. Instances are maintained rack by rack, so that those unavailable
+/// at the same time share failure domains.
 ///
 /// # Errors
-/// What the wave waits for.
+/// Why the wave maintains no further instance now.
 pub fn next_instance<'a>(world: &'a World, pool: &str) -> Result<&'a str, WaitReason> {
     let Some(wave) = world.waves().get(pool) else {
         return Err(under_way(&[]));
@@ -25,30 +25,31 @@
         return Err(WaitReason::NoPlatform);
     }
     let candidates = candidates(world, wave)?;
-    // Whatever is away already costs nothing further.
+    // An instance that is unavailable already does not use more of the budget.
     if let Some(name) = candidates.iter().find(|name| world.is_away(name)) {
         return Ok(name);
     }
-    check_room(world, pool)?;
-    let domains = Domains::of_away(world, pool);
-    let closest = candidates
+    check_budget(world, pool)?;
+    let domains = FailureDomains::of_unavailable(world, pool);
+    let next = candidates
         .into_iter()
-        .min_by_key(|name| domains.distance(world, name));
-    closest.ok_or_else(|| under_way(&[]))
+        .min_by_key(|name| domains.sort_key(world, name));
+    next.ok_or_else(|| under_way(&[]))
 }
 
-/// The instances that were not begun and stay in the pool.
+/// The instances that the wave has not started on and that are not moving out of
+/// the pool.
 fn candidates<'a>(world: &'a World, wave: &'a Wave) -> Result<Vec<&'a str>, WaitReason> {
-    let of = |wanted: Step| {
+    let in_step = |wanted: Step| {
         let states = wave.instances.iter();
-        let found = states.filter(move |(_, state)| state.step == wanted);
-        found.map(|(name, _)| &**name)
+        let matching = states.filter(move |(_, state)| state.step == wanted);
+        matching.map(|(name, _)| &**name)
     };
     let stays = |name: &&str| {
         let place = world.places().get(*name);
         place.is_some_and(|place| matches!(place.phase, Phase::Joining | Phase::Member))
     };
-    let (staying, moving): (Vec<_>, Vec<_>) = of(Step::Waiting).partition(stays);
+    let (staying, moving): (Vec<_>, Vec<_>) = in_step(Step::Waiting).partition(stays);
     if !staying.is_empty() {
         return Ok(staying);
     }
@@ -70,9 +71,9 @@
     }
 }
 
-/// Whether one more instance may be away by choice.
-fn check_room(world: &World, pool: &str) -> Result<(), WaitReason> {
-    let Some(found) = world.availability(pool).filter(|found| found.budget > 0) else {
+/// Checks that one more instance may be made unavailable.
+fn check_budget(world: &World, pool: &str) -> Result<(), WaitReason> {
+    let Some(availability) = world.availability(pool).filter(|found| found.budget > 0) else {
         return Err(WaitReason::NoBudget);
     };
     let names = || {
@@ -80,15 +81,15 @@
         let away = places.filter(|name| world.is_away(name));
         away.map(Into::into).collect()
     };
-    if !found.has_room() {
+    if !availability.has_room() {
         return Err(WaitReason::Budget {
-            budget: found.budget,
+            budget: availability.budget,
             away: names(),
         });
     }
-    let reserve = worst_rack(world, pool).min(found.budget - 1);
-    let allowed = found.budget - reserve;
-    if found.away >= allowed {
+    let reserve = largest_rack(world, pool).min(availability.budget - 1);
+    let allowed = availability.budget - reserve;
+    if availability.away >= allowed {
         return Err(WaitReason::Reserve {
             allowed,
             away: names(),
@@ -97,8 +98,9 @@
     Ok(())
 }
 
-/// How many serving instances the pool loses at most with one rack.
-fn worst_rack(world: &World, pool: &str) -> u64 {
+/// The maximum number of serving instances that the failure of one rack takes from
+/// the pool.
+fn largest_rack(world: &World, pool: &str) -> u64 {
     let mut racks: IndexMap<_, u64> = IndexMap::new();
     for (name, place) in world.places_in(pool) {
         let serves = place.phase != Phase::Joining && !world.is_away(name);
@@ -116,29 +118,29 @@
     Some((instance.data_centre, &instance.rack))
 }
 
-/// Where the instances that are away stand.
-struct Domains<'a> {
+/// The failure domains of the unavailable instances.
+struct FailureDomains<'a> {
     away: Vec<Rack<'a>>,
 }
 
-impl<'a> Domains<'a> {
-    fn of_away(world: &'a World, pool: &str) -> Domains<'a> {
+impl<'a> FailureDomains<'a> {
+    fn of_unavailable(world: &'a World, pool: &str) -> FailureDomains<'a> {
         let places = world.places_in(pool).map(|(name, _)| name);
         let away = places.filter(|name| world.is_away(name));
         let away = away.filter_map(|name| rack_of(world, name)).collect();
-        Domains { away }
+        FailureDomains { away }
     }
 
-    /// Smallest for an instance in a rack that lacks one already, then for
-    /// one in such a data centre; otherwise by rack, so that a rack is gone
-    /// through before the next.
-    fn distance(&self, world: &'a World, instance: &str) -> (u8, Option<Rack<'a>>) {
+    /// The sort key of an instance: first those in a rack with an unavailable
+    /// instance, then those in such a data centre, then the others. Ties are ordered
+    /// by rack, so that one rack is finished before the next.
+    fn sort_key(&self, world: &'a World, instance: &str) -> (u8, Option<Rack<'a>>) {
         let rack = rack_of(world, instance);
-        let near = match rack {
+        let tier = match rack {
             Some(rack) if self.away.contains(&rack) => 0,
             Some((centre, _)) if self.away.iter().any(|(other, _)| *other == centre) => 1,
             _ => 2,
         };
-        (near, rack)
+        (tier, rack)
     }
 }
--- a/crates/cleat-maintain/src/plan/reconciler.rs
+++ b/crates/cleat-maintain/src/plan/reconciler.rs
@@ -1,10 +1,11 @@
-//! From the replicated state and what was seen to what is done next.
+//! Decides what to do next from the replicated state and the events observed by
+//! the leader.
 
 use std::time::Duration;
 
 use cleat_world::{CommandBody, Step, StepInstance, World};
 
-use super::watch::Watches;
+use super::observations::Observations;
 use super::{moves, next_instance, steps};
 use crate::{ActionState, ActionToken};
 
@@ -13,56 +14,56 @@
 pub enum Event {
     /// Time passed.
     Tick,
-    /// Everything up to this log index is in force wherever requests are
-    /// taken.
+    /// Every entry that may accept requests has applied the log up to this index.
     InForce {
         /// The index.
         index: u64,
     },
-    /// The platform reported on an effect.
+    /// The platform reported the state of an action.
     Reported {
-        /// The effect.
+        /// The action.
         token: ActionToken,
-        /// How far it is.
+        /// Its state.
         state: ActionState,
     },
 }
 
-/// Something to do. Each may be done any number of times.
+/// Something to do. Each effect is idempotent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Propose a command; it is fenced, so late it changes nothing.
+    /// Propose a command. It is fenced: if it is applied too late, it changes nothing.
     Propose(CommandBody),
-    /// Wait until a log index is in force, and say so.
+    /// Wait until every entry that may accept requests has applied a log index, then
+    /// report [`Event::InForce`].
     AwaitInForce {
         /// The index.
         index: u64,
     },
-    /// Have the platform carry out an effect, and say how far it is.
+    /// Have the platform run an action, then report [`Event::Reported`].
     RunAction(ActionToken),
 }
 
-/// The decisions of one leader about moves and waves.
+/// Makes the decisions of one leader about moves and waves.
 ///
-/// Invariant: an [`Effect::RunAction`] is given only for a step that is in the
-/// replicated state already.
+/// Invariant: [`Effect::RunAction`] is only returned for a step that is already in
+/// the replicated state.
 #[derive(Debug, Default)]
 pub struct Reconciler {
-    watches: Watches,
+    observations: Observations,
 }
 
 impl Reconciler {
-    /// Takes in `event` and gives what is to be done next. `now` is
-    /// monotonic, since any fixed moment of this leader.
+    /// Handles `event` and returns what to do next. `now` is monotonic, counted from
+    /// any fixed point in time of this leader.
     ///
-    /// Only [`Event::Tick`] looks at the whole state; the others are kept for
-    /// it, since hundreds of them may come between two ticks.
+    /// Only [`Event::Tick`] scans the whole state. The other events are recorded for
+    /// the next tick, because hundreds of them may come between two ticks.
     pub fn handle(&mut self, event: Event, world: &World, now: Duration) -> Vec<Effect> {
         match event {
             Event::Tick => return self.plan(world, now),
-            Event::InForce { index } => self.watches.record_in_force(index, now),
+            Event::InForce { index } => self.observations.record_in_force(index, now),
             Event::Reported { token, state } => {
-                self.watches
+                self.observations
                     .record_action_state(&token.instance, token.epoch, state);
             }
         }
@@ -73,16 +74,16 @@
         let mut effects = Vec::new();
         self.plan_moves(world, now, &mut effects);
         self.plan_waves(world, now, &mut effects);
-        self.watches
-            .retain(|name, epoch| is_under_way(world, name, epoch));
+        self.observations
+            .retain(|name, epoch| is_in_step(world, name, epoch));
         effects
     }
 
     fn plan_moves(&mut self, world: &World, now: Duration, effects: &mut Vec<Effect>) {
         for (instance, place) in world.places() {
             if place.phase.destination().is_some() {
-                let watch = self.watches.over(instance, place.epoch, now);
-                effects.extend(moves::next(world, instance, place, watch, now));
+                let observation = self.observations.get_or_insert(instance, place.epoch, now);
+                effects.extend(moves::next(world, instance, place, observation, now));
             }
         }
     }
@@ -93,7 +94,7 @@
                 if !state.step.is_away() {
                     continue;
                 }
-                let watch = self.watches.over(instance, state.epoch, now);
+                let observation = self.observations.get_or_insert(instance, state.epoch, now);
                 let cx = steps::Context {
                     world,
                     pool,
@@ -101,7 +102,7 @@
                     epoch: state.epoch,
                     now,
                 };
-                match steps::next(&cx, state.step, watch) {
+                match steps::next(&cx, state.step, observation) {
                     steps::Next::Nothing => {}
                     steps::Next::Do(effect) => effects.push(effect),
                     steps::Next::Enter(to) => {
@@ -109,7 +110,7 @@
                     }
                 }
             }
-            // One at a time: the next is chosen in the light of this one.
+            // One instance per tick: the next choice must see this one in the state.
             if let Ok(instance) = next_instance(world, pool) {
                 let (from, to) = (Step::Waiting, Step::Draining);
                 effects.push(propose_step(pool, wave.id, instance, from, to));
@@ -129,7 +130,7 @@
 }
 
 /// Whether the instance is still in the step or phase that began at `epoch`.
-fn is_under_way(world: &World, instance: &str, epoch: u64) -> bool {
+fn is_in_step(world: &World, instance: &str, epoch: u64) -> bool {
     let Some(place) = world.places().get(instance) else {
         return false;
     };
--- a/crates/cleat-maintain/src/plan/steps.rs
+++ b/crates/cleat-maintain/src/plan/steps.rs
@@ -5,11 +5,11 @@
 use cleat_world::{MaintenanceTerms, Phase, Step, World};
 
 use super::Effect;
-use super::moves::longest_request;
-use super::watch::Watch;
+use super::moves::max_request_duration;
+use super::observations::Observation;
 use crate::{Action, ActionState, ActionToken};
 
-/// One instance under maintenance.
+/// An instance under maintenance.
 pub(super) struct Context<'a> {
     pub(super) world: &'a World,
     pub(super) pool: &'a str,
@@ -18,33 +18,34 @@
     pub(super) now: Duration,
 }
 
-/// What follows for it.
+/// What to do for the instance.
 pub(super) enum Next {
     Nothing,
     Do(Effect),
     Enter(Step),
 }
 
-/// What takes the instance on from `step`.
-pub(super) fn next(cx: &Context<'_>, step: Step, watch: &mut Watch) -> Next {
+/// What advances the instance from `step`.
+pub(super) fn next(cx: &Context<'_>, step: Step, observation: &mut Observation) -> Next {
     match step {
         Step::Waiting | Step::Done | Step::Skipped => Next::Nothing,
-        Step::Draining => draining(cx, watch),
-        Step::Rebooting => rebooting(cx, watch),
-        Step::Probation => probation(cx, watch),
-        Step::Failed => failed(cx, watch),
+        Step::Draining => draining(cx, observation),
+        Step::Rebooting => rebooting(cx, observation),
+        Step::Probation => probation(cx, observation),
+        Step::Failed => failed(cx, observation),
     }
 }
 
-/// Reboots only once every instance of the system's own has stopped sending,
-/// the longest request has ended, and the platform has drained it.
-fn draining(cx: &Context<'_>, watch: &Watch) -> Next {
-    let Some(in_force_at) = watch.in_force_at else {
+/// Continues to the reboot only once every entry has stopped sending requests to
+/// the instance, the longest of these has ended, and the platform has drained the
+/// instance.
+fn draining(cx: &Context<'_>, observation: &Observation) -> Next {
+    let Some(in_force_at) = observation.in_force_at else {
         let index = cx.epoch;
         return Next::Do(Effect::AwaitInForce { index });
     };
-    let quiet_at = in_force_at + longest_request(cx.world, cx.pool);
-    match watch.action_state {
+    let quiet_at = in_force_at + max_request_duration(cx.world, cx.pool);
+    match observation.action_state {
         Some(ActionState::Done) if cx.now >= quiet_at => Next::Enter(Step::Rebooting),
         Some(ActionState::Done) => Next::Nothing,
         Some(ActionState::Failed) => Next::Enter(Step::Failed),
@@ -53,55 +54,57 @@
     }
 }
 
-fn rebooting(cx: &Context<'_>, watch: &Watch) -> Next {
-    match watch.action_state {
+fn rebooting(cx: &Context<'_>, observation: &Observation) -> Next {
+    match observation.action_state {
         Some(ActionState::Done) => Next::Enter(Step::Probation),
         Some(ActionState::Failed) => Next::Enter(Step::Failed),
-        _ if cx.now >= watch.since + seconds(cx.terms().reboot_s) => Next::Enter(Step::Failed),
+        _ if cx.now >= observation.since + seconds(cx.terms().reboot_s) => {
+            Next::Enter(Step::Failed)
+        }
         _ => cx.run_action(Action::Reboot),
     }
 }
 
-/// It has to serve for a while without a break. One that fails right after
-/// its repair starts anew, and fails for good once it has had the time of a
-/// reboot to come back.
-fn probation(cx: &Context<'_>, watch: &mut Watch) -> Next {
-    if has_proved_itself(cx, watch) {
+/// The instance has to serve for the probation time without interruption. One
+/// that stops serving starts that time again. It has failed if it is not serving
+/// once the probation time plus the time for a reboot has passed.
+fn probation(cx: &Context<'_>, observation: &mut Observation) -> Next {
+    if has_passed_probation(cx, observation) {
         return Next::Enter(Step::Done);
     }
-    match watch.serving_since {
+    match observation.serving_since {
         Some(_) => Next::Nothing,
-        None => unserved(cx, watch),
+        None => not_serving(cx, observation),
     }
 }
 
-/// One that was repaired by other hands has to prove itself all the same.
-fn failed(cx: &Context<'_>, watch: &mut Watch) -> Next {
-    match has_proved_itself(cx, watch) {
+/// An instance that was repaired outside the wave has to pass the probation too.
+fn failed(cx: &Context<'_>, observation: &mut Observation) -> Next {
+    match has_passed_probation(cx, observation) {
         true => Next::Enter(Step::Skipped),
         false => Next::Nothing,
     }
 }
 
-/// Whether it has served for the time of the probation without a break.
-fn has_proved_itself(cx: &Context<'_>, watch: &mut Watch) -> bool {
+/// Whether the instance has served for the probation time without interruption.
+fn has_passed_probation(cx: &Context<'_>, observation: &mut Observation) -> bool {
     if !cx.world.has_target(cx.instance) {
-        watch.serving_since = None;
+        observation.serving_since = None;
         return false;
     }
-    let serving_since = *watch.serving_since.get_or_insert(cx.now);
+    let serving_since = *observation.serving_since.get_or_insert(cx.now);
     cx.now >= serving_since + seconds(cx.terms().probation_s)
 }
 
-fn unserved(cx: &Context<'_>, watch: &Watch) -> Next {
+fn not_serving(cx: &Context<'_>, observation: &Observation) -> Next {
     let terms = cx.terms();
     let place = cx.world.places().get(cx.instance);
-    // One that never served has nothing to prove.
+    // An instance that never served in the pool has nothing to recover.
     let never_served = place.is_some_and(|place| place.phase == Phase::Joining);
-    if never_served && cx.now >= watch.since + seconds(terms.probation_s) {
+    if never_served && cx.now >= observation.since + seconds(terms.probation_s) {
         return Next::Enter(Step::Done);
     }
-    match cx.now >= watch.since + seconds(terms.probation_s + terms.reboot_s) {
+    match cx.now >= observation.since + seconds(terms.probation_s + terms.reboot_s) {
         true => Next::Enter(Step::Failed),
         false => Next::Nothing,
     }
--- a/crates/cleat-maintain/src/plan/wait_reason.rs
+++ b/crates/cleat-maintain/src/plan/wait_reason.rs
@@ -1,49 +1,49 @@
-//! What a wave that takes no further instance waits for.
+//! Why a wave does not continue with another instance.
 
 use cleat_world::{Step, World};
 use serde::Serialize;
 
 use super::next_instance;
 
-/// Why a wave takes no further instance now.
+/// Why a wave does not continue with another instance now.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// An operator paused it. Resume it.
+    /// An operator paused the wave. Resume it.
     Paused,
-    /// The pool's budget allows no instance away. Allow at least one.
+    /// The pool's budget allows no unavailable instance. Allow at least one.
     NoBudget,
-    /// As many instances are away as the budget allows. Bring these back.
+    /// As many instances are unavailable as the budget allows. Bring these back.
     Budget {
-        /// How many may be away.
+        /// How many instances may be unavailable.
         budget: u64,
-        /// The instances that are away.
+        /// The unavailable instances.
         away: Box<[Box<str>]>,
     },
-    /// One more instance away would leave too little room for the loss of a
-    /// rack. It goes on once one of these is back.
+    /// One more unavailable instance would leave too little of the budget for the
+    /// failure of a rack. The wave continues once one of these is back.
     Reserve {
-        /// How many may be away at most by choice.
+        /// How many instances the wave may have unavailable at once.
         allowed: u64,
-        /// The instances that are away.
+        /// The unavailable instances.
         away: Box<[Box<str>]>,
     },
-    /// The last instances are under way.
+    /// The wave has started on its last instances.
     UnderWay {
-        /// These, with their steps.
+        /// The instances that are not finished, with their steps.
         instances: Box<[(Box<str>, Step)]>,
     },
-    /// The instances that are left are moving to another pool.
+    /// The remaining instances are moving to another pool.
     Moving {
-        /// These.
+        /// The moving instances.
         instances: Box<[Box<str>]>,
     },
-    /// The configuration names no platform any more. Name it.
+    /// The configuration no longer names a platform. Add it.
     NoPlatform,
 }
 
-/// What the wave of `pool` waits for; `None` if there is none under way or it
-/// takes an instance now.
+/// Why the wave of `pool` does not continue; `None` if there is no wave in progress
+/// or it continues with another instance now.
 pub fn wait_reason(world: &World, pool: &str) -> Option<WaitReason> {
     let wave = world.waves().get(pool)?;
     if wave.has_ended() {
--- a/crates/cleat-maintain/src/platform/client.rs
+++ b/crates/cleat-maintain/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP/1.1 with JSON.
+//! The client of the platform: JSON over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,15 +20,15 @@
 };
 use super::{Action, ActionState, ActionToken, Platform, PlatformError};
 
-/// How long one exchange may take.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// The timeout of one HTTP exchange.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform at the address that the configuration names.
+/// The platform at the address given in the configuration.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpPlatform;
 
 #[derive(Debug, Deserialize)]
-struct ReportBody {
+struct ResponseBody {
     state: ActionState,
 }
 
@@ -39,9 +39,9 @@
         token: &ActionToken,
         term: u64,
     ) -> Result<ActionState, PlatformError> {
-        let exchange = timeout(CALL_LIMIT, exchange(at, token, term)).await;
+        let exchange = timeout(CALL_TIMEOUT, exchange(at, token, term)).await;
         exchange.unwrap_or_else(|_| {
-            let (address, limit) = (at, CALL_LIMIT);
+            let (address, limit) = (at, CALL_TIMEOUT);
             TimeoutSnafu { address, limit }.fail()
         })
     }
@@ -57,13 +57,13 @@
     let stream = stream.context(ConnectSnafu { address })?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut tx, connection) = handshake.context(ExchangeSnafu { address })?;
-    // The exchange reports the connection's error to its sender.
+    // A connection error is also returned to the sender of the request.
     tokio::spawn(async move {
         let _ = connection.await;
     });
-    let answer = tx.send_request(req).await;
-    let answer = answer.context(ExchangeSnafu { address })?;
-    let status = answer.status();
+    let response = tx.send_request(req).await;
+    let response = response.context(ExchangeSnafu { address })?;
+    let status = response.status();
     ensure!(
         status.is_success(),
         RefusedSnafu {
@@ -71,9 +71,9 @@
             status: status.as_u16()
         }
     );
-    let body = answer.into_body().collect().await;
+    let body = response.into_body().collect().await;
     let body = body.context(ExchangeSnafu { address })?.to_bytes();
-    let body: ReportBody = serde_json::from_slice(&body).context(JsonSnafu { address })?;
+    let body: ResponseBody = serde_json::from_slice(&body).context(JsonSnafu { address })?;
     Ok(body.state)
 }
 
--- a/crates/cleat-maintain/src/platform/types.rs
+++ b/crates/cleat-maintain/src/platform/types.rs
@@ -1,4 +1,4 @@
-//! What the platform is asked and how it answers.
+//! The interface of the platform: actions, their states and errors.
 
 use std::fmt;
 use std::future::Future;
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// What is done to an instance.
+/// What the platform does to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// Nothing new is started on it.
+    /// No new work is started on the instance.
     Drain,
-    /// It is restarted.
+    /// The instance is restarted.
     Reboot,
 }
 
-/// The identity of one effect. The same token any number of times has the
-/// effect once.
+/// The idempotency token of one action: however often it is sent, the action runs
+/// once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ActionToken {
     /// The instance.
     pub instance: Box<str>,
-    /// What is done to it.
+    /// What the platform does to the instance.
     pub action: Action,
-    /// The log index of the step that was committed for it: unique for the
+    /// The log index of the step that was committed for the action: unique to the
     /// wave, the instance and the attempt.
     pub epoch: u64,
 }
@@ -41,75 +41,77 @@
     }
 }
 
-/// How far an effect is.
+/// The state of an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ActionState {
-    /// It has begun.
+    /// The action has begun.
     Running,
-    /// It is complete.
+    /// The action is complete.
     Done,
-    /// It cannot be completed.
+    /// The action cannot be completed.
     Failed,
 }
 
-/// Why the platform gave no report. The effect may have begun; asking again
-/// with the same token is safe.
+/// Why the platform did not report the state of an action. The action may have
+/// begun; sending the same token again is safe.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum PlatformError {
-    /// It cannot be reached. Check `platform.address` in the configuration.
-    #[snafu(display("the platform at {address} cannot be reached: {source}"))]
+    /// The platform cannot be reached. Check `platform.address` in the configuration.
+    #[snafu(display("cannot connect to the platform at {address}: {source}"))]
     Connect {
-        /// The platform.
+        /// The address of the platform.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The connection broke. It is asked again.
-    #[snafu(display("the exchange with the platform at {address} broke: {source}"))]
+    /// The connection failed during the exchange. The request is sent again.
+    #[snafu(display("the connection to the platform at {address} failed: {source}"))]
     Exchange {
-        /// The platform.
+        /// The address of the platform.
         address: SocketAddr,
-        /// What hyper reports.
+        /// The error of hyper.
         source: hyper::Error,
     },
-    /// It did not answer in time. It is asked again.
-    #[snafu(display("the platform at {address} gave no answer within {limit:?}"))]
+    /// The platform did not respond in time. The request is sent again.
+    #[snafu(display("the platform at {address} did not respond within {limit:?}"))]
     Timeout {
-        /// The platform.
+        /// The address of the platform.
         address: SocketAddr,
-        /// How long was waited.
+        /// The timeout.
         limit: Duration,
     },
-    /// The instance's name makes no path. Rename the instance.
-    #[snafu(display("no request can be made for the platform: {source}"))]
+    /// The instance's name is not valid in a URL path. Rename the instance.
+    #[snafu(display("cannot build the request to the platform: {source}"))]
     Request {
-        /// What is wrong with it.
+        /// Why the request is invalid.
         source: http::Error,
     },
-    /// It refused: a later leader has spoken, or it knows no such instance.
-    #[snafu(display("the platform at {address} refused with {status}"))]
+    /// The platform refused the request: a later leader has sent one, or it does not
+    /// know the instance.
+    #[snafu(display("the platform at {address} refused the request with status {status}"))]
     Refused {
-        /// The platform.
+        /// The address of the platform.
         address: SocketAddr,
-        /// The status of its answer.
+        /// The HTTP status of the response.
         status: u16,
     },
-    /// Its answer is not understood. Compare the versions.
-    #[snafu(display("the platform at {address} answered with unexpected JSON: {source}"))]
+    /// The response could not be parsed. Check that the versions match.
+    #[snafu(display("the platform at {address} sent unexpected JSON: {source}"))]
     Json {
-        /// The platform.
+        /// The address of the platform.
         address: SocketAddr,
-        /// Where the text fails.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// Something that drains and reboots instances.
+/// A service that drains and reboots instances.
 pub trait Platform: Send + Sync + 'static {
-    /// Begins the effect of `token`, or reports how far it is. `term` is the
-    /// asking leader's; the platform refuses an earlier one than it has seen.
+    /// Begins the action of `token`, or reports its state if it has begun. `term` is
+    /// the term of the calling leader; the platform refuses a term lower than one
+    /// that it has seen.
     fn run_action(
         &self,
         at: SocketAddr,
--- a/crates/cleat-maintain/src/run.rs
+++ b/crates/cleat-maintain/src/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out what was decided, on an instance while it leads.
+//! Executes the decisions of the reconciler on an instance while it leads.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -13,72 +13,73 @@
 
 use crate::{Effect, Event, Platform, Reconciler};
 
-/// How often it is looked whether something can go on.
+/// How often the reconciler checks whether moves and waves can advance.
 const TICK: Duration = Duration::from_millis(500);
-/// The most effects in progress at once: what the platform and the log are
-/// asked stays bounded however many pools are under maintenance.
-const MOST_IN_PROGRESS: usize = 32;
+/// The maximum number of effects in progress at once, so that the load on the
+/// platform and the log stays bounded however many pools are under maintenance.
+const MAX_IN_PROGRESS: usize = 32;
 
-/// The log did not take a command, or its outcome is unknown. It is decided
-/// anew from the state.
+/// A command was not accepted or its outcome is unknown. The reconciler decides
+/// again from the replicated state.
 #[derive(Debug, Snafu)]
-#[snafu(display("this instance does not lead any more, or reaches no quorum"))]
+#[snafu(display("this instance is no longer the leader, or cannot reach a quorum"))]
 pub struct LeadershipLost;
 
-/// The replicated state and log as this instance has them.
+/// Access to the replicated state and log on this instance.
 pub trait ReplicatedState: Send + Sync + 'static {
-    /// The term in which this instance leads, while it certainly does.
+    /// The term in which this instance leads; `None` unless it certainly leads now.
     fn leading_term(&self) -> Option<u64>;
 
     /// Reads the local replica.
     fn world<R>(&self, read: impl FnOnce(&World) -> R) -> R;
 
-    /// Proposes a command here and waits until it is applied.
+    /// Proposes a command on this instance and waits until it is applied.
     fn propose(&self, body: CommandBody)
     -> impl Future<Output = Result<(), LeadershipLost>> + Send;
 
-    /// Waits until `index` is in force wherever requests are taken.
+    /// Waits until every entry that may accept requests has applied the log up to
+    /// `index`.
     fn wait_in_force(&self, index: u64) -> impl Future<Output = Result<(), LeadershipLost>> + Send;
 }
 
-/// Takes moves and waves on while this instance leads; never returns.
-pub async fn run<C: ReplicatedState, P: Platform>(control: Arc<C>, platform: Arc<P>) {
-    let mut shell = Shell::new(control, platform);
+/// Advances moves and waves while this instance leads. Never returns.
+pub async fn run<C: ReplicatedState, P: Platform>(replica: Arc<C>, platform: Arc<P>) {
+    let mut executor = Executor::new(replica, platform);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = ticks.tick() => shell.tick(),
-            Some(ended) = shell.tasks.join_next() => shell.ended(ended.ok()),
+            _ = ticks.tick() => executor.tick(),
+            Some(joined) = executor.tasks.join_next() => executor.complete(joined.ok()),
         }
     }
 }
 
-/// How an effect ended.
-struct Ended {
+/// An effect that was executed, with the event that it led to.
+struct Completed {
     term: u64,
     effect: Effect,
     event: Option<Event>,
 }
 
-struct Shell<C, P> {
-    control: Arc<C>,
+struct Executor<C, P> {
+    replica: Arc<C>,
     platform: Arc<P>,
     started: Instant,
-    /// The term that `reconciler` decides in.
+    /// The term that `reconciler` belongs to.
     term: Option<u64>,
     reconciler: Reconciler,
-    tasks: JoinSet<Ended>,
+    tasks: JoinSet<Completed>,
     in_progress: Vec<Effect>,
-    /// Decided at the last tick and not begun yet.
+    /// Effects decided at the last tick that have not begun.
     queued: VecDeque<Effect>,
     ticks: usize,
 }
 
-impl<C: ReplicatedState, P: Platform> Shell<C, P> {
-    fn new(control: Arc<C>, platform: Arc<P>) -> Shell<C, P> {
-        Shell {
-            control,
+impl<C: ReplicatedState, P: Platform> Executor<C, P> {
+    fn new(replica: Arc<C>, platform: Arc<P>) -> Executor<C, P> {
+        Executor {
+            replica,
             platform,
             started: Instant::now(),
             term: None,
@@ -93,11 +94,11 @@
     fn tick(&mut self) {
         self.queued.clear();
         self.ticks = self.ticks.wrapping_add(1);
-        self.on(Event::Tick);
+        self.handle(Event::Tick);
     }
 
-    fn on(&mut self, event: Event) {
-        let term = self.control.leading_term();
+    fn handle(&mut self, event: Event) {
+        let term = self.replica.leading_term();
         if term != self.term {
             self.restart(term);
         }
@@ -107,30 +108,31 @@
         let now = self.started.elapsed();
         let reconciler = &mut self.reconciler;
         let effects = self
-            .control
+            .replica
             .world(|world| reconciler.handle(event, world, now));
         if !effects.is_empty() {
             self.queued = effects.into();
-            // Whoever comes late in the order is not always served last.
+            // Rotate so that effects late in the order are not always begun last.
             let length = self.queued.len();
             self.queued.rotate_left(self.ticks % length);
         }
-        self.fill();
+        self.begin_queued();
     }
 
-    /// Begins what is queued, as far as the bound allows.
-    fn fill(&mut self) {
+    /// Begins queued effects up to [`MAX_IN_PROGRESS`].
+    fn begin_queued(&mut self) {
         let Some(term) = self.term else {
             return;
         };
-        while self.in_progress.len() < MOST_IN_PROGRESS
+        while self.in_progress.len() < MAX_IN_PROGRESS
             && let Some(effect) = self.queued.pop_front()
         {
             self.begin(effect, term);
         }
     }
 
-    /// A new leader knows nothing of what an earlier one saw.
+    /// Starts over in another term: a new leader has none of the observations of an
+    /// earlier one.
     fn restart(&mut self, term: Option<u64>) {
         self.term = term;
         self.reconciler = Reconciler::default();
@@ -144,10 +146,10 @@
             return;
         }
         self.in_progress.push(effect.clone());
-        let (control, platform) = (self.control.clone(), self.platform.clone());
+        let (replica, platform) = (self.replica.clone(), self.platform.clone());
         self.tasks.spawn(async move {
-            let event = perform(&*control, &*platform, &effect, term).await;
-            Ended {
+            let event = execute(&*replica, &*platform, &effect, term).await;
+            Completed {
                 term,
                 effect,
                 event,
@@ -155,45 +157,48 @@
         });
     }
 
-    fn ended(&mut self, ended: Option<Ended>) {
+    fn complete(&mut self, completed: Option<Completed>) {
         // An aborted task belongs to an earlier term.
-        let Some(ended) = ended.filter(|ended| Some(ended.term) == self.term) else {
+        let Some(completed) = completed.filter(|completed| Some(completed.term) == self.term)
+        else {
             return;
         };
-        self.in_progress.retain(|effect| *effect != ended.effect);
-        match ended.event {
-            Some(event) => self.on(event),
-            None => self.fill(),
+        self.in_progress
+            .retain(|effect| *effect != completed.effect);
+        match completed.event {
+            Some(event) => self.handle(event),
+            None => self.begin_queued(),
         }
     }
 }
 
-async fn perform<C: ReplicatedState, P: Platform>(
-    control: &C,
+/// Executes an effect and returns the event to handle, if any.
+async fn execute<C: ReplicatedState, P: Platform>(
+    replica: &C,
     platform: &P,
     effect: &Effect,
     term: u64,
 ) -> Option<Event> {
     match effect {
         Effect::Propose(body) => {
-            info!("maintenance: {body:?}");
-            // Whatever came of it, the next tick decides from the state.
-            let _ = control.propose(body.clone()).await;
+            info!("proposing maintenance command {body:?}");
+            // Whatever the outcome, the next tick decides from the replicated state.
+            let _ = replica.propose(body.clone()).await;
             None
         }
         Effect::AwaitInForce { index } => {
-            let waited = control.wait_in_force(*index).await;
+            let waited = replica.wait_in_force(*index).await;
             waited.ok().map(|()| Event::InForce { index: *index })
         }
         Effect::RunAction(token) => {
-            let at = control.world(|world| world.fleet().platform)?;
+            let at = replica.world(|world| world.fleet().platform)?;
             match platform.run_action(at, token, term).await {
                 Ok(state) => {
                     let token = token.clone();
                     Some(Event::Reported { token, state })
                 }
                 Err(error) => {
-                    warn!("{token}: {error}");
+                    warn!("maintenance action {token} failed, will retry: {error}");
                     None
                 }
             }
