--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -106,7 +106,7 @@
         scheduler.lease = Duration::from_millis(lease);
     }
     if let Some(remember) = timing.remember_ms {
-        scheduler.remember = Duration::from_millis(remember);
+        scheduler.ended_job_retention = Duration::from_millis(remember);
     }
     ControlConfig {
         name: settings.name.clone(),
--- a/crates/cleat-control/src/local/model.rs
+++ b/crates/cleat-control/src/local/model.rs
@@ -159,7 +159,7 @@
                 self.close(*task, *run);
                 OrderAnswer::Done
             }
-            Order::Pace(_) => OrderAnswer::Done,
+            Order::Throttle(_) => OrderAnswer::Done,
         }
     }
 
--- a/crates/cleat-control/src/local/workers.rs
+++ b/crates/cleat-control/src/local/workers.rs
@@ -72,7 +72,7 @@
                 let estimate = step.map_or(0, |step| step.estimate_ms);
                 (size, Duration::from_millis(estimate).max(DEFAULT_RUN))
             }
-            Order::Stop | Order::Pace(_) => (Size::default(), DEFAULT_RUN),
+            Order::Stop | Order::Throttle(_) => (Size::default(), DEFAULT_RUN),
         };
         ModelRun {
             run: order.run,
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -155,7 +155,7 @@
             Err(refusal) => Ok(refusal),
             Ok(Place::Queue(queue)) => {
                 let count =
-                    |s: &cleat_jobs::Scheduler| s.waiting(state, &queue.host, &queue.prefix);
+                    |s: &cleat_jobs::Scheduler| s.waiting_jobs(state, &queue.host, &queue.prefix);
                 let waiting = self.with_scheduler(count).ok_or(ControlError::NoQuorum)?;
                 Ok(ControlReply::Waiting(waiting as u64))
             }
@@ -170,7 +170,7 @@
         let Some(known) = state.job_state(id) else {
             return ControlReply::NoSuchJob;
         };
-        let begun = self.with_scheduler(|scheduler| scheduler.has_begun(id));
+        let begun = self.with_scheduler(|scheduler| scheduler.has_started(id));
         ControlReply::Job(JobView::of(known, begun.unwrap_or_default()))
     }
 
@@ -306,7 +306,7 @@
         pool: job.queue.pool.clone(),
         tasks: tasks.sum(),
         done: job.done_count(),
-        running: scheduler.running(id) as u64,
+        running: scheduler.running_tasks(id) as u64,
     }
 }
 
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -43,7 +43,7 @@
                 order,
             } => calls.push(self.order_machine(machine, token, order)),
             Effect::Propose(command) => calls.push(self.propose(command)),
-            Effect::Tell(decision) => {
+            Effect::Log(decision) => {
                 self.shared.metrics.count_decision(&decision);
                 if decision.is_routine() {
                     self.shared.events.emit_routine(&decision);
--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -193,7 +193,7 @@
             }
             Effect::Propose(command) => self.after(COMMIT, Happening::Commit(command)),
             Effect::Fenced { .. }
-            | Effect::Tell(_)
+            | Effect::Log(_)
             | Effect::Advise { .. }
             | Effect::ListMachines
             | Effect::OrderMachine { .. } => {}
--- a/crates/cleat-jobs/src/schedule/account/keep.rs
+++ b/crates/cleat-jobs/src/schedule/account/keep.rs
@@ -117,7 +117,7 @@
     /// Counts everything that an earlier owner may have started on workers which
     /// have not listed their runs to this one.
     fn count_hidden(&mut self, state: &ControlState) {
-        let off = !self.cfg.protections.hidden_runs_count;
+        let off = !self.cfg.protections.charge_hidden_runs;
         let mut hidden: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(customer) = step.charge.customer else {
--- a/crates/cleat-jobs/src/schedule/account/tell.rs
+++ b/crates/cleat-jobs/src/schedule/account/tell.rs
@@ -51,7 +51,7 @@
                 cap_memory_mb: cap.memory_mb,
             }
         });
-        self.effects.extend(decision.map(Effect::Tell));
+        self.effects.extend(decision.map(Effect::Log));
     }
 
     /// What each customer has and wants, by name.
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -160,7 +160,7 @@
     /// counted.
     fn suspects(&self, key: WorkerKey) -> Vec<TaskId> {
         let tasks = self.workers[key].tasks.iter().copied();
-        let counted = |task: &TaskId| self.cfg.protections.crashes_count && self.is_suspect(*task);
+        let counted = |task: &TaskId| self.cfg.protections.count_crashes && self.is_suspect(*task);
         tasks.filter(counted).collect()
     }
 
--- a/crates/cleat-jobs/src/schedule/durations.rs
+++ b/crates/cleat-jobs/src/schedule/durations.rs
@@ -22,7 +22,7 @@
 
 /// What is known of the durations of one queue's tasks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Durations {
+pub struct DurationModel {
     tasks: u32,
     /// Means of the logarithms, of milliseconds.
     estimate: f64,
@@ -33,9 +33,9 @@
     covariance: f64,
 }
 
-impl Durations {
+impl DurationModel {
     /// Takes a task into account that is done.
-    pub fn learn(&mut self, estimate_ms: u64, ran: Duration) {
+    pub fn observe(&mut self, estimate_ms: u64, ran: Duration) {
         if estimate_ms == 0 {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// How long a task of this estimate takes on average.
-    pub fn expect(&self, estimate_ms: u64) -> Duration {
+    pub fn expected(&self, estimate_ms: u64) -> Duration {
         if estimate_ms == 0 || self.tasks == 0 {
             return Duration::from_millis(estimate_ms);
         }
--- a/crates/cleat-jobs/src/schedule/event.rs
+++ b/crates/cleat-jobs/src/schedule/event.rs
@@ -166,7 +166,7 @@
     /// Stop it.
     Stop,
     /// Let it work at this share of its pace, in percent.
-    Pace(u8),
+    Throttle(u8),
 }
 
 /// An order about one run.
@@ -209,7 +209,7 @@
 
 impl OrderAnswer {
     /// Whether it is certain that the order never has an effect.
-    pub fn never_runs(self) -> bool {
+    pub fn rules_out_execution(self) -> bool {
         !matches!(self, OrderAnswer::Done | OrderAnswer::Unknown)
     }
 }
@@ -275,7 +275,7 @@
     /// Commit a command.
     Propose(Command),
     /// Write a line to the log.
-    Tell(Decision),
+    Log(Decision),
     /// A worker knows a later owner: this one must stop giving orders.
     Fenced {
         /// The worker.
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -220,7 +220,7 @@
             return;
         }
         self.effects
-            .push(Effect::Tell(Decision::machine_answer(name, answer)));
+            .push(Effect::Log(Decision::machine_answer(name, answer)));
         match answer {
             MachineAnswer::Done => {
                 ordered.accepted = Some(now);
--- a/crates/cleat-jobs/src/schedule/forecast.rs
+++ b/crates/cleat-jobs/src/schedule/forecast.rs
@@ -40,20 +40,20 @@
 
 /// What a job takes up over its life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct JobUsage {
     /// Thousandths of a core, times milliseconds.
-    pub cpu_ms: f64,
+    pub cpu_milli_ms: f64,
     /// MB, times milliseconds.
-    pub memory_ms: f64,
+    pub memory_mb_ms: f64,
     /// How long it takes, in milliseconds; 0 while that is not known.
-    pub span_ms: f64,
+    pub duration_ms: f64,
 }
 
 /// The jobs that came lately for one pool.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals {
     /// By rising time.
-    recent: VecDeque<(Duration, Work)>,
+    recent: VecDeque<(Duration, JobUsage)>,
 }
 
 /// A part of the arrivals that ends now.
@@ -65,7 +65,7 @@
 
 impl Arrivals {
     /// Notes a job that came at `at` and is expected to bring `work`.
-    pub fn note(&mut self, at: Duration, work: Work) {
+    pub fn record(&mut self, at: Duration, work: JobUsage) {
         // Some were held up on their way and come after later ones.
         let later = self.recent.iter().rev().take_while(|known| known.0 > at);
         let place = self.recent.len() - later.count();
@@ -77,22 +77,22 @@
     pub fn forecast(&mut self, now: Duration) -> Size {
         self.forget(now);
         let part = self.latest_part(now);
-        let span_ms = millis(part.span);
+        let segment_ms = millis(part.span);
         let ahead_ms = millis(AHEAD);
         let (mut cpu, mut memory) = (0.0, 0.0);
-        let mut add = |work: &Work, share: f64| {
-            cpu += share * work.cpu_ms;
-            memory += share * work.memory_ms;
+        let mut add = |work: &JobUsage, share: f64| {
+            cpu += share * work.cpu_milli_ms;
+            memory += share * work.memory_mb_ms;
         };
         for (_, work) in self.recent.iter().rev().take(part.jobs) {
             // Of what comes until then, as much runs then as takes longer than that.
-            let share = (ahead_ms / work.span_ms).min(1.0);
-            add(work, share / span_ms);
+            let share = (ahead_ms / work.duration_ms).min(1.0);
+            add(work, share / segment_ms);
         }
         for (at, work) in &self.recent {
             let age_ms = millis(now.saturating_sub(*at));
-            if age_ms + ahead_ms < work.span_ms {
-                add(work, 1.0 / work.span_ms);
+            if age_ms + ahead_ms < work.duration_ms {
+                add(work, 1.0 / work.duration_ms);
             }
         }
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -73,8 +73,8 @@
 
     /// Whether a silent worker's lease is over.
     fn is_over(&self, key: WorkerKey) -> bool {
-        let lapsed = self.workers[key].is_lapsed(self.now, self.cfg.drift_percent);
-        lapsed || !self.cfg.protections.lease_first
+        let lapsed = self.workers[key].is_lapsed(self.now, self.cfg.max_clock_drift_percent);
+        lapsed || !self.cfg.protections.await_lease_expiry
     }
 
     /// Whether a worker without a lease gave no sign for so long that it is
@@ -83,7 +83,7 @@
     fn is_forgotten(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let sign = worker.beat_at.max(worker.heard_at.unwrap_or_default());
-        self.now > sign + self.cfg.remember
+        self.now > sign + self.cfg.ended_job_retention
     }
 
     fn is_silent(&self, key: WorkerKey) -> bool {
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -37,15 +37,15 @@
 
 pub use account::CustomerView;
 pub use decision::Decision;
-pub use durations::Durations;
+pub use durations::DurationModel;
 pub use event::{
     Effect, EndedRun, Event, Heartbeat, MachineAnswer, Order, OrderAnswer, RenewalAnswer,
     RenewalOrder, RunningTask, TaskOrder,
 };
 pub use fleet::{MachineOrder, MachineState, MachineView};
-pub use forecast::{Arrivals, Work};
+pub use forecast::{Arrivals, JobUsage};
 pub use protections::Protections;
-pub use shares::Sharing;
+pub use shares::SharePolicy;
 pub use worker::WorkerState;
 
 use crate::state::{Command, ControlState, Owner, WorkerRecord};
@@ -83,13 +83,13 @@
     /// How long a worker's answer to a renewal may wait for an end.
     pub renewal_wait: Duration,
     /// By how many percent a worker's clock may be slow.
-    pub drift_percent: u32,
+    pub max_clock_drift_percent: u32,
     /// How long a job that is over is remembered.
-    pub remember: Duration,
+    pub ended_job_retention: Duration,
     /// How much earlier than due an occurrence may start.
-    pub early: Duration,
+    pub max_early_start: Duration,
     /// How customers' shares decide which work goes first.
-    pub sharing: Sharing,
+    pub share_policy: SharePolicy,
     /// Test-only switches.
     #[doc(hidden)]
     pub protections: Protections,
@@ -104,10 +104,10 @@
             lease: Duration::from_millis(4_000),
             // Four renewals a lease.
             renewal_wait: Duration::from_millis(1_000),
-            drift_percent: 2,
-            remember: Duration::from_secs(240),
-            early: Duration::ZERO,
-            sharing: Sharing::default(),
+            max_clock_drift_percent: 2,
+            ended_job_retention: Duration::from_secs(240),
+            max_early_start: Duration::ZERO,
+            share_policy: SharePolicy::default(),
             protections: Protections::default(),
         }
     }
@@ -122,7 +122,7 @@
 
     /// How long a duration of a worker's clock may take at most.
     pub(crate) fn stretched(&self, span: Duration) -> Duration {
-        span * 100 / (100 - self.drift_percent.min(99))
+        span * 100 / (100 - self.max_clock_drift_percent.min(99))
     }
 }
 
@@ -302,12 +302,12 @@
     }
 
     /// Whether a task of the job has started, as far as this owner knows.
-    pub fn has_begun(&self, id: JobId) -> bool {
+    pub fn has_started(&self, id: JobId) -> bool {
         self.begun.contains(&id)
     }
 
     /// How many of a queue's jobs have no task that has started.
-    pub fn waiting(&self, state: &ControlState, host: &str, prefix: &str) -> usize {
+    pub fn waiting_jobs(&self, state: &ControlState, host: &str, prefix: &str) -> usize {
         let waits = |(id, job): &(&JobId, &crate::Job)| {
             *job.queue.host == *host
                 && *job.queue.prefix == *prefix
@@ -318,7 +318,7 @@
     }
 
     /// How many tasks of a job run.
-    pub fn running(&self, id: JobId) -> usize {
+    pub fn running_tasks(&self, id: JobId) -> usize {
         let tasks = self.job_tasks.get(&id).into_iter().flatten();
         let attempts = tasks.filter_map(|task| self.attempts.get(task));
         attempts.filter(|attempt| attempt.holds_room()).count()
@@ -362,7 +362,7 @@
     }
 
     fn tell(&mut self, decision: Decision) {
-        self.effects.push(Effect::Tell(decision));
+        self.effects.push(Effect::Log(decision));
     }
 
     fn worker_name(&self, key: WorkerKey) -> Box<str> {
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -118,7 +118,7 @@
         match order.order {
             Order::Start { .. } => self.start_answered(state, key, order, answer),
             Order::Stop => self.stop_answered(key, order, answer),
-            Order::Pace(_) => {}
+            Order::Throttle(_) => {}
         }
     }
 
@@ -150,7 +150,7 @@
             worker,
             answer: answer.name(),
         });
-        if !answer.never_runs() && self.cfg.protections.close_doors {
+        if !answer.rules_out_execution() && self.cfg.protections.stop_unanswered_starts {
             if lasts {
                 return self.await_list(order.task);
             }
--- a/crates/cleat-jobs/src/schedule/pace.rs
+++ b/crates/cleat-jobs/src/schedule/pace.rs
@@ -100,7 +100,7 @@
             .map(|run| TaskOrder {
                 task: run.task,
                 run: run.run,
-                order: Order::Pace(percent),
+                order: Order::Throttle(percent),
             })
             .collect();
         for order in orders {
--- a/crates/cleat-jobs/src/schedule/protections.rs
+++ b/crates/cleat-jobs/src/schedule/protections.rs
@@ -7,39 +7,39 @@
 pub struct Protections {
     /// Tasks that an earlier owner may have started wait until its runs are
     /// known.
-    pub known_runs_first: bool,
+    pub await_inherited_runs: bool,
     /// Tasks whose end a worker lists to a new owner wait for its commit.
-    pub inherited_ends: bool,
+    pub await_inherited_ends: bool,
     /// A start without an answer is stopped before it is tried elsewhere.
-    pub close_doors: bool,
+    pub stop_unanswered_starts: bool,
     /// What runs on a silent worker is taken as over only after its lease.
-    pub lease_first: bool,
+    pub await_lease_expiry: bool,
     /// A silent worker's lease is not extended.
-    pub no_blind_grants: bool,
+    pub no_lease_when_silent: bool,
     /// A worker whose lease was over is recorded as in use again before
     /// anything is started there.
-    pub recorded_first: bool,
+    pub record_use_before_start: bool,
     /// What an earlier owner may have started counts against its customer's cap
     /// until it is known.
-    pub hidden_runs_count: bool,
+    pub charge_hidden_runs: bool,
     /// Runs that should not be there are stopped.
     pub stop_strays: bool,
     /// Crashes of workers count against the tasks that ran there.
-    pub crashes_count: bool,
+    pub count_crashes: bool,
 }
 
 impl Default for Protections {
     fn default() -> Self {
         Protections {
-            known_runs_first: true,
-            inherited_ends: true,
-            close_doors: true,
-            lease_first: true,
-            no_blind_grants: true,
-            recorded_first: true,
-            hidden_runs_count: true,
+            await_inherited_runs: true,
+            await_inherited_ends: true,
+            stop_unanswered_starts: true,
+            await_lease_expiry: true,
+            no_lease_when_silent: true,
+            record_use_before_start: true,
+            charge_hidden_runs: true,
             stop_strays: true,
-            crashes_count: true,
+            count_crashes: true,
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -11,7 +11,7 @@
 use indexmap::IndexSet;
 
 use super::Scheduler;
-use super::shares::{Sharing, Standing};
+use super::shares::{SharePolicy, Standing};
 use super::step::{ActiveStep, Order};
 use super::timing::Prospect;
 use super::worker::WorkerKey;
@@ -65,10 +65,10 @@
 
     /// Whether a step is within its customer's share.
     fn standing(&self, step: &ActiveStep) -> Standing {
-        match (self.cfg.sharing, step.charge.customer) {
-            (Sharing::TimeFirst, _) | (_, None) => Standing::Within,
-            (Sharing::JobsASecond, _) => step.standing,
-            (Sharing::RoomInUse, Some(customer)) => self.accounts.standing_by_room(customer),
+        match (self.cfg.share_policy, step.charge.customer) {
+            (SharePolicy::DeadlineFirst, _) | (_, None) => Standing::Within,
+            (SharePolicy::ArrivalRate, _) => step.standing,
+            (SharePolicy::ResourceUse, Some(customer)) => self.accounts.standing_by_room(customer),
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -50,7 +50,7 @@
         let worker = &mut self.workers[key];
         let shares = worker.shares;
         // The first call learns the clock, and the runs, at once.
-        let blind = !self.cfg.protections.no_blind_grants;
+        let blind = !self.cfg.protections.no_lease_when_silent;
         let known = worker.clock_ms(now).filter(|_| worker.answers() || blind);
         let deadline_ms = known.map(|clock| clock + lease);
         // An empty worker may move once its last ends are acknowledged for
@@ -167,7 +167,7 @@
     fn record_use(&mut self, state: &ControlState, key: WorkerKey) {
         let worker = &mut self.workers[key];
         let known = state.workers.contains_key(&worker.record.name);
-        worker.recorded |= known && !self.cfg.protections.recorded_first;
+        worker.recorded |= known && !self.cfg.protections.record_use_before_start;
         if worker.recorded || worker.recording {
             return;
         }
@@ -254,18 +254,19 @@
         });
         if end.kind == EndKind::Done {
             self.workers[key].failed_jobs = 0;
-            self.learn(state, end, self.now.saturating_sub(began));
+            self.observe_duration(state, end, self.now.saturating_sub(began));
         }
     }
 
     /// Learns from a run how long its queue's tasks take. One that resumed
     /// from a checkpoint says little, but few do.
-    fn learn(&mut self, state: &ControlState, end: &End, ran: Duration) {
+    fn observe_duration(&mut self, state: &ControlState, end: &End, ran: Duration) {
         let Some(job) = state.jobs.get(&end.task.job()) else {
             return;
         };
         if let Some(spec) = job.step(end.task.step) {
-            self.times.learn(&job.queue.name, spec.estimate_ms, ran);
+            self.times
+                .observe_duration(&job.queue.name, spec.estimate_ms, ran);
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/shares.rs
+++ b/crates/cleat-jobs/src/schedule/shares.rs
@@ -14,16 +14,16 @@
 
 /// How a customer's share decides which of its steps go first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Sharing {
+pub enum SharePolicy {
     /// It does not: what can be in time goes first, whoever sent it.
-    TimeFirst,
+    DeadlineFirst,
     /// A job counts as beyond its customer's share if that sent as many jobs as
     /// its share within the second before.
     #[default]
-    JobsASecond,
+    ArrivalRate,
     /// A step counts as beyond its customer's share while that holds more of the
     /// room in use than its part of all shares.
-    RoomInUse,
+    ResourceUse,
 }
 
 /// Whether work is within its customer's share; lower goes first.
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -169,7 +169,7 @@
 
     /// Whether a time of day has come; never while it is not known.
     pub(super) fn is_due(&self, due_ms: u64) -> bool {
-        let early = super::worker::millis(self.cfg.early);
+        let early = super::worker::millis(self.cfg.max_early_start);
         self.wall_ms > 0 && self.wall_ms.saturating_add(early) >= due_ms
     }
 
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -39,7 +39,7 @@
     /// held up all tasks of its pool for 4 s (177 to 278 waited beside room for
     /// as many, in three of five plays of one day).
     pub(super) fn unknown_until(&self, pool: &str) -> Option<u64> {
-        if !self.cfg.protections.known_runs_first {
+        if !self.cfg.protections.await_inherited_runs {
             return None;
         }
         let workers = self.workers.in_pool(pool);
@@ -55,7 +55,7 @@
         let Some(step) = self.steps.get_mut(&end.task.step) else {
             return;
         };
-        let waits = self.cfg.protections.inherited_ends;
+        let waits = self.cfg.protections.await_inherited_ends;
         if !waits || !step.pending.contains(&end.task.index) {
             return;
         }
--- a/crates/cleat-jobs/src/schedule/tick.rs
+++ b/crates/cleat-jobs/src/schedule/tick.rs
@@ -40,7 +40,7 @@
     }
 
     fn forget_old(&mut self) {
-        let limit = self.now.saturating_sub(self.cfg.remember);
+        let limit = self.now.saturating_sub(self.cfg.ended_job_retention);
         let mut ids = Vec::new();
         while ids.len() < FORGET_AT_ONCE
             && let Some((_, id)) = self.over.pop_front_if(|(since, _)| *since < limit)
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexMap;
 
-use super::durations::Durations;
-use super::forecast::{Arrivals, Work};
+use super::durations::DurationModel;
+use super::forecast::{Arrivals, JobUsage};
 use super::shares::Standing;
 use super::worker::millis;
 use super::{Decision, Scheduler};
@@ -52,20 +52,20 @@
 /// What was learned of a queue.
 #[derive(Clone, Copy, Debug, Default)]
 struct QueueTimes {
-    durations: Durations,
+    durations: DurationModel,
     /// What its jobs take up on average, and how many made that.
-    work: Work,
+    work: JobUsage,
     jobs: u32,
 }
 
 impl QueueTimes {
     /// Takes a job into the mean work.
-    fn note_work(&mut self, work: Work) {
+    fn note_work(&mut self, work: JobUsage) {
         self.jobs = self.jobs.saturating_add(1);
         let weight = WORK_WEIGHT.max(1.0 / f64::from(self.jobs));
-        self.work.cpu_ms += weight * (work.cpu_ms - self.work.cpu_ms);
-        self.work.memory_ms += weight * (work.memory_ms - self.work.memory_ms);
-        self.work.span_ms += weight * (work.span_ms - self.work.span_ms);
+        self.work.cpu_milli_ms += weight * (work.cpu_milli_ms - self.work.cpu_milli_ms);
+        self.work.memory_mb_ms += weight * (work.memory_mb_ms - self.work.memory_mb_ms);
+        self.work.duration_ms += weight * (work.duration_ms - self.work.duration_ms);
     }
 }
 
@@ -78,15 +78,15 @@
 
 impl Times {
     /// Takes a task that was done into account.
-    pub(crate) fn learn(&mut self, queue: &str, estimate_ms: u64, ran: Duration) {
+    pub(crate) fn observe_duration(&mut self, queue: &str, estimate_ms: u64, ran: Duration) {
         let times = self.queues.entry(queue.into()).or_default();
-        times.durations.learn(estimate_ms, ran);
+        times.durations.observe(estimate_ms, ran);
     }
 
     /// How long a task of this estimate takes in a queue.
-    pub(crate) fn expect(&self, queue: &str, estimate_ms: u64) -> Duration {
+    pub(crate) fn expected_duration(&self, queue: &str, estimate_ms: u64) -> Duration {
         let times = self.queues.get(queue).copied().unwrap_or_default();
-        times.durations.expect(estimate_ms)
+        times.durations.expected(estimate_ms)
     }
 
     /// How long the longest chain of a job's steps takes from each step on,
@@ -99,7 +99,7 @@
                 .filter(|(_, step)| step.after.iter().any(|on| usize::from(*on) == at))
                 .map(|(next, _)| from[next])
                 .max();
-            let own = self.expect(queue, spec.steps[at].estimate_ms);
+            let own = self.expected_duration(queue, spec.steps[at].estimate_ms);
             from[at] = own + later.unwrap_or_default();
         }
         from
@@ -108,22 +108,22 @@
     /// Notes a job that came for a pool, whose longest chain takes `span`.
     fn arrive(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
         let ends = spec.steps.iter().filter(|step| !step.long_running);
-        let work = ends.fold(Work::default(), |sum, step| {
-            let took = self.expect(&queue.name, step.estimate_ms);
+        let work = ends.fold(JobUsage::default(), |sum, step| {
+            let took = self.expected_duration(&queue.name, step.estimate_ms);
             add_step(sum, step, took)
         });
-        if work == Work::default() {
+        if work == JobUsage::default() {
             return;
         }
-        let work = Work {
-            span_ms: span.as_secs_f64() * 1_000.0,
+        let work = JobUsage {
+            duration_ms: span.as_secs_f64() * 1_000.0,
             ..work
         };
         let times = self.queues.entry(queue.name.clone()).or_default();
         times.note_work(work);
         let mean = times.work;
         let arrivals = self.arrivals.entry(queue.pool.clone()).or_default();
-        arrivals.note(at, mean);
+        arrivals.record(at, mean);
     }
 
     /// What a pool's tasks will take up if work goes on arriving as it does.
@@ -134,12 +134,12 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn add_step(sum: Work, step: &StepSpec, took: Duration) -> Work {
+fn add_step(sum: JobUsage, step: &StepSpec, took: Duration) -> JobUsage {
     let ms = took.as_secs_f64() * 1_000.0 * f64::from(step.count);
     let size = step.footprint();
-    Work {
-        cpu_ms: sum.cpu_ms + size.cpu_milli as f64 * ms,
-        memory_ms: sum.memory_ms + size.memory_mb as f64 * ms,
+    JobUsage {
+        cpu_milli_ms: sum.cpu_milli_ms + size.cpu_milli as f64 * ms,
+        memory_mb_ms: sum.memory_mb_ms + size.memory_mb as f64 * ms,
         ..sum
     }
 }
--- a/crates/cleat-jobs/tests/durations.rs
+++ b/crates/cleat-jobs/tests/durations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cleat_jobs::Durations;
+use cleat_jobs::DurationModel;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -42,16 +42,16 @@
 fn errors(spread: f64, error: f64, bias: f64) -> (f64, f64) {
     let (mut expected, mut estimated, mut count) = (0.0, 0.0, 0.0);
     for seed in 0..SEEDS {
-        let mut durations = Durations::default();
+        let mut durations = DurationModel::default();
         for (at, task) in tasks(seed, spread, error, bias).iter().enumerate() {
             if at >= TASKS / 2 {
                 let ran = task.ran.as_secs_f64();
                 let off = |span: Duration| (span.as_secs_f64() / ran).ln().abs();
-                expected += off(durations.expect(task.estimate_ms));
+                expected += off(durations.expected(task.estimate_ms));
                 estimated += off(Duration::from_millis(task.estimate_ms));
                 count += 1.0;
             }
-            durations.learn(task.estimate_ms, task.ran);
+            durations.observe(task.estimate_ms, task.ran);
         }
     }
     (expected / count, estimated / count)
@@ -59,7 +59,7 @@
 
 #[test]
 fn expect_before_any_task_is_the_estimate() {
-    let expected = Durations::default().expect(640);
+    let expected = DurationModel::default().expected(640);
     assert_eq!(expected, Duration::from_millis(640));
 }
 
@@ -87,19 +87,19 @@
 /// how others relate.
 #[test]
 fn expect_after_one_step_only_scales() {
-    let mut durations = Durations::default();
+    let mut durations = DurationModel::default();
     for _ in 0..8 {
-        durations.learn(1_000, Duration::from_millis(2_000));
+        durations.observe(1_000, Duration::from_millis(2_000));
     }
-    let twice = durations.expect(2_000).as_millis();
+    let twice = durations.expected(2_000).as_millis();
     assert!((3_900..=4_100).contains(&twice), "{twice}");
 }
 
 #[test]
 fn expect_nonsense_is_bounded() {
-    let mut durations = Durations::default();
-    durations.learn(0, Duration::from_secs(1));
-    durations.learn(1, Duration::from_secs(100_000));
-    durations.learn(u64::MAX, Duration::ZERO);
-    assert!(durations.expect(1_000) < Duration::from_secs(100_000));
+    let mut durations = DurationModel::default();
+    durations.observe(0, Duration::from_secs(1));
+    durations.observe(1, Duration::from_secs(100_000));
+    durations.observe(u64::MAX, Duration::ZERO);
+    assert!(durations.expected(1_000) < Duration::from_secs(100_000));
 }
--- a/crates/cleat-jobs/tests/forecast.rs
+++ b/crates/cleat-jobs/tests/forecast.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use cleat_jobs::{Arrivals, Work};
+use cleat_jobs::{Arrivals, JobUsage};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 const SEEDS: u64 = 40;
 /// What one job brings: a core for a second.
-const JOB: Work = Work {
-    cpu_ms: 1_000_000.0,
-    memory_ms: 1_000_000.0,
-    span_ms: 1_000.0,
+const JOB: JobUsage = JobUsage {
+    cpu_milli_ms: 1_000_000.0,
+    memory_mb_ms: 1_000_000.0,
+    duration_ms: 1_000.0,
 };
 /// How often the owner asks.
 const TICK: Duration = Duration::from_millis(50);
@@ -23,7 +23,7 @@
 /// A load that changes its rate, in jobs a second, at some times.
 struct Load {
     rates: Vec<(Duration, f64)>,
-    job: Work,
+    job: JobUsage,
 }
 
 impl Load {
@@ -61,7 +61,7 @@
             let step = ms(1);
             now += step;
             if rng.random_bool((self.rate(now) * step.as_secs_f64()).min(1.0)) {
-                arrivals.note(now, self.job);
+                arrivals.record(now, self.job);
             }
             if now.as_millis().is_multiple_of(TICK.as_millis()) {
                 let size = arrivals.forecast(now);
@@ -161,7 +161,7 @@
 fn forecast_bunch_of_few_jobs_claims_little() {
     let mut arrivals = Arrivals::default();
     for at in [ms(9_990), ms(9_995), ms(10_000)] {
-        arrivals.note(at, JOB);
+        arrivals.record(at, JOB);
     }
     assert!(arrivals.forecast(ms(10_000)).cpu_milli <= 20_000);
 }
@@ -173,7 +173,7 @@
     let mut held: Vec<u64> = (0..60).map(|at| 10_000 + at * 33).collect();
     held.reverse();
     for at in held {
-        arrivals.note(ms(at), JOB);
+        arrivals.record(ms(at), JOB);
     }
     let cores = arrivals.forecast(ms(12_000)).cpu_milli / 1_000;
     assert!(
@@ -188,10 +188,10 @@
 /// when its tasks filled 116 at the most, for half a second's forecast.
 #[test]
 fn forecast_long_jobs_add_up_as_they_come() {
-    let long = Work {
-        cpu_ms: 4_000_000.0,
-        memory_ms: 4_000_000.0,
-        span_ms: 4_000.0,
+    let long = JobUsage {
+        cpu_milli_ms: 4_000_000.0,
+        memory_mb_ms: 4_000_000.0,
+        duration_ms: 4_000.0,
     };
     let load = Load {
         job: long,
--- a/crates/cleat-jobs/tests/in_doubt.rs
+++ b/crates/cleat-jobs/tests/in_doubt.rs
@@ -64,7 +64,7 @@
         effects.extend(bed.tick(Duration::from_millis(400)));
     }
     assert_eq!(stops(&effects), vec![]);
-    assert_eq!(bed.owner.running(task(1, 0, 0).job()), 2);
+    assert_eq!(bed.owner.running_tasks(task(1, 0, 0).job()), 2);
 }
 
 /// It may still be carried out, later than anything that is sent now.
--- a/crates/cleat-jobs/tests/scaffold/mod.rs
+++ b/crates/cleat-jobs/tests/scaffold/mod.rs
@@ -381,10 +381,10 @@
 /// The paces among effects, with their tasks.
 pub(crate) fn paces(effects: &[Effect]) -> Vec<(TaskId, u8)> {
     let pace = |(_, order): (Box<str>, TaskOrder)| match order.order {
-        Order::Pace(percent) => Some((order.task, percent)),
+        Order::Throttle(percent) => Some((order.task, percent)),
         _ => None,
     };
-    let all = orders(effects, |order| matches!(order, Order::Pace(_)));
+    let all = orders(effects, |order| matches!(order, Order::Throttle(_)));
     all.into_iter().filter_map(pace).collect()
 }
 
--- a/crates/cleat-jobs/tests/scheduler.rs
+++ b/crates/cleat-jobs/tests/scheduler.rs
@@ -123,7 +123,7 @@
 
 /// How many jobs of the first queue are said to wait.
 fn waiting(bed: &Bed) -> usize {
-    bed.owner.waiting(&bed.state, "host", "/q/")
+    bed.owner.waiting_jobs(&bed.state, "host", "/q/")
 }
 
 #[test]
--- a/crates/cleat-jobs/tests/schedules.rs
+++ b/crates/cleat-jobs/tests/schedules.rs
@@ -101,7 +101,7 @@
 #[test]
 fn check_notices_hidden_runs_that_do_not_count() {
     let mut plan = caps_and_dying_owners();
-    plan.protections.hidden_runs_count = false;
+    plan.protections.charge_hidden_runs = false;
     assert_red(&plan, |violation| {
         matches!(violation, Violation::OverCap { .. })
     });
@@ -180,7 +180,7 @@
 #[test]
 fn protection_crashes_count() {
     let mut plan = crashing_tasks_and_dying_owners();
-    plan.protections.crashes_count = false;
+    plan.protections.count_crashes = false;
     assert_red(&plan, |violation| {
         matches!(violation, Violation::CrashesOn { .. })
     });
@@ -258,38 +258,38 @@
 
 #[test]
 fn protection_known_runs_first() {
-    let plan = without(&[Fault::OwnerDies], |p| p.known_runs_first = false);
+    let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_runs = false);
     assert_red(&plan, runs_twice);
 }
 
 #[test]
 fn protection_inherited_ends() {
-    let plan = without(&[Fault::OwnerDies], |p| p.inherited_ends = false);
+    let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_ends = false);
     assert_red(&plan, runs_twice);
 }
 
 #[test]
 fn protection_close_doors() {
-    let plan = without(&[Fault::LateOrders], |p| p.close_doors = false);
+    let plan = without(&[Fault::LateOrders], |p| p.stop_unanswered_starts = false);
     assert_red(&plan, runs_twice);
 }
 
 #[test]
 fn protection_lease_first() {
-    let plan = without(&[Fault::WorkerCut], |p| p.lease_first = false);
+    let plan = without(&[Fault::WorkerCut], |p| p.await_lease_expiry = false);
     assert_red(&plan, runs_twice);
 }
 
 #[test]
 fn protection_no_blind_grants() {
-    let plan = without(&[Fault::WorkerLost], |p| p.no_blind_grants = false);
+    let plan = without(&[Fault::WorkerLost], |p| p.no_lease_when_silent = false);
     assert_red(&plan, stuck);
 }
 
 #[test]
 fn protection_recorded_first() {
     let faults = [Fault::OwnerDies, Fault::WorkerCut];
-    let plan = without(&faults, |p| p.recorded_first = false);
+    let plan = without(&faults, |p| p.record_use_before_start = false);
     assert_red(&plan, runs_twice);
 }
 
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -8,7 +8,7 @@
 use cleat_control::{ModelRun, ModelWorker};
 use cleat_jobs::{
     Catalogue, Command, ControlState, Draft, Effect, EndKind, Event, Heartbeat, JobId, JobState,
-    RenewalOrder, Scheduler, SchedulerConfig, Sharing, Size,
+    RenewalOrder, Scheduler, SchedulerConfig, SharePolicy, Size,
 };
 use indexmap::IndexMap;
 use scaffold::{customer, draft, job, record, step};
@@ -41,7 +41,7 @@
 }
 
 impl Play {
-    fn new(sharing: Sharing) -> Play {
+    fn new(sharing: SharePolicy) -> Play {
         let weighed = |name| {
             let mut draft = customer(name, &[], 0);
             draft.customer.weight = SHARE;
@@ -57,7 +57,7 @@
         state.apply(2, Command::Configure(Arc::new(catalogue)));
         state.apply(3, Command::TakeOver { member: 1 });
         let cfg = SchedulerConfig {
-            sharing,
+            share_policy: sharing,
             ..SchedulerConfig::default()
         };
         let owner = Scheduler::new(cfg, &state, Duration::ZERO, 1).expect("owned");
@@ -193,7 +193,7 @@
 }
 
 /// Plays customers that send so many jobs a second each.
-fn play(sharing: Sharing, large: u32, small: u32) -> Play {
+fn play(sharing: SharePolicy, large: u32, small: u32) -> Play {
     let mut play = Play::new(sharing);
     let mut tick = 0;
     let sends = |tick: u32, rate: u32| tick * rate / 100 < (tick + 1) * rate / 100;
@@ -211,8 +211,8 @@
 
 #[test]
 fn share_is_kept_beside_one_that_sends_ten_times_its_own() {
-    let before = play(Sharing::TimeFirst, 20, 2);
-    let after = play(Sharing::JobsASecond, 20, 2);
+    let before = play(SharePolicy::DeadlineFirst, 20, 2);
+    let after = play(SharePolicy::ArrivalRate, 20, 2);
     eprintln!(
         "before {} {} after {} {}",
         before.in_time("small"),
@@ -226,13 +226,17 @@
 
 #[test]
 fn share_is_kept_by_room_in_use() {
-    let after = play(Sharing::RoomInUse, 20, 2);
+    let after = play(SharePolicy::ResourceUse, 20, 2);
     assert!(after.in_time("small") > 0.95, "{}", after.in_time("small"));
 }
 
 #[test]
 fn share_beyond_is_served_where_there_is_room() {
-    for sharing in [Sharing::TimeFirst, Sharing::JobsASecond, Sharing::RoomInUse] {
+    for sharing in [
+        SharePolicy::DeadlineFirst,
+        SharePolicy::ArrivalRate,
+        SharePolicy::ResourceUse,
+    ] {
         let play = play(sharing, 7, 2);
         assert!(play.in_time("large") > 0.99, "{sharing:?}");
         assert!(play.in_time("small") > 0.99, "{sharing:?}");
@@ -242,7 +246,7 @@
 /// Whoever sends beyond its share still has what the others leave.
 #[test]
 fn share_beyond_gets_what_others_leave() {
-    let after = play(Sharing::JobsASecond, 20, 2);
+    let after = play(SharePolicy::ArrivalRate, 20, 2);
     let large = after.came.values().filter(|(name, _)| *name == "large");
     let served = after.in_time("large") * f64::from(u32::try_from(large.count()).expect("few"));
     let seconds = (DAY - OBJECTIVE * 2).as_secs_f64();
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -347,7 +347,7 @@
             } => self.send_order(ordinal, place(&address), worker, token, order),
             Effect::Propose(command) => self.propose(ordinal, command),
             Effect::Fenced { .. } => self.owner = None,
-            Effect::Tell(_)
+            Effect::Log(_)
             | Effect::Advise { .. }
             | Effect::ListMachines
             | Effect::OrderMachine { .. } => {}
