--- a/crates/cleat-decide/examples/decision_time.rs
+++ b/crates/cleat-decide/examples/decision_time.rs
@@ -1,5 +1,5 @@
-//! Measures what a decision costs at 50 and at 5,000 targets or waiting
-//! requests, and the slope between them.
+//! Measures the time that a decision takes with 50 and with 5,000 targets or
+//! waiting requests, and the slope between the two.
 //!
 //! `cargo run --release -p cleat-decide --example decision_time`
 
@@ -18,19 +18,19 @@
 const LARGE: usize = 5_000;
 const ROUNDS: u32 = 200_000;
 const SLOW_ROUNDS: u32 = 2_000;
-/// Each figure is the median of so many repetitions.
+/// Each result is the median of this many repetitions.
 const REPEATS: usize = 7;
 const CALLERS: u64 = 100;
 
 fn main() {
     println!("decision: ns at {SMALL}, ns at {LARGE}, slope in ns for one more");
-    report("choose, most have room", |count| {
+    report("choose, most have a free slot", |count| {
         time_choose(&candidates(count, 0.7), ROUNDS)
     });
-    report("choose, one in twenty has room", |count| {
+    report("choose, one in twenty has a free slot", |count| {
         time_choose(&candidates(count, 0.05), ROUNDS)
     });
-    report("choose, none has room", |count| {
+    report("choose, none has a free slot", |count| {
         time_choose(&candidates(count, 0.0), SLOW_ROUNDS)
     });
     report("free_slots", |count| {
@@ -56,12 +56,12 @@
 }
 
 fn median(measure: impl Fn(usize) -> f64, count: usize) -> f64 {
-    let mut taken: Vec<f64> = (0..REPEATS).map(|_| measure(count)).collect();
-    taken.sort_unstable_by(f64::total_cmp);
-    taken[REPEATS / 2]
+    let mut times: Vec<f64> = (0..REPEATS).map(|_| measure(count)).collect();
+    times.sort_unstable_by(f64::total_cmp);
+    times[REPEATS / 2]
 }
 
-/// Nanoseconds a round.
+/// The mean time of a round in nanoseconds.
 fn time(rounds: u32, mut round: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..rounds {
@@ -70,10 +70,14 @@
     start.elapsed().as_secs_f64() * 1e9 / f64::from(rounds)
 }
 
-fn candidates(count: usize, with_room: f64) -> Vec<Candidate> {
+fn candidates(count: usize, share_with_free_slot: f64) -> Vec<Candidate> {
     let mut rng = StdRng::seed_from_u64(1);
     let candidate = |_| Candidate {
-        in_flight: if rng.random_bool(with_room) { 1 } else { 8 },
+        in_flight: if rng.random_bool(share_with_free_slot) {
+            1
+        } else {
+            8
+        },
         max_in_flight: 8,
         latency_us: rng.random_range(20_000..80_000),
         ejected: rng.random_bool(0.05),
@@ -93,7 +97,8 @@
     })
 }
 
-/// A gate with `count` waiting requests of a hundred callers.
+/// A controller with `count` waiting requests of a hundred callers, and the number
+/// of the last request.
 fn full_controller(count: usize) -> (AdmissionController, u64) {
     let mut controller = AdmissionController::new(&service(count), 1);
     let mut next = 0;
@@ -127,7 +132,8 @@
 fn time_refusal(count: usize) -> f64 {
     let (mut controller, mut next) = full_controller(count);
     time(ROUNDS, || {
-        // Always the same caller, which is no less over its share than others.
+        // Always the same caller, which is as far above its share as the others, so
+        // that no request is displaced.
         next += CALLERS;
         arrive(&mut controller, next, Duration::ZERO);
     })
@@ -143,6 +149,6 @@
     fleet
         .services
         .by_name("dock")
-        .expect("it is stated")
+        .expect("the service is configured")
         .clone()
 }
--- a/crates/cleat-decide/examples/replay/engine.rs
+++ b/crates/cleat-decide/examples/replay/engine.rs
@@ -1,4 +1,5 @@
-//! A single-threaded loop in virtual time over the decisions, with fake targets.
+//! A single-threaded discrete-event simulation of the decision logic in virtual
+//! time, with fake targets.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,11 +23,11 @@
 enum Step {
     Line(usize),
     Arrive(usize),
-    EndTry { request: usize, attempt: u32 },
-    Look { entry: usize },
+    EndAttempt { request: usize, attempt: u32 },
+    CheckQueue { entry: usize },
 }
 
-/// The whole run.
+/// The state of a run.
 pub(crate) struct Engine {
     service: Service,
     protections: Protections,
@@ -39,9 +40,10 @@
     entries: Vec<Entry>,
     names: Vec<Box<str>>,
     targets: Vec<FakeTarget>,
-    fates: Vec<AttemptOutcome>,
+    /// The outcome of the current attempt of each request.
+    outcomes: Vec<AttemptOutcome>,
     pub(crate) requests: Vec<Request>,
-    /// Moments at which a target had more tries than slots.
+    /// How often an attempt started at a target that had no free slot.
     pub(crate) over_cap: u64,
 }
 
@@ -69,12 +71,12 @@
                 .collect(),
             names: names.clone(),
             targets: Vec::new(),
-            fates: Vec::new(),
+            outcomes: Vec::new(),
             requests: Vec::new(),
             over_cap: 0,
         };
         for (index, line) in trace.lines.iter().enumerate() {
-            engine.plan(Duration::from_millis(line.at_ms), Step::Line(index));
+            engine.schedule(Duration::from_millis(line.at_ms), Step::Line(index));
         }
         while let Some(Reverse((at, _, step))) = engine.steps.pop() {
             engine.now = at;
@@ -83,7 +85,7 @@
         engine
     }
 
-    fn plan(&mut self, at: Duration, step: Step) {
+    fn schedule(&mut self, at: Duration, step: Step) {
         self.serial += 1;
         self.steps.push(Reverse((at, self.serial, step)));
     }
@@ -92,14 +94,14 @@
         match step {
             Step::Line(index) => self.event(&trace.lines[index].event),
             Step::Arrive(request) => self.arrive(request),
-            Step::EndTry { request, attempt } => {
-                if self.requests[request].tries == attempt {
-                    self.end_try(request, self.fates[request]);
+            Step::EndAttempt { request, attempt } => {
+                if self.requests[request].attempts == attempt {
+                    self.end_attempt(request, self.outcomes[request]);
                 }
             }
-            Step::Look { entry } => {
-                self.entries[entry].planned = Duration::MAX;
-                self.look(entry);
+            Step::CheckQueue { entry } => {
+                self.entries[entry].next_check = Duration::MAX;
+                self.check_queue(entry);
             }
         }
     }
@@ -114,10 +116,10 @@
                 mode,
             } => self.set_target(name, *slots, *service_ms, *mode),
             Event::Remove { name } => {
-                let named = self.targets.iter_mut().filter(|t| t.name == *name);
-                named.for_each(|target| target.known = false);
+                let removed = self.targets.iter_mut().filter(|t| t.name == *name);
+                removed.for_each(|target| target.known = false);
             }
-            Event::Load(load) => self.expand(load),
+            Event::Load(load) => self.generate_requests(load),
         }
     }
 
@@ -133,36 +135,37 @@
             running: self.targets.get(index).map_or(0, |t| t.running),
         };
         let (now, protections) = (self.now, self.protections);
-        let new_life = self.targets.get(index).is_some_and(|t| !t.known);
+        let new_incarnation = self.targets.get(index).is_some_and(|t| !t.known);
         if index == self.targets.len() {
             self.targets.push(target);
         } else {
             self.targets[index] = target;
         }
         for entry in &mut self.entries {
-            entry.learn(index, new_life, now, protections);
+            entry.set_target(index, new_incarnation, now, protections);
         }
         if mode == Mode::Killed {
-            self.cut_all(index);
+            self.disconnect_all(index);
         }
         for entry in 0..self.entries.len() {
-            self.look(entry);
+            self.check_queue(entry);
         }
     }
 
-    fn cut_all(&mut self, target: usize) {
+    fn disconnect_all(&mut self, target: usize) {
         let on_it = |r: &Request| r.running.is_some_and(|(at, _)| at == target);
-        let cut: Vec<usize> = (0..self.requests.len())
+        let disconnected: Vec<usize> = (0..self.requests.len())
             .filter(|index| on_it(&self.requests[*index]))
             .collect();
-        for request in cut {
-            self.end_try(request, AttemptOutcome::ConnectionLost);
+        for request in disconnected {
+            self.end_attempt(request, AttemptOutcome::ConnectionLost);
         }
     }
 
-    fn expand(&mut self, load: &Load) {
+    fn generate_requests(&mut self, load: &Load) {
         let end = self.now + Duration::from_millis(load.for_ms);
-        // Of its own, so that two traces can be compared request by request.
+        // Each load has its own generator, so that two traces can be compared request
+        // by request.
         let mut rng = StdRng::seed_from_u64(self.load_seed(load));
         let mut at = self.now;
         loop {
@@ -173,8 +176,8 @@
             let entry = rng.random_range(0..self.entries.len());
             let factor = work_factor(&mut rng);
             self.requests.push(Request::new(load, at, entry, factor));
-            self.fates.push(AttemptOutcome::NotSent);
-            self.plan(at, Step::Arrive(self.requests.len() - 1));
+            self.outcomes.push(AttemptOutcome::NotSent);
+            self.schedule(at, Step::Arrive(self.requests.len() - 1));
         }
     }
 
@@ -196,11 +199,11 @@
             deadline: self.requests[request].deadline,
         };
         match entry.controller.admit(arrival, free, self.now) {
-            AdmissionDecision::Start => self.start_try(request),
-            AdmissionDecision::Wait => self.look_at_expiry(index),
+            AdmissionDecision::Start => self.start_attempt(request),
+            AdmissionDecision::Wait => self.schedule_expiry(index),
             AdmissionDecision::Displace { displaced, refusal } => {
                 self.refuse(displaced, refusal.reason, refusal.retry_after);
-                self.look_at_expiry(index);
+                self.schedule_expiry(index);
             }
             AdmissionDecision::Refuse(refusal) => {
                 let ticket = Ticket(request as u64);
@@ -212,10 +215,10 @@
     fn candidates(&self, entry: usize) -> Vec<Candidate> {
         let own = &self.entries[entry];
         let candidate = |(index, target): (usize, &FakeTarget)| {
-            let whole = slot_share(&target.name, target.slots, &self.names, &own.name);
+            let slots = slot_share(&target.name, target.slots, &self.names, &own.name);
             Candidate {
                 in_flight: own.in_flight[index],
-                max_in_flight: if target.known { whole } else { 0 },
+                max_in_flight: if target.known { slots } else { 0 },
                 latency_us: own.health[index].latency_us(self.now),
                 ejected: self.policy == Policy::Product && own.health[index].is_ejected(self.now),
                 warm_up_percent: own.health[index].warm_up_percent(self.now),
@@ -234,29 +237,29 @@
         free_slots(&self.candidates(entry))
     }
 
-    fn pick(&mut self, entry: usize, exclude: Option<usize>) -> Option<usize> {
+    fn choose(&mut self, entry: usize, exclude: Option<usize>) -> Option<usize> {
         let candidates = self.candidates(entry);
         let random = self.rng.random::<u64>();
-        let open = |i: &usize| candidates[*i].in_flight < candidates[*i].max_in_flight;
-        let open: Vec<usize> = (0..candidates.len()).filter(open).collect();
+        let has_free_slot = |i: &usize| candidates[*i].in_flight < candidates[*i].max_in_flight;
+        let usable: Vec<usize> = (0..candidates.len()).filter(has_free_slot).collect();
         match self.policy {
             Policy::Product => choose_target_with(&candidates, exclude, random, &self.protections)
                 .or_else(|| choose_target_with(&candidates, None, random, &self.protections)),
-            _ if open.is_empty() => None,
-            Policy::Random => Some(open[self.rng.random_range(0..open.len())]),
+            _ if usable.is_empty() => None,
+            Policy::Random => Some(usable[self.rng.random_range(0..usable.len())]),
             Policy::RoundRobin => {
-                let turn = self.entries[entry].turn;
-                let next = open.iter().find(|i| **i >= turn).unwrap_or(&open[0]);
-                self.entries[entry].turn = next + 1;
+                let first = self.entries[entry].next_target;
+                let next = usable.iter().find(|i| **i >= first).unwrap_or(&usable[0]);
+                self.entries[entry].next_target = next + 1;
                 Some(*next)
             }
         }
     }
 
-    fn start_try(&mut self, request: usize) {
+    fn start_attempt(&mut self, request: usize) {
         let index = self.requests[request].entry;
-        let Some(target) = self.pick(index, self.requests[request].last_target) else {
-            let outcome = self.no_room(request);
+        let Some(target) = self.choose(index, self.requests[request].last_target) else {
+            let outcome = self.no_target(request);
             return self.finish(request, outcome);
         };
         self.entries[index].in_flight[target] += 1;
@@ -264,24 +267,24 @@
         if self.targets[target].running > self.targets[target].slots {
             self.over_cap += 1;
         }
-        let fate = self.targets[target].fate(self.requests[request].work);
+        let planned = self.targets[target].planned_outcome(self.requests[request].work);
         let (now, req) = (self.now, &mut self.requests[request]);
-        req.tries += 1;
-        req.runs += u32::from(fate.outcome.may_have_run());
+        req.attempts += 1;
+        req.runs += u32::from(planned.outcome.may_have_run());
         req.last_target = Some(target);
         req.running = Some((target, now));
-        let ends = fate.after.map_or(req.deadline, |after| now + after);
+        let ends = planned.after.map_or(req.deadline, |after| now + after);
         let late = ends >= req.deadline;
-        let (attempt, ends) = (req.tries, ends.min(req.deadline).max(now));
-        self.fates[request] = if late {
+        let (attempt, ends) = (req.attempts, ends.min(req.deadline).max(now));
+        self.outcomes[request] = if late {
             AttemptOutcome::TimedOut
         } else {
-            fate.outcome
+            planned.outcome
         };
-        self.plan(ends, Step::EndTry { request, attempt });
+        self.schedule(ends, Step::EndAttempt { request, attempt });
     }
 
-    fn no_room(&mut self, request: usize) -> FinalOutcome {
+    fn no_target(&mut self, request: usize) -> FinalOutcome {
         if self.requests[request].may_have_run {
             let reason = UnknownReason::EarlierAttempt;
             return FinalOutcome::Unknown { reason };
@@ -296,7 +299,7 @@
         }
     }
 
-    fn end_try(&mut self, request: usize, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, request: usize, outcome: AttemptOutcome) {
         let now = self.now;
         let Some((target, since)) = self.requests[request].running.take() else {
             return;
@@ -309,7 +312,7 @@
         let req = &mut self.requests[request];
         let facts = AttemptContext {
             idempotent: req.idempotent,
-            attempts: req.tries,
+            attempts: req.attempts,
             max_attempts: u32::try_from(self.service.retry.tries).unwrap_or(u32::MAX),
             remaining: req.deadline.saturating_sub(now),
             earlier_may_have_run: req.may_have_run,
@@ -320,7 +323,7 @@
             req.status = status;
         }
         match decide_retry(&outcome, facts, &mut entry.budget) {
-            RetryDecision::Retry => self.start_try(request),
+            RetryDecision::Retry => self.start_attempt(request),
             RetryDecision::Answer(answer) => self.finish(request, answer),
         }
         if outcome.is_success() {
@@ -328,14 +331,14 @@
                 .controller
                 .record_service_time(now - since);
         }
-        self.look(index);
+        self.check_queue(index);
         if let Some(until) = self.entries[index].health[target].ejected_until(now) {
-            self.plan(until, Step::Look { entry: index });
+            self.schedule(until, Step::CheckQueue { entry: index });
         }
     }
 
-    /// Expires what is due and starts what waits on every free slot.
-    fn look(&mut self, index: usize) {
+    /// Refuses expired requests and starts waiting ones while slots are free.
+    fn check_queue(&mut self, index: usize) {
         let now = self.now;
         for (ticket, refusal) in self.entries[index].controller.expire(now) {
             self.refuse(ticket, refusal.reason, refusal.retry_after);
@@ -346,20 +349,20 @@
                 self.refuse(ticket, refusal.reason, refusal.retry_after);
             }
             if let Some(Ticket(request)) = released.start {
-                self.start_try(usize::try_from(request).unwrap_or(usize::MAX));
+                self.start_attempt(usize::try_from(request).unwrap_or(usize::MAX));
             }
         }
-        self.look_at_expiry(index);
+        self.schedule_expiry(index);
     }
 
-    fn look_at_expiry(&mut self, entry: usize) {
+    fn schedule_expiry(&mut self, entry: usize) {
         let Some(at) = self.entries[entry].controller.next_expiry() else {
             return;
         };
         let at = at.max(self.now) + Duration::from_micros(1);
-        if at < self.entries[entry].planned {
-            self.entries[entry].planned = at;
-            self.plan(at, Step::Look { entry });
+        if at < self.entries[entry].next_check {
+            self.entries[entry].next_check = at;
+            self.schedule(at, Step::CheckQueue { entry });
         }
     }
 
--- a/crates/cleat-decide/examples/replay/main.rs
+++ b/crates/cleat-decide/examples/replay/main.rs
@@ -1,9 +1,10 @@
-//! Replays recorded traces against the decisions and checks the outcomes stated
-//! beside them.
+//! Replays recorded traces through the decision logic and checks the results
+//! against the expected outcomes stored next to them.
 //!
 //! `cargo run --release -p cleat-decide --example replay [TRACE.jsonl…]`; without
-//! a trace, all in the crate's `traces` folder. After `--policies`, each trace
-//! is run with the product's choice of target, in turn and at random.
+//! arguments, all traces in the crate's `traces` folder. With `--policies`, each
+//! trace is run with the product's choice of target, with round robin and with a
+//! random choice.
 
 mod engine;
 mod entry;
@@ -28,24 +29,24 @@
         paths.remove(position);
     }
     if paths.is_empty() {
-        paths = trace::folder();
+        paths = trace::all_paths();
     }
     if policies.is_some() {
         paths.iter().for_each(|path| compare(path));
         return ExitCode::SUCCESS;
     }
-    let mut failed = 0;
+    let mut failures = 0;
     for path in &paths {
-        failed += replay(path);
+        failures += replay(path);
     }
-    if failed == 0 {
+    if failures == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Runs one trace with each policy.
+/// Runs one trace with each policy and prints the results.
 fn compare(path: &Path) {
     let trace = match Trace::read(path) {
         Ok(trace) => trace,
@@ -53,19 +54,20 @@
     };
     for policy in [Policy::Product, Policy::RoundRobin, Policy::Random] {
         let engine = Engine::run(&trace, policy, Protections::ALL);
-        let figures = report::figures(&engine);
-        println!("{} {policy:?} {}", path.display(), figures.summary());
+        let statistics = report::statistics(&engine);
+        println!("{} {policy:?} {}", path.display(), statistics.summary());
     }
 }
 
+/// Runs one trace, prints its results and returns the number of failed checks.
 fn replay(path: &Path) -> usize {
     match report::check(path, Protections::ALL) {
         Ok(checked) => {
-            println!("{} {}", path.display(), checked.figures.summary());
-            for fault in &checked.faults {
-                println!("  FAILED {fault}");
+            println!("{} {}", path.display(), checked.statistics.summary());
+            for failure in &checked.failures {
+                println!("  FAILED {failure}");
             }
-            checked.faults.len()
+            checked.failures.len()
         }
         Err(error) => {
             println!("{} cannot be replayed: {error}", path.display());
--- a/crates/cleat-decide/examples/replay/report.rs
+++ b/crates/cleat-decide/examples/replay/report.rs
@@ -1,4 +1,4 @@
-//! What a run gave, against what is stated.
+//! The results of a run, and their comparison with the expected outcome.
 
 use std::fs;
 use std::path::Path;
@@ -13,64 +13,66 @@
 use crate::request::{Policy, Request};
 use crate::trace::{ParseSnafu, ReadSnafu, Trace, TraceError};
 
-/// An answer may leave this much after the deadline.
+/// The tolerance for answers after the deadline.
 const LATE_MAX: Duration = Duration::from_millis(1);
-/// Fewer refusals than this say nothing about their spread.
+/// With fewer refusals than this, their spread over time is not checked.
 const SPREAD_SAMPLE_MIN: usize = 50;
-/// Successful answers start below this status.
+/// The lowest status that does not count as a successful response.
 const STATUS_FAILED: u16 = 500;
 
-/// The stated outcome of a trace; the invariants hold for every trace.
+/// The expected outcome of a trace. The invariants are checked for every trace.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Stated {
+struct ExpectedOutcome {
     tries_per_request_max: Option<f64>,
-    /// Requests with a good answer of a target, by caller, in percent.
+    /// The percentage of requests with a successful response, by caller.
     good_percent_min: IndexMap<Box<str>, f64>,
     p99_ms_max: IndexMap<Box<str>, f64>,
     unknown_percent_max: Option<f64>,
-    /// Of all refusals, those told to come back in the same second.
+    /// The percentage of refusals of one second with a retry-after time in the same
+    /// second.
     returns_in_one_second_percent_max: Option<f64>,
-    /// Requests refused for their quota, at least.
+    /// The minimum number of requests refused because of a quota.
     over_quota_min: Option<usize>,
-    p99_against: Option<Against>,
+    p99_against: Option<Baseline>,
 }
 
-/// The p99 of some callers against another trace.
+/// A comparison of the p99 latency of some callers with another trace.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Against {
+struct Baseline {
     trace: Box<str>,
     callers: Vec<Box<str>>,
     ratio_max: f64,
 }
 
-/// A trace that was run.
+/// The result of running a trace.
 pub(crate) struct Checked {
-    pub(crate) faults: Vec<String>,
-    pub(crate) figures: Figures,
+    /// The failed checks.
+    pub(crate) failures: Vec<String>,
+    pub(crate) statistics: Statistics,
 }
 
-/// Counts over one run.
-pub(crate) struct Figures {
+/// Statistics of one run.
+pub(crate) struct Statistics {
     pub(crate) requests: usize,
     pub(crate) good_percent: f64,
     pub(crate) unknown_percent: f64,
     pub(crate) not_run_percent: f64,
     pub(crate) tries_per_request: f64,
-    /// Good answers by caller, in percent.
+    /// The percentage of requests with a successful response, by caller.
     pub(crate) good_by_caller: IndexMap<Box<str>, f64>,
-    /// Over good answers, by caller.
+    /// The 99th percentile of the latency of successful responses, by caller.
     pub(crate) p99_ms: IndexMap<Box<str>, f64>,
 }
 
-impl Figures {
+impl Statistics {
     pub(crate) fn summary(&self) -> String {
-        let worst = self
+        let p99s = self
             .p99_ms
             .iter()
             .map(|(caller, p99)| format!("{caller} {p99:.1}"));
-        let worst: Vec<String> = worst.take(4).collect();
+        let p99s: Vec<String> = p99s.take(4).collect();
         format!(
             "requests {} good {:.2}% unknown {:.2}% not-run {:.2}% tries/request {:.3} p99 ms: {}",
             self.requests,
@@ -78,34 +80,37 @@
             self.unknown_percent,
             self.not_run_percent,
             self.tries_per_request,
-            worst.join(", ")
+            p99s.join(", ")
         )
     }
 }
 
-/// Runs a trace and checks it against the file beside it.
+/// Runs a trace and checks it against the outcome file next to it.
 pub(crate) fn check(path: &Path, protections: Protections) -> Result<Checked, TraceError> {
     let trace = Trace::read(path)?;
-    let stated = read_stated(&path.with_extension("outcome.json"))?;
+    let expected = read_expected_outcome(&path.with_extension("outcome.json"))?;
     let engine = Engine::run(&trace, Policy::Product, protections);
-    let figures = figures(&engine);
-    let mut faults = invariants(&engine);
-    faults.extend(bounds(&stated, &figures, &engine));
-    if let Some(against) = &stated.p99_against {
-        let other = path.with_file_name(&*against.trace);
+    let statistics = statistics(&engine);
+    let mut failures = invariants(&engine);
+    failures.extend(bounds(&expected, &statistics, &engine));
+    if let Some(baseline) = &expected.p99_against {
+        let other = path.with_file_name(&*baseline.trace);
         let other = Engine::run(&Trace::read(&other)?, Policy::Product, protections);
-        faults.extend(compare(against, &figures, &self::figures(&other)));
+        failures.extend(compare(baseline, &statistics, &self::statistics(&other)));
     }
-    Ok(Checked { faults, figures })
+    Ok(Checked {
+        failures,
+        statistics,
+    })
 }
 
-fn read_stated(path: &Path) -> Result<Stated, TraceError> {
+fn read_expected_outcome(path: &Path) -> Result<ExpectedOutcome, TraceError> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     serde_json::from_str(&text).context(ParseSnafu { path, line: 1usize })
 }
 
-/// Counts a run.
-pub(crate) fn figures(engine: &Engine) -> Figures {
+/// Computes the statistics of a run.
+pub(crate) fn statistics(engine: &Engine) -> Statistics {
     let requests = &engine.requests;
     let count = |which: fn(&Request) -> bool| requests.iter().filter(|r| which(r)).count();
     let mut by_caller: IndexMap<Box<str>, Vec<&Request>> = IndexMap::new();
@@ -115,14 +120,14 @@
             .or_default()
             .push(request);
     }
-    let tries: u32 = requests.iter().map(|r| r.tries).sum();
+    let attempts: u32 = requests.iter().map(|r| r.attempts).sum();
     let good = |all: &Vec<&Request>| all.iter().filter(|r| is_good(r)).count();
-    Figures {
+    Statistics {
         requests: requests.len(),
         good_percent: percent(count(is_good), requests.len()),
         unknown_percent: percent(count(is_unknown), requests.len()),
         not_run_percent: percent(count(is_not_run), requests.len()),
-        tries_per_request: f64::from(tries) / requests.len().max(1) as f64,
+        tries_per_request: f64::from(attempts) / requests.len().max(1) as f64,
         good_by_caller: by_caller
             .iter()
             .map(|(caller, all)| (caller.clone(), percent(good(all), all.len())))
@@ -146,64 +151,68 @@
         .map_or(0.0, |taken| taken.as_secs_f64() * 1e3)
 }
 
-/// What must hold in every run.
+/// Checks the invariants, which hold in every run.
 fn invariants(engine: &Engine) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut must = |what: &str, broken: fn(&Request) -> bool| {
-        let count = engine.requests.iter().filter(|r| broken(r)).count();
+    let mut failures = Vec::new();
+    let mut check_none = |what: &str, violates: fn(&Request) -> bool| {
+        let count = engine.requests.iter().filter(|r| violates(r)).count();
         if count > 0 {
-            faults.push(format!("{what}: broken by {count} requests"));
+            failures.push(format!("{what}: violated by {count} requests"));
         }
     };
-    must("every request ends exactly once", |r| r.ends != 1);
-    must("not idempotent: at most one run", |r| {
+    check_none("every request ends exactly once", |r| r.ends != 1);
+    check_none("not idempotent: at most one run", |r| {
         !r.idempotent && r.runs > 1
     });
-    must("not-run did not run", |r| is_not_run(r) && r.runs > 0);
-    must("no answer after the deadline", is_late);
-    must(
-        "a request given up on arrival is answered at once",
-        is_held_back,
+    check_none("not-run did not run", |r| is_not_run(r) && r.runs > 0);
+    check_none("no answer after the deadline", is_late);
+    check_none(
+        "a request refused on arrival is answered at once",
+        is_answered_late,
     );
     if engine.over_cap > 0 {
-        faults.push(format!(
+        failures.push(format!(
             "a target was over its slots {} times",
             engine.over_cap
         ));
     }
-    faults
+    failures
 }
 
-fn bounds(stated: &Stated, figures: &Figures, engine: &Engine) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut most = |what: &str, found: f64, bound: Option<f64>| {
-        if let Some(bound) = bound.filter(|bound| found > *bound) {
-            faults.push(format!("{what}: {found:.3}, at most {bound}"));
+fn bounds(expected: &ExpectedOutcome, statistics: &Statistics, engine: &Engine) -> Vec<String> {
+    let mut failures = Vec::new();
+    let mut check_max = |what: &str, found: f64, max: Option<f64>| {
+        if let Some(max) = max.filter(|max| found > *max) {
+            failures.push(format!("{what}: {found:.3}, maximum {max}"));
         }
     };
-    most(
+    check_max(
         "tries per request",
-        figures.tries_per_request,
-        stated.tries_per_request_max,
+        statistics.tries_per_request,
+        expected.tries_per_request_max,
     );
-    most(
+    check_max(
         "unknown %",
-        figures.unknown_percent,
-        stated.unknown_percent_max,
+        statistics.unknown_percent,
+        expected.unknown_percent_max,
     );
     let together = returns_in_one_second(engine);
-    most(
+    check_max(
         "returns in one second %",
         together,
-        stated.returns_in_one_second_percent_max,
+        expected.returns_in_one_second_percent_max,
     );
-    for (caller, bound) in &stated.p99_ms_max {
-        let p99 = figures.p99_ms.get(caller).copied().unwrap_or(f64::MAX);
-        most(&format!("p99 ms of {caller}"), p99, Some(*bound));
+    for (caller, bound) in &expected.p99_ms_max {
+        let p99 = statistics.p99_ms.get(caller).copied().unwrap_or(f64::MAX);
+        check_max(&format!("p99 ms of {caller}"), p99, Some(*bound));
     }
-    for (caller, bound) in &stated.good_percent_min {
-        let good = figures.good_by_caller.get(caller).copied().unwrap_or(0.0);
-        most(
+    for (caller, bound) in &expected.good_percent_min {
+        let good = statistics
+            .good_by_caller
+            .get(caller)
+            .copied()
+            .unwrap_or(0.0);
+        check_max(
             &format!("not good % of {caller}"),
             100.0 - good,
             Some(100.0 - bound),
@@ -211,29 +220,26 @@
     }
     let over_quota = |r: &&Request| reason(r) == Some(RefusalReason::OverQuota);
     let over_quota = engine.requests.iter().filter(over_quota).count();
-    if stated
-        .over_quota_min
-        .is_some_and(|least| over_quota < least)
-    {
-        faults.push(format!("refused over quota: {over_quota}"));
+    if expected.over_quota_min.is_some_and(|min| over_quota < min) {
+        failures.push(format!("refused over quota: {over_quota}"));
     }
-    faults
+    failures
 }
 
-fn compare(against: &Against, figures: &Figures, other: &Figures) -> Vec<String> {
-    let mut faults = Vec::new();
-    for caller in &against.callers {
-        let p99 = figures.p99_ms.get(caller).copied().unwrap_or(f64::MAX);
+fn compare(baseline: &Baseline, statistics: &Statistics, other: &Statistics) -> Vec<String> {
+    let mut failures = Vec::new();
+    for caller in &baseline.callers {
+        let p99 = statistics.p99_ms.get(caller).copied().unwrap_or(f64::MAX);
         let before = other.p99_ms.get(caller).copied().unwrap_or(0.0);
-        if p99 > before * against.ratio_max {
-            faults.push(format!("p99 of {caller}: {before:.2} ms to {p99:.2} ms"));
+        if p99 > before * baseline.ratio_max {
+            failures.push(format!("p99 of {caller}: {before:.2} ms to {p99:.2} ms"));
         }
     }
-    faults
+    failures
 }
 
-/// Of the refused, the share told to return in the second that most of the
-/// refused of one second share.
+/// The highest percentage, over all seconds with enough refusals, of the requests
+/// refused in that second whose retry-after times fall into one same second.
 fn returns_in_one_second(engine: &Engine) -> f64 {
     let mut seconds: IndexMap<(u64, u64), usize> = IndexMap::new();
     let mut refused: IndexMap<u64, usize> = IndexMap::new();
@@ -270,8 +276,9 @@
         .is_some_and(|(at, _)| at > request.deadline + LATE_MAX)
 }
 
-/// Quota and a full queue are known on arrival.
-fn is_held_back(request: &Request) -> bool {
+/// Whether a refusal for a reason known on arrival (a quota or a full queue) came
+/// later than the arrival.
+fn is_answered_late(request: &Request) -> bool {
     let known = [RefusalReason::OverQuota, RefusalReason::QueueFull];
     let early = reason(request).is_some_and(|reason| known.contains(&reason));
     early && request.end.is_some_and(|(at, _)| at != request.arrived)
--- a/crates/cleat-decide/examples/replay/request.rs
+++ b/crates/cleat-decide/examples/replay/request.rs
@@ -1,4 +1,4 @@
-//! One request of a run, and how targets are chosen for it.
+//! A request of a run, and the policies for choosing its target.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::trace::Load;
 
-/// How a target is chosen; the others stand for comparison.
+/// How a target is chosen. Policies other than the product's are for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
     Product,
@@ -14,7 +14,7 @@
     Random,
 }
 
-/// What became of one request.
+/// The state of one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
     pub(crate) caller: Box<str>,
@@ -22,21 +22,22 @@
     pub(crate) arrived: Duration,
     pub(crate) deadline: Duration,
     pub(crate) work: f64,
-    pub(crate) tries: u32,
-    /// How often a target got it.
+    pub(crate) attempts: u32,
+    /// How many attempts may have run.
     pub(crate) runs: u32,
     pub(crate) may_have_run: bool,
     pub(crate) status: u16,
     pub(crate) end: Option<(Duration, FinalOutcome)>,
-    /// How often it ended; other than 1 is a fault.
+    /// How often the request ended; anything but 1 is an error.
     pub(crate) ends: u32,
     pub(crate) entry: usize,
     pub(crate) last_target: Option<usize>,
+    /// The target and start time of the current attempt.
     pub(crate) running: Option<(usize, Duration)>,
 }
 
 impl Request {
-    /// One of `load` that arrives at `at` on `entry`.
+    /// A request of `load` that arrives at the entry `entry` at time `at`.
     pub(crate) fn new(load: &Load, at: Duration, entry: usize, work_factor: f64) -> Request {
         Request {
             caller: load.caller.clone(),
@@ -44,7 +45,7 @@
             arrived: at,
             deadline: at + Duration::from_millis(load.deadline_ms),
             work: load.work * work_factor,
-            tries: 0,
+            attempts: 0,
             runs: 0,
             may_have_run: false,
             status: 0,
--- a/crates/cleat-decide/examples/replay/target.rs
+++ b/crates/cleat-decide/examples/replay/target.rs
@@ -1,4 +1,4 @@
-//! Fake targets: what a try meets there and how long it takes.
+//! Fake targets: the outcome of an attempt and how long it takes.
 
 use std::time::Duration;
 
@@ -8,32 +8,33 @@
 
 use crate::trace::Mode;
 
-/// The network there and back.
+/// The network round trip.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
 const FAILING_STATUS: u16 = 503;
 
-/// A target as it really is.
+/// The actual state of a target, which entries do not see.
 #[derive(Debug)]
 pub(crate) struct FakeTarget {
     pub(crate) name: Box<str>,
     pub(crate) slots: u32,
     pub(crate) service_ms: f64,
     pub(crate) mode: Mode,
-    /// Whether entries may send new work.
+    /// Whether entries may send new requests.
     pub(crate) known: bool,
-    /// Tries of all entries in progress.
+    /// The attempts of all entries in progress.
     pub(crate) running: u32,
 }
 
-/// How a try will end, unless the target is killed or the deadline comes first.
-pub(crate) struct Fate {
+/// How an attempt will end, unless the target is killed or the deadline comes
+/// first.
+pub(crate) struct PlannedOutcome {
     pub(crate) outcome: AttemptOutcome,
-    /// `None`: never.
+    /// The time until the end of the attempt; `None` if it never ends.
     pub(crate) after: Option<Duration>,
 }
 
 impl FakeTarget {
-    pub(crate) fn fate(&self, work: f64) -> Fate {
+    pub(crate) fn planned_outcome(&self, work: f64) -> PlannedOutcome {
         let service = Duration::from_secs_f64(self.service_ms * work / 1e3);
         let (outcome, after) = match self.mode {
             Mode::Up => (answered(200), Some(ROUND_TRIP + service)),
@@ -45,7 +46,7 @@
             ),
             Mode::Hanging => (AttemptOutcome::TimedOut, None),
         };
-        Fate { outcome, after }
+        PlannedOutcome { outcome, after }
     }
 }
 
@@ -53,8 +54,8 @@
     AttemptOutcome::Answered { status }
 }
 
-/// The work of one request: half of the usual time is fixed, the other half
-/// exponential.
+/// The random service time of a request, as a factor of the usual one: half of it
+/// is fixed, the other half exponentially distributed.
 pub(crate) fn work_factor(rng: &mut StdRng) -> f64 {
     0.5 + 0.5 * exponential(rng)
 }
--- a/crates/cleat-decide/examples/replay/trace.rs
+++ b/crates/cleat-decide/examples/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: JSON lines of time and event.
+//! Traces: one JSON object per line, each an event with its time.
 
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -15,22 +15,22 @@
     /// A file is missing or unreadable.
     #[snafu(display("reading {}: {source}", path.display()))]
     Read { path: PathBuf, source: io::Error },
-    /// A line or an outcome file is not what it should be.
+    /// A line of a trace or an outcome file is invalid.
     #[snafu(display("{} line {line}: {source}", path.display()))]
     Parse {
         path: PathBuf,
         line: usize,
         source: serde_json::Error,
     },
-    /// The service's terms are not valid.
-    #[snafu(display("{}: the service is not valid: {faults}", path.display()))]
+    /// The settings of the service are invalid.
+    #[snafu(display("{}: the service settings are invalid: {faults}", path.display()))]
     BadService { path: PathBuf, faults: Box<str> },
-    /// The first event is not the setup.
-    #[snafu(display("{}: no setup line", path.display()))]
+    /// The first event is not `setup`.
+    #[snafu(display("{}: the first event is not 'setup'", path.display()))]
     NoSetup { path: PathBuf },
 }
 
-/// One line.
+/// One line of a trace.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Line {
     pub(crate) at_ms: u64,
@@ -38,11 +38,12 @@
     pub(crate) event: Event,
 }
 
-/// What happens.
+/// An event of a trace.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum Event {
-    /// First line: the service's terms and how many entries share the targets.
+    /// First line: the settings of the service and how many entries share the
+    /// targets.
     Setup {
         entries: usize,
         seed: u64,
@@ -55,13 +56,13 @@
         service_ms: f64,
         mode: Mode,
     },
-    /// A target is withdrawn: no new work.
+    /// A target is withdrawn: it gets no new requests.
     Remove { name: Box<str> },
     /// Requests of a caller at random times (a Poisson process).
     Load(Load),
 }
 
-/// A stream of requests.
+/// The requests of one caller.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Load {
     pub(crate) caller: Box<str>,
@@ -69,7 +70,7 @@
     pub(crate) for_ms: u64,
     pub(crate) deadline_ms: u64,
     pub(crate) idempotent: bool,
-    /// How much longer than usual the target works on one.
+    /// The factor by which the service time of these requests is longer than usual.
     #[serde(default = "one")]
     pub(crate) work: f64,
 }
@@ -82,15 +83,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Mode {
-    /// Answers after its service time.
+    /// Responds after its service time.
     Up,
-    /// Died: cuts what is in progress, then refuses connections.
+    /// Killed: the connections of requests in progress are lost, new ones are
+    /// refused.
     Killed,
-    /// Answers 503 at once.
+    /// Responds with status 503 at once.
     Failing,
-    /// Cuts the connection after a while.
+    /// Closes the connection halfway through the service time.
     Cutting,
-    /// Takes requests and never answers.
+    /// Accepts requests and never responds.
     Hanging,
 }
 
@@ -102,8 +104,8 @@
     pub(crate) lines: Vec<Line>,
 }
 
-/// Every trace in the crate's folder, sorted.
-pub(crate) fn folder() -> Vec<PathBuf> {
+/// The paths of all traces in the crate's `traces` folder, sorted.
+pub(crate) fn all_paths() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     let files = fs::read_dir(folder).into_iter().flatten().flatten();
     let mut paths: Vec<PathBuf> = files.map(|file| file.path()).collect();
@@ -142,7 +144,7 @@
     }
 }
 
-/// The service's terms as the product reads them.
+/// Parses the settings of the service like those of a configuration.
 fn read_service(service: &Value, path: &Path) -> Result<Service, TraceError> {
     let mut service = service.clone();
     service["pool"] = json!("runners");
--- a/crates/cleat-decide/examples/stranded.rs
+++ b/crates/cleat-decide/examples/stranded.rs
@@ -1,5 +1,5 @@
-//! Measures offline how much work has to wait at one entry while a slot is idle
-//! at another: static shares of slots against slots lent by demand.
+//! Simulates how many requests wait at one entry while a slot is idle at another,
+//! and compares static shares of slots with slots lent by demand.
 //!
 //! `cargo run --release -p cleat-decide --example stranded`
 
@@ -14,9 +14,9 @@
 const TARGETS: u32 = 10;
 const SLOTS: u32 = 8;
 const SERVICE_MEAN: Duration = Duration::from_millis(50);
-/// Between two data centres, one way.
+/// The one-way network latency between two data centres.
 const ONE_WAY: Duration = Duration::from_micros(1_500);
-/// A request that waited this long is refused.
+/// A request that has waited for longer than this is refused.
 const WAIT_MAX: Duration = Duration::from_secs(1);
 const TICK: Duration = Duration::from_millis(10);
 const REQUESTS: usize = 60_000;
@@ -27,38 +27,38 @@
     idle_timeout: Duration::from_millis(20),
 };
 
-/// How the balancer spreads requests over the entries.
+/// How the load balancer distributes requests over the entries.
 #[derive(Debug, Clone, Copy)]
-enum Spread {
+enum Distribution {
     InTurn,
     Random,
-    /// One entry gets half of all.
+    /// One entry gets half of all requests.
     Skewed,
 }
 
 /// How slots are shared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Sharing {
     Static,
     Demand,
-    /// One entry has everything: the best there can be.
+    /// A single entry with all slots, as the optimum to compare with.
     OneQueue,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum Event {
     Arrive,
-    End(usize, Held),
+    End(usize, SlotIndex),
     Deliver(usize),
     Tick(usize),
 }
 
-/// A slot in use, by its number in the list of those in use.
+/// The index of a slot in the list of all slots acquired so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Held(usize);
+struct SlotIndex(usize);
 
 #[derive(Default)]
-struct Figures {
+struct Statistics {
     waits: Vec<Duration>,
     stranded: usize,
     refused: usize,
@@ -71,22 +71,22 @@
     queue: VecDeque<Duration>,
 }
 
-struct Run {
+struct Simulation {
     rng: StdRng,
     now: Duration,
     serial: u64,
-    steps: BinaryHeap<Reverse<(Duration, u64, Step)>>,
+    events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     nodes: Vec<Node>,
-    wires: Vec<(usize, Outgoing)>,
+    in_transit: Vec<(usize, Outgoing)>,
     slots: Vec<Slot>,
     busy: u32,
     arrived: usize,
-    way: Way,
-    figures: Figures,
+    sharing: Sharing,
+    statistics: Statistics,
 }
 
-impl Run {
-    fn new(way: Way, entries: u32) -> Run {
+impl Simulation {
+    fn new(sharing: Sharing, entries: u32) -> Simulation {
         let names: Vec<Box<str>> = (0..entries).map(|i| format!("e{i}").into()).collect();
         let node = |index| {
             let mut slots = Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
@@ -97,90 +97,90 @@
                 queue: VecDeque::new(),
             }
         };
-        Run {
+        Simulation {
             rng: StdRng::seed_from_u64(SEED),
             now: Duration::ZERO,
             serial: 0,
-            steps: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             nodes: (0..entries).map(node).collect(),
-            wires: Vec::new(),
+            in_transit: Vec::new(),
             slots: Vec::new(),
             busy: 0,
             arrived: 0,
-            way,
-            figures: Figures::default(),
+            sharing,
+            statistics: Statistics::default(),
         }
     }
 
-    fn run(mut self, load: f64, spread: Spread) -> Figures {
+    fn run(mut self, load: f64, distribution: Distribution) -> Statistics {
         let capacity = f64::from(TARGETS * SLOTS) / SERVICE_MEAN.as_secs_f64();
         let mean_gap = 1.0 / (capacity * load);
-        self.plan(Duration::ZERO, Step::Arrive);
+        self.schedule(Duration::ZERO, Event::Arrive);
         for index in 0..self.nodes.len() {
-            self.plan(TICK, Step::Tick(index));
+            self.schedule(TICK, Event::Tick(index));
         }
-        while let Some(Reverse((at, _, step))) = self.steps.pop() {
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
-            match step {
-                Step::Arrive if self.arrived == REQUESTS => return self.figures,
-                Step::Arrive => {
-                    self.arrive(spread);
+            match event {
+                Event::Arrive if self.arrived == REQUESTS => return self.statistics,
+                Event::Arrive => {
+                    self.arrive(distribution);
                     let gap = Duration::from_secs_f64(self.exponential() * mean_gap);
-                    self.plan(gap, Step::Arrive);
+                    self.schedule(gap, Event::Arrive);
                 }
-                Step::End(index, held) => self.end(index, held),
-                Step::Deliver(wire) => self.deliver(wire),
-                Step::Tick(index) => {
+                Event::End(index, slot) => self.end(index, slot),
+                Event::Deliver(message) => self.deliver(message),
+                Event::Tick(index) => {
                     self.tick(index);
                     self.serve(index);
-                    self.plan(TICK, Step::Tick(index));
+                    self.schedule(TICK, Event::Tick(index));
                 }
             }
         }
-        self.figures
+        self.statistics
     }
 
     fn exponential(&mut self) -> f64 {
         -(1.0 - self.rng.random::<f64>()).ln()
     }
 
-    fn plan(&mut self, after: Duration, step: Step) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.serial += 1;
-        self.steps
-            .push(Reverse((self.now + after, self.serial, step)));
+        self.events
+            .push(Reverse((self.now + after, self.serial, event)));
     }
 
-    fn arrive(&mut self, spread: Spread) {
+    fn arrive(&mut self, distribution: Distribution) {
         let count = self.nodes.len();
-        let index = match spread {
-            Spread::InTurn => self.arrived % count,
-            Spread::Random => self.rng.random_range(0..count),
-            Spread::Skewed if self.rng.random_bool(0.5) => 0,
-            Spread::Skewed => self.rng.random_range(1..count.max(2)) % count,
+        let index = match distribution {
+            Distribution::InTurn => self.arrived % count,
+            Distribution::Random => self.rng.random_range(0..count),
+            Distribution::Skewed if self.rng.random_bool(0.5) => 0,
+            Distribution::Skewed => self.rng.random_range(1..count.max(2)) % count,
         };
         self.arrived += 1;
         let idle_somewhere = self.busy < TARGETS * SLOTS;
         self.nodes[index].queue.push_back(self.now);
         self.serve(index);
         let waits = !self.nodes[index].queue.is_empty();
-        self.figures.stranded += usize::from(waits && idle_somewhere);
+        self.statistics.stranded += usize::from(waits && idle_somewhere);
     }
 
-    /// Starts what waits, refuses what waited too long, and asks for slots for
-    /// the rest.
+    /// Starts waiting requests, refuses those that waited too long, and requests
+    /// slots for the rest.
     fn serve(&mut self, index: usize) {
         while let Some(since) = self.nodes[index].queue.front().copied() {
             let waited = self.now - since;
             if waited > WAIT_MAX {
-                self.figures.refused += 1;
+                self.statistics.refused += 1;
             } else if self.acquire(index) {
-                self.figures.waits.push(waited);
+                self.statistics.waits.push(waited);
             } else {
                 break;
             }
             self.nodes[index].queue.pop_front();
         }
-        if self.way == Way::Demand {
+        if self.sharing == Sharing::Demand {
             let node = &mut self.nodes[index];
             let waiting = u32::try_from(node.queue.len()).unwrap_or(u32::MAX);
             let out = node.slots.request_slots(waiting, self.now);
@@ -202,17 +202,17 @@
         };
         self.busy += 1;
         self.slots.push(slot);
-        let held = Held(self.slots.len() - 1);
-        let taken = SERVICE_MEAN
+        let slot_index = SlotIndex(self.slots.len() - 1);
+        let service_time = SERVICE_MEAN
             .mul_f64(self.exponential())
             .min(TERMS.max_request_duration);
-        self.plan(taken, Step::End(index, held));
+        self.schedule(service_time, Event::End(index, slot_index));
         true
     }
 
-    fn end(&mut self, index: usize, held: Held) {
+    fn end(&mut self, index: usize, slot_index: SlotIndex) {
         self.busy -= 1;
-        let slot = self.slots[held.0];
+        let slot = self.slots[slot_index.0];
         self.nodes[index].slots.release(slot, self.now);
         self.serve(index);
     }
@@ -224,14 +224,14 @@
 
     fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for out in out {
-            self.figures.messages += 1;
-            self.wires.push((from, out));
-            self.plan(ONE_WAY, Step::Deliver(self.wires.len() - 1));
+            self.statistics.messages += 1;
+            self.in_transit.push((from, out));
+            self.schedule(ONE_WAY, Event::Deliver(self.in_transit.len() - 1));
         }
     }
 
-    fn deliver(&mut self, wire: usize) {
-        let (from, out) = self.wires[wire].clone();
+    fn deliver(&mut self, message: usize) {
+        let (from, out) = self.in_transit[message].clone();
         let to = out.to.0 as usize;
         let from = EntryIndex(u32::try_from(from).unwrap_or(u32::MAX));
         let answers = self.nodes[to]
@@ -243,29 +243,39 @@
 }
 
 fn main() {
-    println!("entries spread load way: stranded % refused % wait p99 ms, messages/request");
+    println!(
+        "entries distribution load sharing: stranded % refused % wait p99 ms, messages/request"
+    );
     for entries in [3, 6, 9] {
-        for spread in [Spread::InTurn, Spread::Random, Spread::Skewed] {
+        for distribution in [
+            Distribution::InTurn,
+            Distribution::Random,
+            Distribution::Skewed,
+        ] {
             for load in [0.5, 0.7, 0.9] {
-                for way in [Way::Static, Way::Demand, Way::OneQueue] {
-                    measure(entries, spread, load, way);
+                for sharing in [Sharing::Static, Sharing::Demand, Sharing::OneQueue] {
+                    measure(entries, distribution, load, sharing);
                 }
             }
         }
     }
 }
 
-fn measure(entries: u32, spread: Spread, load: f64, way: Way) {
-    let count = if way == Way::OneQueue { 1 } else { entries };
-    let mut figures = Run::new(way, count).run(load, spread);
-    figures.waits.sort_unstable();
-    let p99 = figures.waits[figures.waits.len() * 99 / 100];
+fn measure(entries: u32, distribution: Distribution, load: f64, sharing: Sharing) {
+    let count = if sharing == Sharing::OneQueue {
+        1
+    } else {
+        entries
+    };
+    let mut statistics = Simulation::new(sharing, count).run(load, distribution);
+    statistics.waits.sort_unstable();
+    let p99 = statistics.waits[statistics.waits.len() * 99 / 100];
     let percent = |count: usize| count as f64 * 100.0 / REQUESTS as f64;
     println!(
-        "{entries} {spread:?} {load} {way:?}: {:.2} {:.2} {:.1}, {:.2}",
-        percent(figures.stranded),
-        percent(figures.refused),
+        "{entries} {distribution:?} {load} {sharing:?}: {:.2} {:.2} {:.1}, {:.2}",
+        percent(statistics.stranded),
+        percent(statistics.refused),
         p99.as_secs_f64() * 1e3,
-        figures.messages as f64 / REQUESTS as f64
+        statistics.messages as f64 / REQUESTS as f64
     );
 }
--- a/crates/cleat-decide/tests/admission.rs
+++ b/crates/cleat-decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Properties of admission over any order of events.
+//! Properties of admission control under any order of events.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     fleet
         .services
         .by_name("dock")
-        .expect("it is stated")
+        .expect("the service is configured")
         .clone()
 }
 
@@ -32,7 +32,7 @@
     Duration::from_millis(ms)
 }
 
-/// A gate with its slots, and how each ticket ended.
+/// An admission controller with its slots, and how each ticket ended.
 struct Model {
     controller: AdmissionController,
     free: u32,
@@ -71,19 +71,22 @@
             caller,
             deadline,
         };
-        let arrived = self.controller.admit(arrival, self.free, self.now);
-        match arrived {
+        let decision = self.controller.admit(arrival, self.free, self.now);
+        match decision {
             AdmissionDecision::Start => self.start(ticket),
             AdmissionDecision::Wait => {}
             AdmissionDecision::Displace { displaced, refusal } => self.refuse(displaced, &refusal),
             AdmissionDecision::Refuse(refusal) => self.refuse(ticket, &refusal),
         }
-        arrived
+        decision
     }
 
     fn start(&mut self, ticket: Ticket) {
-        assert!(self.free > 0, "a slot is free");
-        assert!(self.now <= self.deadlines[&ticket], "started in time");
+        assert!(self.free > 0, "started without a free slot");
+        assert!(
+            self.now <= self.deadlines[&ticket],
+            "started after its deadline"
+        );
         self.free -= 1;
         self.running.push((ticket, self.now));
         self.end(ticket, "started");
@@ -99,11 +102,11 @@
         assert_eq!(self.ended.insert(ticket, how), None);
     }
 
-    fn free_one(&mut self) -> Option<Ticket> {
+    fn finish_one(&mut self) -> Option<Ticket> {
         let (_, since) = (!self.running.is_empty()).then(|| self.running.remove(0))?;
         self.free += 1;
-        let taken = self.now - since;
-        let released = self.controller.slot_freed(Some(taken), self.now);
+        let service_time = self.now - since;
+        let released = self.controller.slot_freed(Some(service_time), self.now);
         for (ticket, refusal) in &released.refused {
             self.refuse(*ticket, refusal);
         }
@@ -131,21 +134,21 @@
 #[derive(Debug, Clone)]
 enum Event {
     Arrive(usize, u64),
-    Free,
+    Finish,
     Expire,
     Cancel(usize),
     Pass(u64),
-    SetTerms(u64),
+    Reconfigure(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..CALLERS.len(), 0..2_000u64).prop_map(|(caller, ms)| Event::Arrive(caller, ms)),
-        4 => Just(Event::Free),
+        4 => Just(Event::Finish),
         1 => Just(Event::Expire),
         1 => (0..8usize).prop_map(Event::Cancel),
         2 => (0..300u64).prop_map(Event::Pass),
-        1 => (1..9u64).prop_map(Event::SetTerms),
+        1 => (1..9u64).prop_map(Event::Reconfigure),
     ]
 }
 
@@ -153,7 +156,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn gate_any_order_ends_each_ticket_once(events in prop::collection::vec(event(), 0..300)) {
+    fn admission_any_order_ends_each_ticket_once(events in prop::collection::vec(event(), 0..300)) {
         let terms = json!({"queue": {"length": 6}, "callers": {"batch": {"quota": {"per_second": 5}}}});
         let mut model = Model::new(terms, 3, Protections::ALL);
         for event in events {
@@ -161,13 +164,13 @@
                 Event::Arrive(caller, allowed) => {
                     model.arrive(CALLERS[caller], ms(allowed));
                 }
-                Event::Free => {
-                    model.free_one();
+                Event::Finish => {
+                    model.finish_one();
                 }
                 Event::Expire => model.expire(),
                 Event::Cancel(position) => model.cancel(position),
                 Event::Pass(passed) => model.now += ms(passed),
-                Event::SetTerms(weight) => {
+                Event::Reconfigure(weight) => {
                     let terms = json!({"queue": {"length": 6}, "callers": {"desk": {"weight": weight}}});
                     model.controller.reconfigure(&service(terms));
                 }
@@ -178,19 +181,19 @@
         }
         model.now += ms(10_000);
         model.expire();
-        prop_assert!(model.live.is_empty(), "nothing is left behind");
+        prop_assert!(model.live.is_empty(), "a request is still waiting");
         prop_assert_eq!(model.ended.len() as u64, model.next);
     }
 
     #[test]
-    fn gate_backlogged_callers_share_by_weight(heavy in 1..8u64, order in prop::collection::vec(any::<bool>(), 100)) {
+    fn admission_backlogged_callers_share_by_weight(heavy in 1..8u64, order in prop::collection::vec(any::<bool>(), 100)) {
         let gap = share_gap(heavy, &order, Protections::ALL);
-        prop_assert!(gap <= 1.0, "off its share by {}", gap);
+        prop_assert!(gap <= 1.0, "deviates from the shares by {}", gap);
     }
 }
 
-/// Two callers always have requests waiting; by how many requests of the
-/// lighter one's weight they are served off their shares, at worst.
+/// Serves two callers that always have requests waiting. Returns the maximum
+/// deviation from their shares, in requests at the lower weight.
 fn share_gap(heavy: u64, order: &[bool], protections: Protections) -> f64 {
     let terms = json!({"callers": {"desk": {"weight": heavy}, "school": {"weight": 1}}});
     let mut model = Model::new(terms, 1, protections);
@@ -205,7 +208,7 @@
     let of = |which: bool| order.iter().filter(|is_desk| **is_desk == which).count();
     let (mut desk, mut school, mut worst) = (0usize, 0usize, 0.0f64);
     while desk < of(true) && school < of(false) {
-        let started = model.free_one().expect("both have requests waiting");
+        let started = model.finish_one().expect("both have requests waiting");
         if callers[&started] {
             desk += 1;
         } else {
@@ -218,7 +221,7 @@
 }
 
 #[test]
-fn gate_shares_without_fair_queue() {
+fn admission_shares_without_fair_queue() {
     let off = Protections {
         fair_queue: false,
         ..Protections::ALL
@@ -228,7 +231,7 @@
 }
 
 #[test]
-fn arrive_full_queue_displaces_the_greediest() {
+fn admit_full_queue_displaces_caller_furthest_above_share() {
     let mut model = Model::new(json!({"queue": {"length": 4}}), 1, Protections::ALL);
     for _ in 0..5 {
         model.arrive("batch", ms(60_000));
@@ -244,7 +247,7 @@
 }
 
 #[test]
-fn arrive_full_queue_without_bound() {
+fn admit_full_queue_without_limit() {
     let off = Protections {
         queue_limit: false,
         ..Protections::ALL
@@ -256,13 +259,12 @@
     assert_eq!(
         model.controller.waiting(),
         8,
-        "the bound is what keeps it at 4"
+        "only the limit keeps the length at 4"
     );
 }
 
-/// The longest that any of a hundred refused requests of `caller` is told to
-/// stay away.
-fn longest_return(model: &mut Model, caller: &str) -> Duration {
+/// The longest retry-after time of a hundred refused requests of `caller`.
+fn max_retry_after(model: &mut Model, caller: &str) -> Duration {
     let refusals = (0..100).filter_map(|_| match model.arrive(caller, ms(60_000)) {
         AdmissionDecision::Refuse(refusal) => Some(refusal.retry_after),
         _ => None,
@@ -271,7 +273,7 @@
 }
 
 #[test]
-fn refuse_storm_does_not_outlast_itself() {
+fn refuse_burst_does_not_delay_callers_after_it() {
     let quota = json!({"quota": {"per_second": 5, "burst": 1}});
     let terms = json!({"callers": {"batch": quota, "school": quota}});
     let mut model = Model::new(terms, 3, Protections::ALL);
@@ -280,29 +282,29 @@
         model.arrive("batch", ms(60_000));
     }
     assert!(
-        longest_return(&mut model, "batch") > ms(20_000),
-        "many are due"
+        max_retry_after(&mut model, "batch") > ms(20_000),
+        "many callers have yet to return"
     );
     assert!(
-        longest_return(&mut model, "school") < ms(25_000),
-        "few are due"
+        max_retry_after(&mut model, "school") < ms(25_000),
+        "few callers have yet to return"
     );
     model.now += ms(60_000);
     assert!(
-        longest_return(&mut model, "batch") < ms(25_000),
-        "none is due"
+        max_retry_after(&mut model, "batch") < ms(25_000),
+        "no caller has yet to return"
     );
 }
 
 #[test]
-fn refuse_full_queue_storm_is_the_callers_own() {
+fn refuse_full_queue_burst_delays_only_its_caller() {
     let mut model = Model::new(json!({"queue": {"length": 4}}), 1, Protections::ALL);
     for _ in 0..5 {
         model.arrive("batch", ms(900_000));
     }
     for _ in 0..30 {
         model.now += ms(100);
-        model.free_one();
+        model.finish_one();
         model.arrive("batch", ms(900_000));
     }
     for _ in 0..5_000 {
@@ -318,6 +320,6 @@
     let longest = (0..20).map(|_| one()).max().unwrap();
     assert!(
         longest < ms(10_000),
-        "it pays for the storm of another: {longest:?}"
+        "the burst of another caller delays it: {longest:?}"
     );
 }
--- a/crates/cleat-decide/tests/choice.rs
+++ b/crates/cleat-decide/tests/choice.rs
@@ -1,4 +1,5 @@
-//! Properties of the choice of a target, its health and the split of slots.
+//! Properties of the choice of a target, of its health and of the division of its
+//! slots.
 
 use std::time::Duration;
 
@@ -35,7 +36,8 @@
         )
 }
 
-/// What the rules allow: room, and not ejected unless the bound lets it in.
+/// Whether the rules allow the choice: the target has a free slot, and it is not
+/// ejected or exceeds the limit on ejection.
 fn allowed(candidates: &[Candidate], chosen: usize) -> bool {
     let ejected_before = candidates[..chosen].iter().filter(|c| c.ejected).count();
     let c = candidates[chosen];
@@ -46,7 +48,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn choose_any_candidates(candidates in prop::collection::vec(candidate(), 0..40), random: u64) {
+    fn choose_target_any_candidates(candidates in prop::collection::vec(candidate(), 0..40), random: u64) {
         let chosen = choose_target(&candidates, None, random);
         prop_assert_eq!(chosen.is_some(), free_slots(&candidates) > 0);
         if let Some(chosen) = chosen {
@@ -56,7 +58,7 @@
     }
 
     #[test]
-    fn share_any_target_sums_to_cap(name in "[a-z]{1,8}[0-9]{0,3}", cap in 0..200u32, count in 1..12usize) {
+    fn slot_share_any_target_sums_to_cap(name in "[a-z]{1,8}[0-9]{0,3}", cap in 0..200u32, count in 1..12usize) {
         let entries: Vec<Box<str>> = (0..count).map(|i| format!("e{i}").into()).collect();
         let sum: u32 = entries.iter().map(|me| slot_share(&name, cap, &entries, me)).sum();
         prop_assert_eq!(sum, cap);
@@ -76,7 +78,7 @@
 }
 
 #[test]
-fn choose_all_ejected_keeps_half() {
+fn choose_target_all_ejected_keeps_half() {
     let all = [idle(true); 10];
     let chosen = |protections| {
         (0..200)
@@ -89,11 +91,15 @@
         ejection_limit: false,
         ..Protections::ALL
     };
-    assert_eq!(chosen(off).count(), 0, "the bound is what keeps targets in");
+    assert_eq!(
+        chosen(off).count(),
+        0,
+        "only the limit on ejection keeps targets in use"
+    );
 }
 
 #[test]
-fn choose_prefers_the_quicker() {
+fn choose_target_prefers_lower_latency() {
     let mut candidates = vec![idle(false); 2];
     candidates[0].latency_us = 30_000;
     let slow = |protections| {
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn eject_slow_far_from_most() {
+fn eject_slow_targets_far_above_median() {
     let mut candidates = vec![idle(false); 3];
     candidates[2].latency_us = 100_000;
     eject_slow_targets(&mut candidates);
@@ -119,25 +125,29 @@
 }
 
 #[test]
-fn record_fast_failures_eject_for_longer_each_time() {
+fn record_fast_failures_double_the_ejection() {
     let mut health = Health::new(ms(0));
     let mut now = ms(20_000);
-    let mut away = Vec::new();
+    let mut durations = Vec::new();
     for _ in 0..4 {
         while !health.is_ejected(now) {
             health.record(AttemptOutcome::Answered { status: 503 }, ms(1), now);
         }
         let until = health.ejected_until(now).unwrap();
-        away.push(until - now);
+        durations.push(until - now);
         now = until;
-        assert_eq!(health.warm_up_percent(now), 10, "it starts slowly again");
-        assert_eq!(health.latency_us(now), 0, "failures do not look quick");
+        assert_eq!(health.warm_up_percent(now), 10, "the target warms up again");
+        assert_eq!(
+            health.latency_us(now),
+            0,
+            "failures do not lower the latency"
+        );
     }
-    assert_eq!(away, [ms(1_000), ms(2_000), ms(4_000), ms(8_000)]);
+    assert_eq!(durations, [ms(1_000), ms(2_000), ms(4_000), ms(8_000)]);
 }
 
 #[test]
-fn record_one_failure_in_many_stays() {
+fn record_failure_rate_of_a_quarter_does_not_eject() {
     let mut health = Health::new(ms(0));
     for i in 0..1_000u64 {
         let outcome = if i % 4 == 0 {
@@ -151,7 +161,7 @@
 }
 
 #[test]
-fn record_short_timeouts_weigh_little() {
+fn record_short_timeouts_score_little() {
     let mut health = Health::new(ms(0));
     health.record(GOOD, ms(100), ms(0));
     for i in 0..8 {
@@ -161,11 +171,11 @@
     for i in 8..20 {
         health.record(AttemptOutcome::TimedOut, ms(30), ms(i));
     }
-    assert!(health.is_ejected(ms(20)), "but not nothing");
+    assert!(health.is_ejected(ms(20)), "many short timeouts eject");
 }
 
 #[test]
-fn latency_us_fades_and_is_confirmed() {
+fn latency_us_decays_and_is_confirmed() {
     let mut health = Health::new(ms(0));
     health.record(GOOD, ms(400), ms(0));
     assert_eq!(health.latency_us(ms(10_000)), 200_000);
--- a/crates/cleat-decide/tests/replay.rs
+++ b/crates/cleat-decide/tests/replay.rs
@@ -1,12 +1,12 @@
-//! The recorded traces end as stated, and each stated outcome notices the loss
-//! of the protection that it is meant for.
+//! The recorded traces lead to their expected outcomes, and each expected outcome
+//! detects that the protection it covers is disabled.
 
 use std::path::Path;
 
 use cleat_decide::Protections;
 
 use engine::Engine;
-use report::Figures;
+use report::Statistics;
 use request::Policy;
 use trace::Trace;
 
@@ -23,29 +23,29 @@
 #[path = "../examples/replay/trace.rs"]
 mod trace;
 
-fn faults(name: &str, protections: Protections) -> Vec<String> {
+fn failures(name: &str, protections: Protections) -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
     report::check(&folder.join(name), protections)
-        .expect("the trace is whole")
-        .faults
+        .expect("the trace is valid")
+        .failures
 }
 
-fn assert_notices(name: &str, protections: Protections, fault: &str) {
-    let faults = faults(name, protections);
+fn assert_detects(name: &str, protections: Protections, failure: &str) {
+    let failures = failures(name, protections);
     assert!(
-        faults.iter().any(|found| found.contains(fault)),
-        "{faults:?}"
+        failures.iter().any(|found| found.contains(failure)),
+        "{failures:?}"
     );
 }
 
 #[test]
 fn replay_all_traces() {
-    let paths = trace::folder();
+    let paths = trace::all_paths();
     assert!(paths.len() >= 9);
     for path in paths {
         let checked = report::check(&path, Protections::ALL).unwrap();
-        assert!(checked.figures.requests > 1_000);
-        assert_eq!(checked.faults, Vec::<String>::new(), "{}", path.display());
+        assert!(checked.statistics.requests > 1_000);
+        assert_eq!(checked.failures, Vec::<String>::new(), "{}", path.display());
     }
 }
 
@@ -55,8 +55,8 @@
         fair_queue: false,
         ..Protections::ALL
     };
-    assert_notices("burst-one-school.jsonl", off, "p99 of school-3");
-    assert_notices("overnight-batch.jsonl", off, "not good % of desk");
+    assert_detects("burst-one-school.jsonl", off, "p99 of school-3");
+    assert_detects("overnight-batch.jsonl", off, "not good % of desk");
 }
 
 #[test]
@@ -65,7 +65,7 @@
         deadline: false,
         ..Protections::ALL
     };
-    assert_notices(
+    assert_detects(
         "burst-one-school.jsonl",
         off,
         "no answer after the deadline",
@@ -78,7 +78,7 @@
         quota: false,
         ..Protections::ALL
     };
-    assert_notices("burst-over-quota.jsonl", off, "refused over quota: 0");
+    assert_detects("burst-over-quota.jsonl", off, "refused over quota: 0");
 }
 
 #[test]
@@ -87,7 +87,7 @@
         retry_jitter: false,
         ..Protections::ALL
     };
-    assert_notices("burst-over-quota.jsonl", off, "returns in one second");
+    assert_detects("burst-over-quota.jsonl", off, "returns in one second");
 }
 
 #[test]
@@ -96,7 +96,7 @@
         at_most_once: false,
         ..Protections::ALL
     };
-    assert_notices("third-cutting.jsonl", off, "at most one run");
+    assert_detects("third-cutting.jsonl", off, "at most one run");
 }
 
 #[test]
@@ -105,7 +105,7 @@
         slot_limit: false,
         ..Protections::ALL
     };
-    assert_notices("wave-vanishing-targets.jsonl", off, "over its slots");
+    assert_detects("wave-vanishing-targets.jsonl", off, "over its slots");
 }
 
 #[test]
@@ -114,47 +114,47 @@
         ejection: false,
         ..Protections::ALL
     };
-    assert_notices("third-failing.jsonl", off, "not good % of bookings");
-    assert_notices("slow-third.jsonl", off, "p99 ms of tides");
+    assert_detects("third-failing.jsonl", off, "not good % of bookings");
+    assert_detects("slow-third.jsonl", off, "p99 ms of tides");
 }
 
 #[test]
 fn replay_without_retry_budget() {
-    // Ejection alone keeps retries few, so it is off too: the budget is what is
-    // left when a failure is spread too thin to eject for.
+    // Ejection alone keeps the number of retries low, so it is disabled too: only
+    // the budget limits retries when failures are too evenly spread for ejection.
     let off = Protections {
         retry_budget: false,
         ejection: false,
         ..Protections::ALL
     };
-    assert_notices("third-failing-reads.jsonl", off, "tries per request");
+    assert_detects("third-failing-reads.jsonl", off, "tries per request");
     let budget_alone = Protections {
         ejection: false,
         ..Protections::ALL
     };
-    let found = faults("third-failing-reads.jsonl", budget_alone);
+    let found = failures("third-failing-reads.jsonl", budget_alone);
     assert!(
-        !found.iter().any(|fault| fault.contains("tries")),
+        !found.iter().any(|failure| failure.contains("tries")),
         "{found:?}"
     );
 }
 
-fn figures(name: &str, policy: Policy) -> Figures {
+fn statistics(name: &str, policy: Policy) -> Statistics {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("traces");
-    let trace = Trace::read(&folder.join(name)).expect("the trace is whole");
-    let figures = report::figures(&Engine::run(&trace, policy, Protections::ALL));
-    println!("{name} {policy:?} {}", figures.summary());
-    figures
+    let trace = Trace::read(&folder.join(name)).expect("the trace is valid");
+    let statistics = report::statistics(&Engine::run(&trace, policy, Protections::ALL));
+    println!("{name} {policy:?} {}", statistics.summary());
+    statistics
 }
 
 #[test]
-fn replay_choice_against_others() {
-    let slow = figures("slow-third.jsonl", Policy::Product);
-    let failing = figures("third-failing.jsonl", Policy::Product);
+fn replay_choice_beats_round_robin_and_random() {
+    let slow = statistics("slow-third.jsonl", Policy::Product);
+    let failing = statistics("third-failing.jsonl", Policy::Product);
     for policy in [Policy::RoundRobin, Policy::Random] {
-        let other = figures("slow-third.jsonl", policy);
+        let other = statistics("slow-third.jsonl", policy);
         assert!(slow.p99_ms["tides"] < other.p99_ms["tides"] / 2.0);
-        let other = figures("third-failing.jsonl", policy);
+        let other = statistics("third-failing.jsonl", policy);
         assert!(failing.good_percent > other.good_percent + 10.0);
     }
 }
--- a/crates/cleat-decide/tests/retry.rs
+++ b/crates/cleat-decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Properties of the verdict on a try.
+//! Properties of the decision to retry.
 
 use std::time::Duration;
 
@@ -24,20 +24,21 @@
     ]
 }
 
-/// Runs one request over the given ends of tries; gives the number of tries
-/// that may have run, of all tries, and the end.
+/// Runs one request whose attempts have the given outcomes, repeated as needed.
+/// Returns the number of attempts that may have run, the number of all attempts
+/// and the final outcome.
 fn request(
     idempotent: bool,
     outcomes: &[AttemptOutcome],
     remaining: Duration,
     budget: &mut RetryBudget,
 ) -> (u32, u32, FinalOutcome) {
-    let (mut runs, mut tries) = (0, 0);
+    let (mut runs, mut attempts) = (0, 0);
     for outcome in outcomes.iter().cycle() {
-        tries += 1;
+        attempts += 1;
         let facts = AttemptContext {
             idempotent,
-            attempts: tries,
+            attempts,
             max_attempts: 3,
             remaining,
             earlier_may_have_run: runs > 0,
@@ -46,22 +47,27 @@
         runs += u32::from(outcome.may_have_run());
         match decide_retry(outcome, facts, budget) {
             RetryDecision::Retry => {}
-            RetryDecision::Answer(answer) => return (runs, tries, answer),
+            RetryDecision::Answer(answer) => return (runs, attempts, answer),
         }
     }
-    unreachable!("no outcomes")
+    unreachable!("outcomes is not empty")
 }
 
-/// Whether any of the requests broke a promise.
-fn breaks_promise(requests: &[(bool, Vec<AttemptOutcome>, u64)], protections: Protections) -> bool {
+/// Whether any of the requests violates an invariant: it runs at most once unless
+/// it is idempotent, it is not reported as not run if it may have run, it is not
+/// retried without time left, and it has at most 3 attempts.
+fn violates_invariant(
+    requests: &[(bool, Vec<AttemptOutcome>, u64)],
+    protections: Protections,
+) -> bool {
     let mut budget = RetryBudget::with_protections(&RETRY, 1, protections);
     requests.iter().any(|(idempotent, outcomes, remaining)| {
         let remaining = Duration::from_millis(*remaining);
-        let (runs, tries, answer) = request(*idempotent, outcomes, remaining, &mut budget);
+        let (runs, attempts, answer) = request(*idempotent, outcomes, remaining, &mut budget);
         let ran_twice = !idempotent && runs > 1;
-        let lied = matches!(answer, FinalOutcome::NotRun { .. }) && runs > 0;
-        let waited = tries > 1 && remaining < Duration::from_millis(20);
-        ran_twice || lied || waited || tries > 3
+        let false_not_run = matches!(answer, FinalOutcome::NotRun { .. }) && runs > 0;
+        let retried_late = attempts > 1 && remaining < Duration::from_millis(20);
+        ran_twice || false_not_run || retried_late || attempts > 3
     })
 }
 
@@ -78,50 +84,53 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn verdict_any_outcomes(requests in requests()) {
-        prop_assert!(!breaks_promise(&requests, Protections::ALL));
+    fn decide_retry_any_outcomes_keep_invariants(requests in requests()) {
+        prop_assert!(!violates_invariant(&requests, Protections::ALL));
     }
 
     #[test]
-    fn verdict_tries_within_budget(outcomes in prop::collection::vec(outcome(), 1..600)) {
+    fn decide_retry_attempts_stay_within_budget(outcomes in prop::collection::vec(outcome(), 1..600)) {
         let mut budget = RetryBudget::new(&RETRY, 1);
         let hour = Duration::from_secs(3_600);
-        let tries: u32 = outcomes
+        let attempts: u32 = outcomes
             .iter()
             .map(|outcome| request(true, &[*outcome], hour, &mut budget).1)
             .sum();
-        let retries = u64::from(tries) - outcomes.len() as u64;
+        let retries = u64::from(attempts) - outcomes.len() as u64;
         prop_assert!(retries * 100 <= 300 + outcomes.len() as u64 * 11);
     }
 }
 
 #[test]
-fn verdict_without_at_most_once() {
+fn decide_retry_without_at_most_once() {
     let off = Protections {
         at_most_once: false,
         ..Protections::ALL
     };
     let cut = [(false, vec![AttemptOutcome::ConnectionLost], 100)];
-    assert!(breaks_promise(&cut, off));
-    assert!(!breaks_promise(&cut, Protections::ALL));
+    assert!(violates_invariant(&cut, off));
+    assert!(!violates_invariant(&cut, Protections::ALL));
 }
 
 #[test]
-fn verdict_third_of_targets_failing() {
-    let tries = |protections| {
+fn decide_retry_third_of_targets_failing() {
+    let attempts = |protections| {
         let mut budget = RetryBudget::with_protections(&RETRY, 1, protections);
         let hour = Duration::from_secs(3_600);
         let end = |i: u32| match i % 3 {
             0 => AttemptOutcome::NotSent,
             _ => AttemptOutcome::Answered { status: 200 },
         };
-        let tries = (0..9_000).map(|i| request(true, &[end(i)], hour, &mut budget).1);
-        f64::from(tries.sum::<u32>()) / 9_000.0
+        let attempts = (0..9_000).map(|i| request(true, &[end(i)], hour, &mut budget).1);
+        f64::from(attempts.sum::<u32>()) / 9_000.0
     };
-    assert!(tries(Protections::ALL) < 1.2);
+    assert!(attempts(Protections::ALL) < 1.2);
     let off = Protections {
         retry_budget: false,
         ..Protections::ALL
     };
-    assert!(tries(off) > 1.2, "the budget is what keeps it low");
+    assert!(
+        attempts(off) > 1.2,
+        "without the budget there are more attempts"
+    );
 }
--- a/crates/cleat-decide/tests/slots.rs
+++ b/crates/cleat-decide/tests/slots.rs
@@ -1,5 +1,5 @@
-//! The cap of a target holds over all entries, whatever happens to them and to
-//! their messages.
+//! No target gets more requests than its cap from all entries together, whatever
+//! faults the entries and their messages have.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 const STEP_MS: u64 = 5;
 const STEPS: u64 = 3_000;
 
-/// A request at a target; it goes on if its entry dies or freezes.
+/// A request at a target. It continues when its entry dies or freezes.
 struct Running {
     target: usize,
     entry: usize,
@@ -32,44 +32,44 @@
     keys: Vec<TargetKey>,
     incarnation: u64,
     started_at: u64,
-    /// Thousandths by which its clock is fast.
+    /// How much faster than real time its clock runs, in thousandths.
     drift: i64,
     frozen_until: u64,
 }
 
-struct Fleet {
+struct Simulation {
     rng: StdRng,
     names: Vec<Box<str>>,
     nodes: Vec<Node>,
     running: Vec<Running>,
-    wires: Vec<(u64, usize, Outgoing)>,
-    /// The entry that no message reaches or leaves, until when.
-    cut_off: (usize, u64),
+    in_transit: Vec<(u64, usize, Outgoing)>,
+    /// The entry that can neither send nor receive messages, and until when.
+    isolated: (usize, u64),
     now: u64,
     protections: Protections,
-    begun_on_loan: u64,
+    started_on_borrowed: u64,
     violations: u64,
 }
 
-impl Fleet {
-    fn new(seed: u64, count: usize, protections: Protections) -> Fleet {
-        let mut fleet = Fleet {
+impl Simulation {
+    fn new(seed: u64, count: usize, protections: Protections) -> Simulation {
+        let mut sim = Simulation {
             rng: StdRng::seed_from_u64(seed),
             names: (0..count).map(|i| format!("e{i}").into()).collect(),
             nodes: Vec::new(),
             running: Vec::new(),
-            wires: Vec::new(),
-            cut_off: (0, 0),
+            in_transit: Vec::new(),
+            isolated: (0, 0),
             now: 0,
             protections,
-            begun_on_loan: 0,
+            started_on_borrowed: 0,
             violations: 0,
         };
         for index in 0..count {
-            let node = fleet.start(index, 1, true);
-            fleet.nodes.push(node);
+            let node = sim.start(index, 1, true);
+            sim.nodes.push(node);
         }
-        fleet
+        sim
     }
 
     fn start(&mut self, index: usize, incarnation: u64, fresh: bool) -> Node {
@@ -102,7 +102,7 @@
             self.end_requests();
             self.deliver();
             if faults {
-                self.fault();
+                self.inject_fault();
             }
             for index in 0..self.nodes.len() {
                 self.work(index);
@@ -113,11 +113,11 @@
 
     fn end_requests(&mut self) {
         let (nodes, now) = (&self.nodes, self.now);
-        // A frozen entry notices the end of its requests only when it thaws.
-        let unnoticed = |r: &Running| {
+        // A frozen entry handles the end of its requests only when it continues.
+        let unhandled = |r: &Running| {
             r.incarnation == nodes[r.entry].incarnation && now < nodes[r.entry].frozen_until
         };
-        let ended = |r: &mut Running| r.ends_at <= now && !unnoticed(r);
+        let ended = |r: &mut Running| r.ends_at <= now && !unhandled(r);
         let ended: Vec<Running> = self.running.extract_if(.., ended).collect();
         for request in ended {
             let local = self.local(request.entry);
@@ -133,7 +133,7 @@
         let due = |(at, _, out): &mut (u64, usize, Outgoing)| {
             *at <= now && now >= nodes[out.to.0 as usize].frozen_until
         };
-        let due: Vec<_> = self.wires.extract_if(.., due).collect();
+        let due: Vec<_> = self.in_transit.extract_if(.., due).collect();
         for (_, from, out) in due {
             let to = out.to.0 as usize;
             let local = self.local(to);
@@ -147,29 +147,29 @@
 
     fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for out in out {
-            let (cut, until) = self.cut_off;
+            let (isolated, until) = self.isolated;
             let to = out.to.0 as usize;
-            let lost =
-                self.rng.random_bool(0.05) || (self.now < until && (cut == from || cut == to));
+            let lost = self.rng.random_bool(0.05)
+                || (self.now < until && (isolated == from || isolated == to));
             if lost {
                 continue;
             }
             let copies = if self.rng.random_bool(0.1) { 2 } else { 1 };
             for _ in 0..copies {
-                let late = if self.rng.random_bool(0.05) { 900 } else { 15 };
-                let at = self.now + self.rng.random_range(0..late);
-                self.wires.push((at, from, out.clone()));
+                let delay_max = if self.rng.random_bool(0.05) { 900 } else { 15 };
+                let at = self.now + self.rng.random_range(0..delay_max);
+                self.in_transit.push((at, from, out.clone()));
             }
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let index = self.rng.random_range(0..self.nodes.len());
-        let lasting = self.now + self.rng.random_range(50..2_000);
+        let until = self.now + self.rng.random_range(50..2_000);
         match self.rng.random_range(0..400) {
             0 => self.nodes[index] = self.start(index, self.nodes[index].incarnation + 1, false),
-            1 | 2 => self.nodes[index].frozen_until = lasting,
-            3 => self.cut_off = (index, lasting),
+            1 | 2 => self.nodes[index].frozen_until = until,
+            3 => self.isolated = (index, until),
             _ => {}
         }
     }
@@ -181,7 +181,7 @@
         let local = self.local(index);
         let out = self.nodes[index].slots.tick(local);
         self.send(index, out);
-        // Demand moves from entry to entry.
+        // The load moves from entry to entry.
         let busy = (self.now / 700) % self.nodes.len() as u64 == index as u64;
         let arrivals = if busy {
             4
@@ -202,7 +202,7 @@
         let Some(slot) = node.slots.acquire(node.keys[target], local) else {
             return false;
         };
-        self.begun_on_loan += u64::from(slot.grant.is_some());
+        self.started_on_borrowed += u64::from(slot.grant.is_some());
         let longest = u64::try_from(TERMS.max_request_duration.as_millis()).expect("short");
         let takes = self.rng.random_range(1..=longest);
         self.running.push(Running {
@@ -215,7 +215,7 @@
         true
     }
 
-    /// Counts what really runs at each target.
+    /// Counts the targets at which more requests run than their cap.
     fn check(&mut self) {
         for (target, (_, cap)) in TARGETS.iter().enumerate() {
             let on_it = |r: &&Running| r.target == target && r.ends_at > self.now;
@@ -227,15 +227,18 @@
 
 #[test]
 fn slots_any_faults_keep_cap() {
-    let mut begun_on_loan = 0;
+    let mut started_on_borrowed = 0;
     for seed in 0..24 {
         let count = [3, 6, 9][usize::try_from(seed % 3).unwrap()];
-        let mut fleet = Fleet::new(seed, count, Protections::ALL);
-        fleet.run(true);
-        assert_eq!(fleet.violations, 0, "seed {seed}");
-        begun_on_loan += fleet.begun_on_loan;
+        let mut sim = Simulation::new(seed, count, Protections::ALL);
+        sim.run(true);
+        assert_eq!(sim.violations, 0, "seed {seed}");
+        started_on_borrowed += sim.started_on_borrowed;
     }
-    assert!(begun_on_loan > 1_000, "loans were in play: {begun_on_loan}");
+    assert!(
+        started_on_borrowed > 1_000,
+        "too few borrowed slots were used: {started_on_borrowed}"
+    );
 }
 
 #[test]
@@ -245,52 +248,52 @@
         ..Protections::ALL
     };
     let run = |seed| {
-        let mut fleet = Fleet::new(seed, 3, off);
-        fleet.run(true);
-        fleet.violations
+        let mut sim = Simulation::new(seed, 3, off);
+        sim.run(true);
+        sim.violations
     };
     assert!((0..8).map(run).sum::<u64>() > 0);
 }
 
 #[test]
-fn slots_quiet_all_come_home() {
-    let mut fleet = Fleet::new(5, 6, Protections::ALL);
-    fleet.run(true);
-    fleet.now += 5_000;
-    fleet.end_requests();
-    for index in 0..fleet.nodes.len() {
-        let local = fleet.local(index);
-        let node = &mut fleet.nodes[index];
+fn slots_without_traffic_return_home() {
+    let mut sim = Simulation::new(5, 6, Protections::ALL);
+    sim.run(true);
+    sim.now += 5_000;
+    sim.end_requests();
+    for index in 0..sim.nodes.len() {
+        let local = sim.local(index);
+        let node = &mut sim.nodes[index];
         node.slots.tick(local);
         let usable = node.keys.iter().map(|key| node.slots.usable(*key, local));
         let home =
-            |(name, cap): &(&str, u32)| slot_share(name, *cap, &fleet.names, &fleet.names[index]);
+            |(name, cap): &(&str, u32)| slot_share(name, *cap, &sim.names, &sim.names[index]);
         assert_eq!(usable.sum::<u32>(), TARGETS.iter().map(home).sum::<u32>());
     }
 }
 
 #[test]
-fn receive_ask_again_lends_once() {
+fn handle_message_repeated_request_lends_once() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
     let mut slots = Slots::new(EntryIndex(0), 1, &names, TERMS, Duration::ZERO);
     let key = slots.set_target("r1", 8, true);
-    let ask = Message::Request {
+    let request = Message::Request {
         incarnation: 1,
         serial: 1,
         count: 2,
     };
-    let first = slots.handle_message(EntryIndex(1), ask.clone(), Duration::ZERO);
+    let first = slots.handle_message(EntryIndex(1), request.clone(), Duration::ZERO);
     assert_eq!(first.len(), 1);
     assert_eq!(slots.usable(key, Duration::ZERO), 2);
     assert!(
         slots
-            .handle_message(EntryIndex(1), ask, Duration::ZERO)
+            .handle_message(EntryIndex(1), request, Duration::ZERO)
             .is_empty()
     );
     assert_eq!(slots.usable(key, Duration::ZERO), 2);
 }
 
-/// Carries messages between two entries until none is left.
+/// Delivers messages between two entries until none is left.
 fn exchange(nodes: &mut [Slots; 2], from: usize, out: Vec<Outgoing>, now: Duration) {
     for out in out {
         let to = out.to.0 as usize;
@@ -301,7 +304,7 @@
 }
 
 #[test]
-fn tick_idle_loan_goes_home() {
+fn tick_returns_idle_borrowed_slot() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
     let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
@@ -319,7 +322,7 @@
     now += TERMS.idle_timeout * 2;
     let out = nodes[1].tick(now);
     exchange(&mut nodes, 1, out, now);
-    assert_eq!(split(&nodes, now), (3, 5), "a loan in use stays");
+    assert_eq!(split(&nodes, now), (3, 5), "a borrowed slot in use is kept");
 
     busy.into_iter()
         .for_each(|slot| nodes[1].release(slot, now));
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn borrow_grant_for_shorter_requests_goes_back() {
+fn borrow_returns_grant_for_shorter_requests() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
     let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
@@ -342,9 +345,9 @@
     exchange(&mut nodes, 1, out, now);
     assert_eq!(nodes[1].usable(borrower, now), 5);
 
-    // The borrower learns first that requests may take longer.
+    // The borrower learns before the lender that requests may take longer.
     nodes[1].set_max_request_duration(TERMS.max_request_duration * 2);
-    assert_eq!(nodes[1].usable(borrower, now), 4, "the loan ends");
+    assert_eq!(nodes[1].usable(borrower, now), 4, "the lease ends");
     let later = now + Duration::from_millis(200);
     let out = nodes[1].tick(later);
     exchange(&mut nodes, 1, out, later);
@@ -355,7 +358,7 @@
 }
 
 #[test]
-fn begin_until_loan_is_bounded() {
+fn start_deadline_of_borrowed_slot_is_end_of_lease() {
     let names: Vec<Box<str>> = vec!["e0".into(), "e1".into()];
     let start = |index| Slots::new(EntryIndex(index), 1, &names, TERMS, Duration::ZERO);
     let mut nodes = [start(0), start(1)];
@@ -366,6 +369,6 @@
     exchange(&mut nodes, 1, out, now);
     let home = nodes[1].acquire(key, now).expect("the slot at home");
     assert_eq!(nodes[1].start_deadline(home), None);
-    let loan = nodes[1].acquire(key, now).expect("the loan");
-    assert_eq!(nodes[1].start_deadline(loan), Some(now + TERMS.lease));
+    let borrowed = nodes[1].acquire(key, now).expect("the borrowed slot");
+    assert_eq!(nodes[1].start_deadline(borrowed), Some(now + TERMS.lease));
 }
--- a/crates/cleat-maintain/examples/waves.rs
+++ b/crates/cleat-maintain/examples/waves.rs
@@ -1,8 +1,9 @@
-//! What a wave costs: how long it takes, how long its instances are away, and
-//! what a pass over all pools of the size planned for asks of the leader.
+//! Measures the cost of a wave: how long it takes, how long its instances are
+//! unavailable, and how much time a pass over all pools of the planned fleet takes
+//! on the leader.
 //!
-//! The very core that runs decides, on a clock of its own, against machines
-//! that take a fixed time.
+//! The product's reconciler makes the decisions, on a simulated clock and with
+//! machines that take a fixed time for each action.
 
 use std::time::{Duration, Instant};
 
@@ -14,46 +15,47 @@
 use indexmap::IndexMap;
 use serde_json::{Map, Value, json};
 
-/// Seconds that a machine takes, as far as nothing can shorten them.
+/// The times that a machine takes, in seconds. The wave cannot shorten them.
 const DRAIN_S: u64 = 30;
 const REBOOT_S: u64 = 180;
 const PROBATION_S: u64 = 60;
 const DEADLINE_S: u64 = 2;
 const UNAVOIDABLE_S: u64 = DEADLINE_S + DRAIN_S + REBOOT_S + PROBATION_S;
-/// Instances a rack, and data centres.
-const RACK: usize = 4;
-const CENTRES: usize = 3;
+/// The number of instances per rack.
+const INSTANCES_PER_RACK: usize = 4;
+const DATA_CENTRES: usize = 3;
 const SEVEN_WEEKS_S: u64 = 7 * 7 * 24 * 60 * 60;
 const POOLS: usize = 89;
-const WORKERS: usize = 1_100;
-const NEVER_S: u64 = 10_000_000;
+const INSTANCES: usize = 1_100;
+/// A run is stopped after this time.
+const RUN_LIMIT_S: u64 = 10_000_000;
 
 fn main() {
-    println!("pool budget wave_s bound_s one_at_a_time_s away_s/instance bound most_away racks");
+    println!("pool budget wave_s bound_s one_at_a_time_s away_s/instance bound max_away racks");
     for instances in [6, 12, 48] {
-        let one = Run::of(&[instances], 1).finish();
+        let one_at_a_time = Run::with_waves(&[instances], 1).finish();
         for budget in [1, 2, 6] {
-            let found = Run::of(&[instances], budget).finish();
+            let found = Run::with_waves(&[instances], budget).finish();
             let bound = (instances as u64).div_ceil(budget) * UNAVOIDABLE_S;
             let each = found.away_s as f64 / instances as f64;
             println!(
                 "{instances:4} {budget:6} {:6} {bound:7} {:15} {each:15.1} {UNAVOIDABLE_S:5} {:9} {:5}",
-                found.seconds, one.seconds, found.most_away, found.most_racks
+                found.seconds, one_at_a_time.seconds, found.max_away, found.max_racks
             );
         }
     }
     whole_fleet();
 }
 
-/// Every pool at once, and one after the other.
+/// Measures waves in all pools at once, and one after the other.
 fn whole_fleet() {
-    let sizes: Vec<usize> = (0..POOLS).map(|i| (WORKERS + i) / POOLS).collect();
+    let sizes: Vec<usize> = (0..POOLS).map(|i| (INSTANCES + i) / POOLS).collect();
     let total: usize = sizes.iter().sum();
     for budget in [1, 2] {
-        let found = Run::of(&sizes, budget).finish();
+        let found = Run::with_waves(&sizes, budget).finish();
         let largest = sizes.iter().copied().max().unwrap_or(0);
-        let one = Run::of(&[largest], budget).finish();
-        let in_turn = one.seconds * POOLS as u64;
+        let one_at_a_time = Run::with_waves(&[largest], budget).finish();
+        let in_turn = one_at_a_time.seconds * POOLS as u64;
         println!(
             "{POOLS} pools, {total} instances, budget {budget}: all at once {} s; in turn {in_turn} s, \
              {:.1} % of 7 weeks; {} commands; decision at most {:?}, mean {:?}",
@@ -68,15 +70,17 @@
     println!("no wave: decision mean {idle:?}");
 }
 
-/// What a run came to.
+/// The results of a run.
 #[derive(Default)]
-struct Found {
+struct Results {
     seconds: u64,
-    /// Seconds away, summed over the instances.
+    /// The time that instances were unavailable, in seconds, added up over all
+    /// instances.
     away_s: u64,
-    most_away: u64,
-    /// The most racks that lacked an instance at once.
-    most_racks: usize,
+    /// The maximum number of unavailable instances.
+    max_away: u64,
+    /// The maximum number of racks with an unavailable instance.
+    max_racks: usize,
     commands: u64,
     deciding: Duration,
     slowest: Duration,
@@ -86,14 +90,14 @@
     world: World,
     index: u64,
     leader: Reconciler,
-    /// When each effect began.
+    /// When each action began.
     begun: IndexMap<ActionToken, u64>,
     sizes: Vec<usize>,
 }
 
 impl Run {
-    fn of(sizes: &[usize], budget: u64) -> Run {
-        let mut run = Run::serving(sizes, budget);
+    fn with_waves(sizes: &[usize], budget: u64) -> Run {
+        let mut run = Run::without_waves(sizes, budget);
         for pool in 0..sizes.len() {
             let (pool, command_id) = (format!("p{pool}").into(), None);
             run.apply(CommandBody::StartWave(StartWave { pool, command_id }));
@@ -101,9 +105,9 @@
         run
     }
 
-    /// The mean time of a decision without anything to decide.
+    /// The mean time of a decision when nothing can advance.
     fn idle(sizes: &[usize]) -> Duration {
-        let mut run = Run::serving(sizes, 1);
+        let mut run = Run::without_waves(sizes, 1);
         let start = Instant::now();
         for second in 0..1_000 {
             let now = Duration::from_secs(second);
@@ -112,7 +116,7 @@
         start.elapsed() / 1_000
     }
 
-    fn serving(sizes: &[usize], budget: u64) -> Run {
+    fn without_waves(sizes: &[usize], budget: u64) -> Run {
         let mut run = Run {
             world: World::default(),
             index: 0,
@@ -126,7 +130,7 @@
             command_id: None,
             config: ProposedConfig::Whole(text.into()),
         }));
-        run.announce_all();
+        run.announce_targets();
         run
     }
 
@@ -135,11 +139,11 @@
         self.world.apply(self.index, Command { at_ms: 0, body });
     }
 
-    fn finish(&mut self) -> Found {
-        let mut found = Found::default();
-        while found.seconds < NEVER_S {
+    fn finish(&mut self) -> Results {
+        let mut found = Results::default();
+        while found.seconds < RUN_LIMIT_S {
             found.seconds += 1;
-            self.announce_all();
+            self.announce_targets();
             self.decide(&mut found);
             self.measure(&mut found);
             if self
@@ -154,7 +158,7 @@
         found
     }
 
-    fn decide(&mut self, found: &mut Found) {
+    fn decide(&mut self, found: &mut Results) {
         let now = Duration::from_secs(found.seconds);
         let start = Instant::now();
         let effects = self.leader.handle(Event::Tick, &self.world, now);
@@ -188,7 +192,7 @@
         Event::Reported { token, state }
     }
 
-    fn measure(&self, found: &mut Found) {
+    fn measure(&self, found: &mut Results) {
         let mut away = 0;
         let mut racks = Vec::new();
         for name in self.world.places().keys().filter(|n| self.world.is_away(n)) {
@@ -199,12 +203,12 @@
         racks.sort();
         racks.dedup();
         found.away_s += away;
-        found.most_away = found.most_away.max(away);
-        found.most_racks = found.most_racks.max(racks.len());
+        found.max_away = found.max_away.max(away);
+        found.max_racks = found.max_racks.max(racks.len());
     }
 
-    /// Machines that are up and have no target announce one.
-    fn announce_all(&mut self) {
+    /// Announces a target for each machine that is up and has none.
+    fn announce_targets(&mut self) {
         for (pool, size) in self.sizes.clone().into_iter().enumerate() {
             for i in 0..size {
                 let name = instance(pool, i);
@@ -241,19 +245,21 @@
 }
 
 fn centre(i: usize) -> String {
-    format!("dc{}", i / RACK % CENTRES)
+    format!("dc{}", i / INSTANCES_PER_RACK % DATA_CENTRES)
 }
 
 fn config(sizes: &[usize], budget: u64) -> Value {
     let mut centres = Map::new();
-    for i in 0..CENTRES {
+    for i in 0..DATA_CENTRES {
         centres.insert(format!("dc{i}"), json!({}));
     }
     let mut pools = Map::new();
     let mut services = Map::new();
     for (pool, size) in sizes.iter().enumerate() {
-        let stated = |i: usize| json!({"data_centre": centre(i), "rack": format!("k{}", i / RACK)});
-        let instances: Map<_, _> = (0..*size).map(|i| (instance(pool, i), stated(i))).collect();
+        let settings = |i: usize| json!({"data_centre": centre(i), "rack": format!("k{}", i / INSTANCES_PER_RACK)});
+        let instances: Map<_, _> = (0..*size)
+            .map(|i| (instance(pool, i), settings(i)))
+            .collect();
         let maintenance = json!({"probation_s": PROBATION_S});
         pools.insert(
             format!("p{pool}"),
--- a/crates/cleat-maintain/tests/decisions.rs
+++ b/crates/cleat-maintain/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Single decisions: order, room, probation and a new leader's patience.
+//! Single decisions: the order of instances, the budget, the probation, and the
+//! waits of a new leader.
 
 mod support;
 
@@ -11,13 +12,13 @@
 use support::Sim;
 
 fn fleet(budget: u64) -> Sim {
-    let mut sim = Sim::calm([budget, 2]);
+    let mut sim = Sim::without_faults([budget, 2]);
     sim.start_wave("a");
     sim
 }
 
-/// Takes `instance` of pool `a` through these steps.
-fn walk(sim: &mut Sim, instance: &str, steps: &[Step]) {
+/// Advances `instance` of pool `a` through these steps.
+fn advance(sim: &mut Sim, instance: &str, steps: &[Step]) {
     for pair in steps.windows(2) {
         let wave = sim.world.waves()["a"].id;
         let (pool, instance) = ("a".into(), instance.into());
@@ -41,37 +42,38 @@
 }
 
 #[test]
-fn next_instance_stays_in_the_rack() {
+fn next_instance_prefers_rack_of_unavailable_instances() {
     let mut sim = fleet(6);
-    walk(&mut sim, "i3", &[Step::Waiting, Step::Draining]);
-    // i2 shares the rack of i3; then the data centre comes first.
+    advance(&mut sim, "i3", &[Step::Waiting, Step::Draining]);
+    // i2 is in the rack of i3. Once a rack is done, an instance in the same data
+    // centre is next.
     assert_eq!(next_instance(&sim.world, "a"), Ok("i2"));
     let mut sim = fleet(6);
-    walk(&mut sim, "i6", &[Step::Waiting, Step::Draining]);
+    advance(&mut sim, "i6", &[Step::Waiting, Step::Draining]);
     assert_eq!(next_instance(&sim.world, "a"), Ok("i7"));
-    walk(&mut sim, "i7", &[Step::Waiting, Step::Draining]);
+    advance(&mut sim, "i7", &[Step::Waiting, Step::Draining]);
     assert_eq!(next_instance(&sim.world, "a"), Ok("i0"));
 }
 
 #[test]
-fn next_instance_is_the_one_that_failed() {
+fn next_instance_prefers_failed_instance() {
     let mut sim = fleet(1);
     sim.fail_rack(2, Duration::from_secs(100));
-    sim.second();
+    sim.run_second();
     assert_eq!(next_instance(&sim.world, "a"), Ok("i5"));
 }
 
 #[test]
-fn waiting_names_what_is_away() {
+fn wait_reason_lists_unavailable_instances() {
     let mut sim = fleet(1);
-    walk(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
+    advance(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
     let budget = WaitReason::Budget {
         budget: 1,
         away: ["i0".into()].into(),
     };
     assert_eq!(wait_reason(&sim.world, "a"), Some(budget));
     let mut sim = fleet(3);
-    walk(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
+    advance(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
     let reserve = WaitReason::Reserve {
         allowed: 1,
         away: ["i0".into()].into(),
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn probation_starts_anew_after_a_second_failure() {
+fn probation_restarts_after_interruption() {
     let mut sim = fleet(2);
     let to_probation = [
         Step::Waiting,
@@ -89,34 +91,34 @@
         Step::Rebooting,
         Step::Probation,
     ];
-    walk(&mut sim, "i0", &to_probation);
+    advance(&mut sim, "i0", &to_probation);
     let mut leader = Reconciler::default();
     let mut at = |world: &World, s: u64| {
         let effects = leader.handle(Event::Tick, world, Duration::from_secs(s));
         step_in(&effects, "i0")
     };
-    sim.second();
+    sim.run_second();
     assert!(sim.world.has_target("i0"));
     assert_eq!(at(&sim.world, 1), None);
     assert_eq!(at(&sim.world, 5), None);
-    // Missing at 6, back at 7: it has not served without a break.
+    // Unavailable at 6 s and back at 7 s: the time served is interrupted.
     sim.fail_rack(0, Duration::from_secs(1_000));
-    sim.second();
+    sim.run_second();
     assert!(!sim.world.has_target("i0"));
     assert_eq!(at(&sim.world, 6), None);
     sim.fail_rack(0, Duration::ZERO);
-    sim.second();
+    sim.run_second();
     assert_eq!(at(&sim.world, 7), None);
     assert_eq!(at(&sim.world, 11), None);
     assert_eq!(at(&sim.world, 12), Some(Step::Done));
 }
 
 #[test]
-fn drain_waits_anew_under_a_new_leader() {
+fn drain_restarts_its_wait_under_new_leader() {
     let mut sim = fleet(2);
-    walk(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
+    advance(&mut sim, "i0", &[Step::Waiting, Step::Draining]);
     let epoch = sim.world.waves()["a"].instances["i0"].epoch;
-    let drained = |leader: &mut Reconciler, s: u64| {
+    let report_drained = |leader: &mut Reconciler, s: u64| {
         let now = Duration::from_secs(s);
         let in_force = Event::InForce { index: epoch };
         leader.handle(in_force, &sim.world, now);
@@ -128,18 +130,18 @@
             }
         }
     };
-    let goes_on = |leader: &mut Reconciler, s: u64| {
+    let next_step = |leader: &mut Reconciler, s: u64| {
         let effects = leader.handle(Event::Tick, &sim.world, Duration::from_secs(s));
         step_in(&effects, "i0")
     };
     let mut first = Reconciler::default();
-    assert_eq!(goes_on(&mut first, 0), None);
-    drained(&mut first, 1);
-    assert_eq!(goes_on(&mut first, 12), None);
+    assert_eq!(next_step(&mut first, 0), None);
+    report_drained(&mut first, 1);
+    assert_eq!(next_step(&mut first, 12), None);
     let mut second = Reconciler::default();
-    assert_eq!(goes_on(&mut second, 12), None);
-    drained(&mut second, 12);
-    assert_eq!(goes_on(&mut second, 23), None);
-    assert_eq!(goes_on(&mut second, 24), Some(Step::Rebooting));
-    assert_eq!(goes_on(&mut first, 13), Some(Step::Rebooting));
+    assert_eq!(next_step(&mut second, 12), None);
+    report_drained(&mut second, 12);
+    assert_eq!(next_step(&mut second, 23), None);
+    assert_eq!(next_step(&mut second, 24), Some(Step::Rebooting));
+    assert_eq!(next_step(&mut first, 13), Some(Step::Rebooting));
 }
--- a/crates/cleat-maintain/tests/run.rs
+++ b/crates/cleat-maintain/tests/run.rs
@@ -1,4 +1,5 @@
-//! The shell on a clock of its own, with a platform that hangs for some.
+//! Runs the executor on a simulated clock, with a platform that hangs for some
+//! instances.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,28 +14,29 @@
 use tokio::time::sleep;
 
 const POOLS: usize = 90;
-/// More than may be in progress at once.
-const HANGING: usize = 80;
-/// Not a multiple of a tick.
-const HANGS: Duration = Duration::from_millis(2_100);
+/// The number of pools for which the platform hangs: more than the effects that
+/// may be in progress at once.
+const HANGING_POOLS: usize = 80;
+/// Not a multiple of the tick interval.
+const HANG_TIME: Duration = Duration::from_millis(2_100);
 
 #[derive(Default)]
 struct Replica {
     world: Mutex<World>,
     index: AtomicU64,
-    /// 0 while another instance leads.
+    /// The term in which this instance leads; 0 if another instance leads.
     term: AtomicU64,
 }
 
 impl Replica {
     fn apply(&self, body: CommandBody) {
         let index = self.index.fetch_add(1, Ordering::SeqCst) + 1;
-        let mut world = self.world.lock().expect("no panic");
+        let mut world = self.world.lock().expect("no thread panicked");
         world.apply(index, Command { at_ms: 0, body });
     }
 
-    fn ended(&self) -> usize {
-        let world = self.world.lock().expect("no panic");
+    fn ended_waves(&self) -> usize {
+        let world = self.world.lock().expect("no thread panicked");
         world.waves().values().filter(|w| w.has_ended()).count()
     }
 }
@@ -45,7 +47,7 @@
     }
 
     fn world<R>(&self, read: impl FnOnce(&World) -> R) -> R {
-        read(&self.world.lock().expect("no panic"))
+        read(&self.world.lock().expect("no thread panicked"))
     }
 
     async fn propose(&self, body: CommandBody) -> Result<(), LeadershipLost> {
@@ -58,53 +60,54 @@
     }
 }
 
-/// Hangs for the first pools and does at once what it is asked for others.
+/// Hangs for the first pools and completes actions at once for the others.
 #[derive(Default)]
-struct Hanging {
-    asked: AtomicU64,
+struct HangingPlatform {
+    /// The number of calls.
+    calls: AtomicU64,
     in_progress: Mutex<Vec<ActionToken>>,
-    /// How often it was asked for what it was asked for already.
-    twice: AtomicU64,
+    /// The number of calls with a token that was in progress already.
+    duplicates: AtomicU64,
 }
 
-impl Hanging {
+impl HangingPlatform {
     fn begin(&self, token: &ActionToken) {
-        let mut in_progress = self.in_progress.lock().expect("no panic");
+        let mut in_progress = self.in_progress.lock().expect("no thread panicked");
         if in_progress.contains(token) {
-            self.twice.fetch_add(1, Ordering::SeqCst);
+            self.duplicates.fetch_add(1, Ordering::SeqCst);
         }
         in_progress.push(token.clone());
     }
 
     fn end(&self, token: &ActionToken) {
-        let mut in_progress = self.in_progress.lock().expect("no panic");
+        let mut in_progress = self.in_progress.lock().expect("no thread panicked");
         in_progress.retain(|other| other != token);
     }
 }
 
-impl Platform for Hanging {
+impl Platform for HangingPlatform {
     async fn run_action(
         &self,
         at: SocketAddr,
         token: &ActionToken,
         _: u64,
     ) -> Result<ActionState, PlatformError> {
-        self.asked.fetch_add(1, Ordering::SeqCst);
+        self.calls.fetch_add(1, Ordering::SeqCst);
         let pool: usize = token.instance[1..].parse().expect("a number");
-        if pool >= HANGING {
+        if pool >= HANGING_POOLS {
             return Ok(ActionState::Done);
         }
         self.begin(token);
-        sleep(HANGS).await;
+        sleep(HANG_TIME).await;
         self.end(token);
         Err(PlatformError::Timeout {
             address: at,
-            limit: HANGS,
+            limit: HANG_TIME,
         })
     }
 }
 
-fn maintained_pools() -> Arc<Replica> {
+fn pools_with_waves() -> Arc<Replica> {
     let mut pools = Map::new();
     for i in 0..POOLS {
         let instance = json!({format!("i{i}"): {"data_centre": "dc1", "rack": "k"}});
@@ -129,21 +132,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn run_serves_all_while_the_platform_hangs_for_many() {
-    let replica = maintained_pools();
-    let platform = Arc::new(Hanging::default());
-    let shell = tokio::spawn(run(replica.clone(), platform.clone()));
+async fn run_advances_all_waves_while_the_platform_hangs_for_many() {
+    let replica = pools_with_waves();
+    let platform = Arc::new(HangingPlatform::default());
+    let executor = tokio::spawn(run(replica.clone(), platform.clone()));
     sleep(Duration::from_secs(10)).await;
-    // It does not lead, so it does nothing.
-    assert_eq!(platform.asked.load(Ordering::SeqCst), 0);
+    // The instance does not lead, so it does nothing.
+    assert_eq!(platform.calls.load(Ordering::SeqCst), 0);
     replica.term.store(1, Ordering::SeqCst);
     sleep(Duration::from_secs(120)).await;
-    assert_eq!(replica.ended(), POOLS - HANGING);
-    assert_eq!(platform.twice.load(Ordering::SeqCst), 0);
+    assert_eq!(replica.ended_waves(), POOLS - HANGING_POOLS);
+    assert_eq!(platform.duplicates.load(Ordering::SeqCst), 0);
     replica.term.store(0, Ordering::SeqCst);
     sleep(Duration::from_secs(5)).await;
-    let asked = platform.asked.load(Ordering::SeqCst);
+    let calls = platform.calls.load(Ordering::SeqCst);
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(platform.asked.load(Ordering::SeqCst), asked);
-    shell.abort();
+    assert_eq!(platform.calls.load(Ordering::SeqCst), calls);
+    executor.abort();
 }
--- a/crates/cleat-maintain/tests/support/checks.rs
+++ b/crates/cleat-maintain/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every command and every effect.
+//! The invariants, checked after every command and every action.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use super::fleet::{DEADLINE_S, POOLS};
 
-/// The invariants, with what they need to remember.
+/// Checks the invariants, with the state that they need.
 #[derive(Default)]
 pub(crate) struct Checks {
-    /// Since when nothing new is sent to each instance.
-    quiet_since: IndexMap<Box<str>, Duration>,
+    /// Since when no new requests are sent to each instance.
+    no_requests_since: IndexMap<Box<str>, Duration>,
 }
 
-/// What the checks compare with.
+/// The state before a command.
 pub(crate) struct Before {
     available: [Option<Availability>; 2],
     places: IndexMap<Box<str>, Place>,
@@ -31,8 +31,8 @@
 }
 
 impl Checks {
-    /// After `body` took `before` to `after`.
-    pub(crate) fn command(
+    /// Checks the invariants after `body` changed the state from `before` to `after`.
+    pub(crate) fn check_command(
         &mut self,
         body: &CommandBody,
         before: &Before,
@@ -41,75 +41,87 @@
     ) {
         check_budgets(body, before, after);
         check_places(after);
-        self.check_joined(before, after, now);
+        self.check_moves(before, after, now);
         for (instance, place) in after.places() {
             let step = after
                 .waves()
                 .get(&place.pool)
                 .and_then(|w| w.step(instance));
             let moving = matches!(place.phase, Phase::Leaving { .. } | Phase::Drained { .. });
-            let quiet = moving || step.is_some_and(Step::hides_targets);
-            match quiet {
+            let no_requests = moving || step.is_some_and(Step::hides_targets);
+            match no_requests {
                 true => {
-                    self.quiet_since.entry(instance.clone()).or_insert(now);
+                    self.no_requests_since
+                        .entry(instance.clone())
+                        .or_insert(now);
                 }
                 false => {
-                    self.quiet_since.swap_remove(instance);
+                    self.no_requests_since.swap_remove(instance);
                 }
             }
         }
     }
 
-    /// A move ends only once nothing can be in progress on the instance.
-    fn check_joined(&self, before: &Before, after: &World, now: Duration) {
+    /// Checks that a move ends only once no request can be in progress on the
+    /// instance.
+    fn check_moves(&self, before: &Before, after: &World, now: Duration) {
         for (instance, place) in after.places() {
             let was = before.places.get(instance);
-            // A pool that is gone has no requests that could be in progress.
+            // A removed pool has no requests that could be in progress.
             let left = |was: &&Place| {
                 was.pool != place.pool && after.fleet().pools.find(&was.pool).is_some()
             };
             let Some(was) = was.filter(left) else {
                 continue;
             };
-            // Nothing was ever sent to it in the pool that it leaves.
+            // No request was ever sent to the instance in the pool that it leaves.
             if was.phase == Phase::Joining && place.phase == Phase::Joining {
                 continue;
             }
             assert!(
                 matches!(was.phase, Phase::Drained { .. }),
-                "{instance} jumped"
+                "{instance} joined another pool without being drained"
             );
-            self.check_quiet(instance, now);
+            self.check_no_requests(instance, now);
         }
     }
 
-    fn check_quiet(&self, instance: &str, now: Duration) {
-        let since = self.quiet_since.get(instance).expect("it was made quiet");
-        let quiet_at = *since + Duration::from_secs(DEADLINE_S);
-        assert!(now >= quiet_at, "{instance}: requests may be in progress");
+    fn check_no_requests(&self, instance: &str, now: Duration) {
+        let since = self
+            .no_requests_since
+            .get(instance)
+            .expect("requests to the instance were stopped");
+        let ended_at = *since + Duration::from_secs(DEADLINE_S);
+        assert!(now >= ended_at, "{instance}: requests may be in progress");
     }
 
-    /// An effect on the platform begins.
-    pub(crate) fn effect(&self, token: &ActionToken, world: &World, now: Duration) {
+    /// Checks the invariants when an action on the platform begins.
+    pub(crate) fn check_action(&self, token: &ActionToken, world: &World, now: Duration) {
         let place = &world.places()[&token.instance];
-        let states = world.waves().get(&place.pool);
-        let state = states.and_then(|wave| wave.instances.get(&token.instance));
-        let state = state.expect("an effect belongs to a step");
-        assert_eq!(state.epoch, token.epoch, "{token}: not the step committed");
+        let wave = world.waves().get(&place.pool);
+        let state = wave.and_then(|wave| wave.instances.get(&token.instance));
+        let state = state.expect("an action belongs to a step");
+        assert_eq!(
+            state.epoch, token.epoch,
+            "{token}: not of the committed step"
+        );
         if token.action == Action::Reboot {
             assert_eq!(state.step, Step::Rebooting, "{token}");
-            assert!(!world.has_target(&token.instance), "{token}: still serves");
-            self.check_quiet(&token.instance, now);
+            assert!(
+                !world.has_target(&token.instance),
+                "{token}: the instance still serves"
+            );
+            self.check_no_requests(&token.instance, now);
         }
         assert!(
             world.is_away(&token.instance),
-            "{token}: counts as available"
+            "{token}: the instance counts as available"
         );
     }
 }
 
-/// No command makes more instances away than the budget allows. Failures may;
-/// they come as withdrawals.
+/// Checks that no command makes more instances unavailable than the budget allows.
+/// Failures may do so; they are applied as withdrawals of targets.
 fn check_budgets(body: &CommandBody, before: &Before, after: &World) {
     if matches!(body, CommandBody::Withdraw(_)) {
         return;
@@ -121,12 +133,13 @@
         let worse = is.away > was.away || is.budget < was.budget;
         assert!(
             is.holds() || !worse || !was.holds() && is.budget < was.budget,
-            "{body:?} broke the budget of {pool}: {was:?} became {is:?}"
+            "{body:?} exceeded the budget of {pool}: {was:?} became {is:?}"
         );
     }
 }
 
-/// One pool each, and targets only of the services of that pool.
+/// Checks that each instance is in one pool and runs only targets of the services of
+/// that pool.
 fn check_places(world: &World) {
     let fleet = world.fleet();
     assert_eq!(world.places().len(), fleet.instances.len());
@@ -142,9 +155,12 @@
         );
     }
     for target in world.targets().values() {
-        let said = &target.announcement;
-        let service = fleet.services.by_name(&said.service).expect("a service");
-        let place = &world.places()[&said.instance];
+        let announcement = &target.announcement;
+        let service = fleet
+            .services
+            .by_name(&announcement.service)
+            .expect("a service");
+        let place = &world.places()[&announcement.instance];
         assert_eq!(fleet.pools.name(service.pool), &*place.pool);
         assert!(place.phase.takes_targets());
     }
--- a/crates/cleat-maintain/tests/support/mod.rs
+++ b/crates/cleat-maintain/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Two pools under maintenance on a clock of their own, with faults.
+//! A simulation of two pools under maintenance, with faults and its own clock.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
+#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
 mod checks;
 mod fleet;
--- a/crates/cleat-maintain/tests/support/platform.rs
+++ b/crates/cleat-maintain/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory: each token's effect happens once.
+//! An in-memory platform that runs the action of each token once.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 
 #[derive(Default)]
 pub(crate) struct FakePlatform {
-    /// When the effect of each token began.
+    /// When the action of each token began.
     begun: IndexMap<ActionToken, Duration>,
-    /// Instances that never come back from a reboot.
+    /// Instances that do not come back from a reboot.
     pub(crate) broken: Vec<Box<str>>,
 }
 
 impl FakePlatform {
-    /// Takes a request; says whether its effect began just now.
+    /// Handles a call. Returns the state of the action and whether it began with this
+    /// call.
     pub(crate) fn run_action(&mut self, token: &ActionToken, now: Duration) -> (ActionState, bool) {
         let new = !self.begun.contains_key(token);
         let begun = *self.begun.entry(token.clone()).or_insert(now);
@@ -34,7 +35,7 @@
     }
 
     /// Whether the instance is down for a reboot.
-    pub(crate) fn reboots(&self, instance: &str, now: Duration) -> bool {
+    pub(crate) fn is_rebooting(&self, instance: &str, now: Duration) -> bool {
         self.begun.iter().any(|(token, begun)| {
             let here = &*token.instance == instance && token.action == Action::Reboot;
             here && now < *begun + REBOOT_TIME
--- a/crates/cleat-maintain/tests/support/sim.rs
+++ b/crates/cleat-maintain/tests/support/sim.rs
@@ -1,4 +1,4 @@
-//! Leaders, operators and machines on one seeded schedule.
+//! Leaders, operators and machines that run on one seeded schedule.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use rand::{RngExt, SeedableRng};
 
 use super::checks::{Before, Checks};
-use super::fleet::{EACH, POOLS, RACKS, config, name, rack, without_b};
+use super::fleet::{INSTANCES_PER_POOL, POOLS, RACKS, config, name, rack, without_b};
 use super::platform::FakePlatform;
 
-/// What may go wrong in a second.
+/// A fault that may be injected in a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// The leader is killed before its command is committed.
     KilledBeforeCommit,
     /// The leader is killed once its command is committed.
     KilledAfterCommit,
-    /// The leader is killed before the platform hears of an effect.
+    /// The leader is killed before it calls the platform.
     KilledBeforeEffect,
-    /// The leader is killed once the platform has begun an effect.
+    /// The leader is killed once the platform has begun an action.
     KilledAfterEffect,
-    /// The platform's answer is lost.
+    /// The platform's response is lost.
     AnswerLost,
-    /// A command and an effect are sent twice.
+    /// A command or an action is sent twice.
     Duplicate,
-    /// A command and an effect arrive again seconds later.
+    /// A command or an action arrives again seconds later.
     Delayed,
     /// An instance fails for a while.
     InstanceFails,
@@ -39,7 +39,7 @@
     FailsAfterRepair,
     /// An instance does not come back from its reboot.
     RebootFails,
-    /// Operators move, pause, resume, start and configure at once.
+    /// Operators move, pause, resume, start and configure at the same time.
     Operators,
 }
 
@@ -60,10 +60,10 @@
     ];
 }
 
-const COUNT: usize = 2 * EACH;
-/// How often, in percent, a fault that is on strikes where it can.
-const PERCENT: u32 = 10;
-/// How often, in percent, a machine fails in a second.
+const INSTANCES: usize = 2 * INSTANCES_PER_POOL;
+/// The probability, in percent, that an enabled fault is injected when it can be.
+const FAULT_PERCENT: u32 = 10;
+/// The probability, in percent, that a machine fails in a second.
 const FAILURE_PERCENT: u32 = 3;
 const SETTLE_SECONDS: u64 = 3_000;
 
@@ -76,26 +76,26 @@
     faults: Vec<Fault>,
     platform: FakePlatform,
     checks: Checks,
-    /// Until when each instance is down by itself.
-    down_until: [Duration; COUNT],
-    /// What arrives once more, and when.
-    late: Vec<(Duration, Effect)>,
-    homes: Vec<usize>,
+    /// Until when each instance is down because of a failure.
+    down_until: [Duration; INSTANCES],
+    /// Effects that arrive a second time, with the time at which they do.
+    delayed: Vec<(Duration, Effect)>,
+    pool_of: Vec<usize>,
     budgets: [u64; 2],
 }
 
 impl Sim {
     pub(crate) fn new(seed: u64) -> Sim {
-        let mut sim = Sim::idle(seed);
+        let mut sim = Sim::new_idle(seed);
         sim.configure();
-        sim.machines();
+        sim.update_targets();
         for pool in POOLS {
             sim.start_wave(pool);
         }
         sim
     }
 
-    fn idle(seed: u64) -> Sim {
+    fn new_idle(seed: u64) -> Sim {
         Sim {
             world: World::default(),
             rng: StdRng::seed_from_u64(seed),
@@ -105,41 +105,42 @@
             faults: Vec::new(),
             platform: FakePlatform::default(),
             checks: Checks::default(),
-            down_until: [Duration::ZERO; COUNT],
-            late: Vec::new(),
-            homes: (0..COUNT).map(|i| i / EACH).collect(),
+            down_until: [Duration::ZERO; INSTANCES],
+            delayed: Vec::new(),
+            pool_of: (0..INSTANCES).map(|i| i / INSTANCES_PER_POOL).collect(),
             budgets: [1 + seed % 3, 2],
         }
     }
 
-    /// Without waves, and without faults but those that are asked for.
-    pub(crate) fn calm(budgets: [u64; 2]) -> Sim {
-        let mut sim = Sim::idle(0);
+    /// A simulation without waves, and without faults except those that the test
+    /// injects.
+    pub(crate) fn without_faults(budgets: [u64; 2]) -> Sim {
+        let mut sim = Sim::new_idle(0);
         sim.budgets = budgets;
         sim.configure();
-        sim.machines();
+        sim.update_targets();
         sim
     }
 
-    /// Goes on for a while with these faults.
+    /// Runs for a number of seconds with these faults enabled.
     pub(crate) fn run(&mut self, seconds: u64, faults: &[Fault]) {
         self.faults = faults.to_vec();
         for _ in 0..seconds {
-            self.second();
+            self.run_second();
         }
     }
 
-    /// Without faults, every wave ends and every move arrives.
+    /// Disables all faults and runs until every wave and every move has ended.
     pub(crate) fn settle(&mut self) {
         self.faults.clear();
-        self.late.clear();
-        self.down_until = [Duration::ZERO; COUNT];
+        self.delayed.clear();
+        self.down_until = [Duration::ZERO; INSTANCES];
         self.platform.broken.clear();
         for pool in POOLS {
             self.resume_wave(pool);
         }
         for _ in 0..SETTLE_SECONDS {
-            self.second();
+            self.run_second();
             if self.is_settled() {
                 return;
             }
@@ -159,45 +160,46 @@
         waves.all(cleat_world::Wave::has_ended) && !moving
     }
 
-    pub(crate) fn second(&mut self) {
+    pub(crate) fn run_second(&mut self) {
         self.now += Duration::from_secs(1);
-        self.break_machines();
-        self.machines();
-        if self.strikes(Fault::Operators) {
-            self.operate();
+        self.fail_machines();
+        self.update_targets();
+        if self.is_injected(Fault::Operators) {
+            self.run_operators();
         }
-        self.arrive_late();
-        self.lead(Event::Tick);
+        self.deliver_delayed();
+        self.run_leader(Event::Tick);
     }
 
-    fn strikes(&mut self, fault: Fault) -> bool {
-        self.faults.contains(&fault) && self.rng.random_ratio(PERCENT, 100)
+    fn is_injected(&mut self, fault: Fault) -> bool {
+        self.faults.contains(&fault) && self.rng.random_ratio(FAULT_PERCENT, 100)
     }
 
     pub(crate) fn apply(&mut self, body: CommandBody) {
         self.index += 1;
         let before = Before::of(&self.world);
-        let told = body.clone();
+        let applied = body.clone();
         self.world.apply(self.index, Command { at_ms: 0, body });
-        self.checks.command(&told, &before, &self.world, self.now);
+        self.checks
+            .check_command(&applied, &before, &self.world, self.now);
     }
 
-    /// Another instance leads; it knows only the replicated state.
+    /// Another instance becomes the leader. It knows only the replicated state.
     pub(crate) fn change_leader(&mut self) {
         self.leader = Reconciler::default();
     }
 
-    fn lead(&mut self, event: Event) {
+    fn run_leader(&mut self, event: Event) {
         let effects = self.leader.handle(event, &self.world, self.now);
         for effect in effects {
-            if self.strikes(Fault::Delayed) {
+            if self.is_injected(Fault::Delayed) {
                 let arrives = self.now + Duration::from_secs(self.rng.random_range(1..8));
-                self.late.push((arrives, effect.clone()));
+                self.delayed.push((arrives, effect.clone()));
             }
             match effect {
                 Effect::Propose(body) => self.propose(body),
-                // In force at once, or only after the lease of a silent
-                // instance has run out.
+                // In force at once, or only once the lease of an unreachable instance
+                // has expired.
                 Effect::AwaitInForce { index } => {
                     if self.rng.random_ratio(1, 2) {
                         let event = Event::InForce { index };
@@ -210,83 +212,84 @@
     }
 
     fn propose(&mut self, body: CommandBody) {
-        if self.strikes(Fault::KilledBeforeCommit) {
+        if self.is_injected(Fault::KilledBeforeCommit) {
             return self.change_leader();
         }
         self.apply(body.clone());
-        if self.strikes(Fault::Duplicate) {
+        if self.is_injected(Fault::Duplicate) {
             self.apply(body);
         }
-        if self.strikes(Fault::KilledAfterCommit) {
+        if self.is_injected(Fault::KilledAfterCommit) {
             self.change_leader();
         }
     }
 
     fn run_action(&mut self, token: ActionToken) {
-        if self.strikes(Fault::KilledBeforeEffect) {
+        if self.is_injected(Fault::KilledBeforeEffect) {
             return self.change_leader();
         }
-        if self.strikes(Fault::Duplicate) {
-            self.reach_platform(&token);
+        if self.is_injected(Fault::Duplicate) {
+            self.call_platform(&token);
         }
-        let state = self.reach_platform(&token);
-        if self.strikes(Fault::KilledAfterEffect) {
+        let state = self.call_platform(&token);
+        if self.is_injected(Fault::KilledAfterEffect) {
             return self.change_leader();
         }
-        if !self.strikes(Fault::AnswerLost) {
+        if !self.is_injected(Fault::AnswerLost) {
             let event = Event::Reported { token, state };
             self.leader.handle(event, &self.world, self.now);
         }
     }
 
-    fn reach_platform(&mut self, token: &ActionToken) -> cleat_maintain::ActionState {
+    fn call_platform(&mut self, token: &ActionToken) -> cleat_maintain::ActionState {
         let (state, began) = self.platform.run_action(token, self.now);
         if began {
-            self.checks.effect(token, &self.world, self.now);
+            self.checks.check_action(token, &self.world, self.now);
         }
         state
     }
 
-    fn arrive_late(&mut self) {
+    fn deliver_delayed(&mut self) {
         let now = self.now;
-        let late = std::mem::take(&mut self.late);
-        let (arrived, later) = late.into_iter().partition(|(at, _)| *at <= now);
-        self.late = later;
+        let delayed = std::mem::take(&mut self.delayed);
+        let (arrived, later) = delayed.into_iter().partition(|(at, _)| *at <= now);
+        self.delayed = later;
         let arrived: Vec<(Duration, Effect)> = arrived;
         for (_, effect) in arrived {
             match effect {
                 Effect::Propose(body) => self.apply(body),
                 Effect::RunAction(token) => {
-                    self.reach_platform(&token);
+                    self.call_platform(&token);
                 }
                 Effect::AwaitInForce { .. } => {}
             }
         }
     }
 
-    fn break_machines(&mut self) {
+    fn fail_machines(&mut self) {
         let until = self.now + Duration::from_secs(self.rng.random_range(2..60));
         let chance = |sim: &mut Sim| sim.rng.random_ratio(FAILURE_PERCENT, 100);
         if self.faults.contains(&Fault::InstanceFails) && chance(self) {
-            let i = self.rng.random_range(0..COUNT);
+            let i = self.rng.random_range(0..INSTANCES);
             self.down_until[i] = until;
         }
         if self.faults.contains(&Fault::RackFails) && chance(self) {
-            let broken = self.rng.random_range(0..RACKS);
-            self.fail_rack(broken, until);
+            let failed = self.rng.random_range(0..RACKS);
+            self.fail_rack(failed, until);
         }
         if self.faults.contains(&Fault::RebootFails) && chance(self) {
-            let i = self.rng.random_range(0..COUNT);
+            let i = self.rng.random_range(0..INSTANCES);
             self.platform.broken.push(name(i));
         }
     }
 
-    /// Machines that are up run a target for the pool they are in.
-    fn machines(&mut self) {
-        for i in 0..COUNT {
+    /// Announces a target for each machine that is up, and withdraws those of
+    /// machines that are down.
+    fn update_targets(&mut self) {
+        for i in 0..INSTANCES {
             let instance = name(i);
-            if self.platform.reboots(&instance, self.now) {
-                if self.strikes(Fault::FailsAfterRepair) {
+            if self.platform.is_rebooting(&instance, self.now) {
+                if self.is_injected(Fault::FailsAfterRepair) {
                     self.down_until[i] = self.now + Duration::from_secs(8);
                 }
                 continue;
@@ -309,7 +312,11 @@
         let place = &self.world.places()[&instance];
         let announcement = Announcement {
             service: format!("serve-{}", place.pool).into(),
-            address: ([127, 0, 0, 1], 1_000 + u16::try_from(i).expect("few")).into(),
+            address: (
+                [127, 0, 0, 1],
+                1_000 + u16::try_from(i).expect("there are few instances"),
+            )
+                .into(),
             instance: instance.clone(),
             data_centre: format!("dc{}", rack(i) % 3).into(),
             slots: 8,
@@ -319,9 +326,9 @@
         self.apply(CommandBody::Announce(Announce { name, announcement }));
     }
 
-    fn operate(&mut self) {
+    fn run_operators(&mut self) {
         let pool = POOLS[self.rng.random_range(0..2)];
-        let i = self.rng.random_range(0..COUNT);
+        let i = self.rng.random_range(0..INSTANCES);
         match self.rng.random_range(0..6) {
             0 => self.apply(CommandBody::MoveInstance(MoveInstance {
                 instance: name(i),
@@ -335,7 +342,7 @@
             })),
             3 => self.resume_wave(pool),
             4 => {
-                self.homes[i] = self.rng.random_range(0..2);
+                self.pool_of[i] = self.rng.random_range(0..2);
                 self.configure();
             }
             _ => {
@@ -347,17 +354,17 @@
     }
 
     fn configure(&mut self) {
-        self.apply_config(&config(&self.homes, self.budgets));
+        self.apply_config(&config(&self.pool_of, self.budgets));
     }
 
-    /// Pool `b` is gone; its instances are declared in `a`.
-    pub(crate) fn withdraw_b(&mut self) {
+    /// Removes pool `b` from the configuration and moves its instances to `a`.
+    pub(crate) fn remove_pool_b(&mut self) {
         self.apply_config(&without_b(self.budgets));
     }
 
-    /// The instances of a rack are down until then.
-    pub(crate) fn fail_rack(&mut self, broken: usize, until: Duration) {
-        for i in (0..COUNT).filter(|i| rack(*i) == broken) {
+    /// Takes the instances of a rack down until a time.
+    pub(crate) fn fail_rack(&mut self, failed: usize, until: Duration) {
+        for i in (0..INSTANCES).filter(|i| rack(*i) == failed) {
             self.down_until[i] = until;
         }
     }
@@ -370,7 +377,8 @@
             config: ProposedConfig::Whole(config.to_string().into()),
         }));
         if self.world.version() == version {
-            // Refused: the next change starts from what is in force.
+            // The change was refused; the next one starts from the current
+            // configuration.
             let fleet = self.world.fleet().clone();
             for (i, pool) in POOLS.iter().enumerate() {
                 let pool = fleet.pools.by_name(pool).expect("a pool");
--- a/crates/cleat-maintain/tests/support/trace.rs
+++ b/crates/cleat-maintain/tests/support/trace.rs
@@ -1,4 +1,4 @@
-//! Replays recorded events second by second.
+//! Replays recorded events in steps of one second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 /// One line of a trace.
 #[derive(Debug, Deserialize)]
 struct Line {
-    /// In seconds.
+    /// The time in seconds.
     at: u64,
     #[serde(flatten)]
-    event: Recorded,
+    event: TraceEvent,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
-enum Recorded {
+enum TraceEvent {
     Start { pool: Box<str> },
     Pause { pool: Box<str> },
     Resume { pool: Box<str> },
@@ -32,24 +32,24 @@
     End,
 }
 
-/// What came of a trace.
+/// The outcome of a trace.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Outcome {
-    /// The most instances away at once in each pool, for whatever cause.
+    /// The maximum number of unavailable instances in each pool, for any reason.
     most_away: BTreeMap<String, u64>,
-    /// The last state of the waves: how many instances are in each step.
+    /// The number of instances in each step at the end.
     steps: BTreeMap<String, usize>,
-    /// How many instances are in each pool.
+    /// The number of instances in each pool at the end.
     instances: BTreeMap<String, u64>,
-    /// What the waves waited for at one time or another.
+    /// All reasons for which a wave waited at any time.
     waited_for: Vec<String>,
-    /// How many reboots the platform carried out.
+    /// The number of reboots that the platform ran.
     reboots: u64,
 }
 
-/// Replays the lines of `text` after the two budgets in `budgets`.
+/// Replays the lines of `text` with these availability budgets of the two pools.
 pub(crate) fn replay(text: &str, budgets: [u64; 2]) -> Outcome {
-    let mut sim = Sim::calm(budgets);
+    let mut sim = Sim::without_faults(budgets);
     let mut outcome = Outcome {
         most_away: BTreeMap::new(),
         steps: BTreeMap::new(),
@@ -59,47 +59,50 @@
     };
     let mut second = 0;
     for line in text.lines() {
-        let line: Line = serde_json::from_str(line).expect("a line of a trace");
+        let line: Line = serde_json::from_str(line).expect("a valid line of a trace");
         while second < line.at {
-            sim.second();
+            sim.run_second();
             second += 1;
             observe(&sim, &mut outcome);
         }
-        happen(&mut sim, line.event);
+        apply_event(&mut sim, line.event);
     }
-    conclude(&sim, &mut outcome);
+    record_end(&sim, &mut outcome);
     outcome
 }
 
-fn happen(sim: &mut Sim, event: Recorded) {
+fn apply_event(sim: &mut Sim, event: TraceEvent) {
     let command_id = None;
     match event {
-        Recorded::Start { pool } => sim.start_wave(&pool),
-        Recorded::Pause { pool } => {
+        TraceEvent::Start { pool } => sim.start_wave(&pool),
+        TraceEvent::Pause { pool } => {
             sim.apply(CommandBody::PauseWave(PauseWave { pool, command_id }));
         }
-        Recorded::Resume { pool } => sim.resume_wave(&pool),
-        Recorded::Move { instance, to } => sim.apply(CommandBody::MoveInstance(MoveInstance {
+        TraceEvent::Resume { pool } => sim.resume_wave(&pool),
+        TraceEvent::Move { instance, to } => sim.apply(CommandBody::MoveInstance(MoveInstance {
             instance,
             to,
             command_id,
         })),
-        Recorded::RackFails { rack, until } => sim.fail_rack(rack, Duration::from_secs(until)),
-        Recorded::LeaderChanges => sim.change_leader(),
-        Recorded::PoolWithdrawn => sim.withdraw_b(),
-        Recorded::End => {}
+        TraceEvent::RackFails { rack, until } => sim.fail_rack(rack, Duration::from_secs(until)),
+        TraceEvent::LeaderChanges => sim.change_leader(),
+        TraceEvent::PoolWithdrawn => sim.remove_pool_b(),
+        TraceEvent::End => {}
     }
 }
 
 fn observe(sim: &Sim, outcome: &mut Outcome) {
     for pool in POOLS {
-        if let Some(found) = sim.world.availability(pool) {
-            let most = outcome.most_away.entry(pool.to_owned()).or_default();
-            *most = found.away.max(*most);
+        if let Some(availability) = sim.world.availability(pool) {
+            let max = outcome.most_away.entry(pool.to_owned()).or_default();
+            *max = availability.away.max(*max);
         }
         if let Some(reason) = wait_reason(&sim.world, pool) {
-            let reason = serde_json::to_value(reason).expect("JSON");
-            let reason = reason["reason"].as_str().expect("a reason").to_owned();
+            let reason = serde_json::to_value(reason).expect("it can be written as JSON");
+            let reason = reason["reason"]
+                .as_str()
+                .expect("a reason is a string")
+                .to_owned();
             if !outcome.waited_for.contains(&reason) {
                 outcome.waited_for.push(reason);
                 outcome.waited_for.sort();
@@ -108,12 +111,12 @@
     }
 }
 
-fn conclude(sim: &Sim, outcome: &mut Outcome) {
+fn record_end(sim: &Sim, outcome: &mut Outcome) {
     outcome.reboots = sim.reboots();
     for wave in sim.world.waves().values() {
         for state in wave.instances.values() {
-            let step = serde_json::to_value(state.step).expect("JSON");
-            let step = step.as_str().expect("a step").to_owned();
+            let step = serde_json::to_value(state.step).expect("it can be written as JSON");
+            let step = step.as_str().expect("a step is a string").to_owned();
             *outcome.steps.entry(step).or_default() += 1;
         }
     }
--- a/crates/cleat-maintain/tests/traces.rs
+++ b/crates/cleat-maintain/tests/traces.rs
@@ -1,18 +1,18 @@
-//! Recorded traces replayed against their stated outcomes. A trace that once
-//! failed stays.
+//! Replays recorded traces and compares the results with their expected outcomes.
+//! A trace that revealed a failure is kept.
 
 mod support;
 
 use support::replay;
 
-fn check(trace: &str, outcome: &str, budgets: [u64; 2]) {
-    let found = replay(trace, budgets);
-    let found = serde_json::to_string_pretty(&found).expect("JSON");
-    assert_eq!(found.trim(), outcome.trim());
+fn check(trace: &str, expected: &str, budgets: [u64; 2]) {
+    let actual = replay(trace, budgets);
+    let actual = serde_json::to_string_pretty(&actual).expect("an outcome can be written as JSON");
+    assert_eq!(actual.trim(), expected.trim());
 }
 
 #[test]
-fn trace_wave_with_a_rack_failing_in_it() {
+fn trace_rack_fails_during_wave() {
     check(
         include_str!("../traces/rack-fails.jsonl"),
         include_str!("../traces/rack-fails.outcome.json"),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn trace_operators_racing() {
+fn trace_concurrent_operators() {
     check(
         include_str!("../traces/operators-race.jsonl"),
         include_str!("../traces/operators-race.outcome.json"),
