--- a/crates/cleat-decide/examples/replay/engine.rs
+++ b/crates/cleat-decide/examples/replay/engine.rs
@@ -20,7 +20,7 @@
 use crate::trace::{Event, Load, Mode, Trace};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum ScheduledEvent {
     Line(usize),
     Arrive(usize),
     EndAttempt { request: usize, attempt: u32 },
@@ -35,7 +35,7 @@
     seed: u64,
     rng: StdRng,
     now: Duration,
-    steps: BinaryHeap<Reverse<(Duration, u64, Step)>>,
+    scheduled: BinaryHeap<Reverse<(Duration, u64, ScheduledEvent)>>,
     serial: u64,
     entries: Vec<Entry>,
     names: Vec<Box<str>>,
@@ -61,7 +61,7 @@
             seed: trace.seed,
             rng: StdRng::seed_from_u64(trace.seed),
             now: Duration::ZERO,
-            steps: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             serial: 0,
             entries: names
                 .iter()
@@ -76,30 +76,34 @@
             over_cap: 0,
         };
         for (index, line) in trace.lines.iter().enumerate() {
-            engine.schedule(Duration::from_millis(line.at_ms), Step::Line(index));
+            engine.schedule(
+                Duration::from_millis(line.at_ms),
+                ScheduledEvent::Line(index),
+            );
         }
-        while let Some(Reverse((at, _, step))) = engine.steps.pop() {
+        while let Some(Reverse((at, _, scheduled_event))) = engine.scheduled.pop() {
             engine.now = at;
-            engine.step(step, trace);
+            engine.process(scheduled_event, trace);
         }
         engine
     }
 
-    fn schedule(&mut self, at: Duration, step: Step) {
+    fn schedule(&mut self, at: Duration, scheduled_event: ScheduledEvent) {
         self.serial += 1;
-        self.steps.push(Reverse((at, self.serial, step)));
+        self.scheduled
+            .push(Reverse((at, self.serial, scheduled_event)));
     }
 
-    fn step(&mut self, step: Step, trace: &Trace) {
-        match step {
-            Step::Line(index) => self.event(&trace.lines[index].event),
-            Step::Arrive(request) => self.arrive(request),
-            Step::EndAttempt { request, attempt } => {
+    fn process(&mut self, scheduled_event: ScheduledEvent, trace: &Trace) {
+        match scheduled_event {
+            ScheduledEvent::Line(index) => self.event(&trace.lines[index].event),
+            ScheduledEvent::Arrive(request) => self.arrive(request),
+            ScheduledEvent::EndAttempt { request, attempt } => {
                 if self.requests[request].attempts == attempt {
                     self.end_attempt(request, self.outcomes[request]);
                 }
             }
-            Step::CheckQueue { entry } => {
+            ScheduledEvent::CheckQueue { entry } => {
                 self.entries[entry].next_check = Duration::MAX;
                 self.check_queue(entry);
             }
@@ -177,7 +181,7 @@
             let factor = work_factor(&mut rng);
             self.requests.push(Request::new(load, at, entry, factor));
             self.outcomes.push(AttemptOutcome::NotSent);
-            self.schedule(at, Step::Arrive(self.requests.len() - 1));
+            self.schedule(at, ScheduledEvent::Arrive(self.requests.len() - 1));
         }
     }
 
@@ -281,7 +285,7 @@
         } else {
             planned.outcome
         };
-        self.schedule(ends, Step::EndAttempt { request, attempt });
+        self.schedule(ends, ScheduledEvent::EndAttempt { request, attempt });
     }
 
     fn no_target(&mut self, request: usize) -> FinalOutcome {
@@ -333,7 +337,7 @@
         }
         self.check_queue(index);
         if let Some(until) = self.entries[index].health[target].ejected_until(now) {
-            self.schedule(until, Step::CheckQueue { entry: index });
+            self.schedule(until, ScheduledEvent::CheckQueue { entry: index });
         }
     }
 
@@ -362,7 +366,7 @@
         let at = at.max(self.now) + Duration::from_micros(1);
         if at < self.entries[entry].next_check {
             self.entries[entry].next_check = at;
-            self.schedule(at, Step::CheckQueue { entry });
+            self.schedule(at, ScheduledEvent::CheckQueue { entry });
         }
     }
 
--- a/crates/cleat-decide/examples/replay/report.rs
+++ b/crates/cleat-decide/examples/replay/report.rs
@@ -141,14 +141,14 @@
 
 fn p99_ms(requests: &[&Request]) -> f64 {
     let good = requests.iter().filter(|r| is_good(r));
-    let mut taken: Vec<Duration> = good
+    let mut latencies: Vec<Duration> = good
         .filter_map(|r| r.end.map(|(at, _)| at - r.arrived))
         .collect();
-    taken.sort_unstable();
-    let index = taken.len() * 99 / 100;
-    taken
+    latencies.sort_unstable();
+    let index = latencies.len() * 99 / 100;
+    latencies
         .get(index)
-        .map_or(0.0, |taken| taken.as_secs_f64() * 1e3)
+        .map_or(0.0, |latency| latency.as_secs_f64() * 1e3)
 }
 
 /// Checks the invariants, which hold in every run.
@@ -196,10 +196,10 @@
         statistics.unknown_percent,
         expected.unknown_percent_max,
     );
-    let together = returns_in_one_second(engine);
+    let returns = returns_in_one_second(engine);
     check_max(
         "returns in one second %",
-        together,
+        returns,
         expected.returns_in_one_second_percent_max,
     );
     for (caller, bound) in &expected.p99_ms_max {
@@ -280,8 +280,8 @@
 /// later than the arrival.
 fn is_answered_late(request: &Request) -> bool {
     let known = [RefusalReason::OverQuota, RefusalReason::QueueFull];
-    let early = reason(request).is_some_and(|reason| known.contains(&reason));
-    early && request.end.is_some_and(|(at, _)| at != request.arrived)
+    let known_on_arrival = reason(request).is_some_and(|reason| known.contains(&reason));
+    known_on_arrival && request.end.is_some_and(|(at, _)| at != request.arrived)
 }
 
 fn reason(request: &Request) -> Option<RefusalReason> {
--- a/crates/cleat-decide/examples/replay/trace.rs
+++ b/crates/cleat-decide/examples/replay/trace.rs
@@ -24,7 +24,7 @@
     },
     /// The settings of the service are invalid.
     #[snafu(display("{}: the service settings are invalid: {faults}", path.display()))]
-    BadService { path: PathBuf, faults: Box<str> },
+    InvalidService { path: PathBuf, faults: Box<str> },
     /// The first event is not `setup`.
     #[snafu(display("{}: the first event is not 'setup'", path.display()))]
     NoSetup { path: PathBuf },
@@ -153,7 +153,7 @@
         "pools": {"runners": {"instances": {"r1": {"data_centre": "dc1", "rack": "k1"}}}},
         "services": {"dock": service},
     });
-    let fleet = FleetConfig::parse(&fleet).map_err(|faults| TraceError::BadService {
+    let fleet = FleetConfig::parse(&fleet).map_err(|faults| TraceError::InvalidService {
         path: path.into(),
         faults: format!("{faults:?}").into(),
     })?;
--- a/crates/cleat-decide/examples/stranded.rs
+++ b/crates/cleat-decide/examples/stranded.rs
@@ -60,6 +60,7 @@
 #[derive(Default)]
 struct Statistics {
     waits: Vec<Duration>,
+    /// Requests that had to wait on arrival while a slot was idle at another entry.
     stranded: usize,
     refused: usize,
     messages: usize,
@@ -128,7 +129,7 @@
                     let gap = Duration::from_secs_f64(self.exponential() * mean_gap);
                     self.schedule(gap, Event::Arrive);
                 }
-                Event::End(index, slot) => self.end(index, slot),
+                Event::End(index, slot) => self.complete(index, slot),
                 Event::Deliver(message) => self.deliver(message),
                 Event::Tick(index) => {
                     self.tick(index);
@@ -210,7 +211,7 @@
         true
     }
 
-    fn end(&mut self, index: usize, slot_index: SlotIndex) {
+    fn complete(&mut self, index: usize, slot_index: SlotIndex) {
         self.busy -= 1;
         let slot = self.slots[slot_index.0];
         self.nodes[index].slots.release(slot, self.now);
--- a/crates/cleat-decide/src/request/admission/flows.rs
+++ b/crates/cleat-decide/src/request/admission/flows.rs
@@ -18,8 +18,8 @@
 /// its fair share and quota are the same as those of a new caller.
 #[derive(Debug, Default)]
 pub(super) struct Flows {
-    names: IndexMap<Box<str>, FlowId>,
-    /// Invariant: every id in `names` is a valid index and not in `free`.
+    by_name: IndexMap<Box<str>, FlowId>,
+    /// Invariant: every id in `by_name` is a valid index and not in `free`.
     arena: Vec<Flow>,
     free: Vec<FlowId>,
     sweep_at: usize,
@@ -34,21 +34,21 @@
         queue: &FairQueue,
         now: Duration,
     ) -> FlowId {
-        if let Some(id) = self.names.get(caller) {
+        if let Some(id) = self.by_name.get(caller) {
             return *id;
         }
-        if self.names.len() >= self.sweep_at {
+        if self.by_name.len() >= self.sweep_at {
             self.sweep(queue.virtual_now(), now);
-            self.sweep_at = self.names.len() + SWEEP_AFTER.max(self.names.len());
+            self.sweep_at = self.by_name.len() + SWEEP_AFTER.max(self.by_name.len());
         }
         let id = self.insert(Flow::new(service.terms(caller)));
-        self.names.insert(caller.into(), id);
+        self.by_name.insert(caller.into(), id);
         id
     }
 
     /// Applies new settings to all known callers.
     pub(super) fn reconfigure(&mut self, service: &Service, queue: &mut FairQueue) {
-        for (name, id) in &self.names {
+        for (name, id) in &self.by_name {
             let flow = &mut self.arena[id.0 as usize];
             queue.set_flow_terms(*id, flow, service.terms(name));
         }
@@ -89,7 +89,7 @@
     /// Removes idle callers.
     fn sweep(&mut self, virtual_now: u128, now: Duration) {
         let (arena, free) = (&self.arena, &mut self.free);
-        self.names.retain(|_, id| {
+        self.by_name.retain(|_, id| {
             let flow = &arena[id.0 as usize];
             let same_as_new = flow.next_due <= virtual_now && flow.quota_usage.is_unused(now);
             let keep = !flow.waiting.is_empty() || !same_as_new;
--- a/crates/cleat-decide/src/request/admission/mod.rs
+++ b/crates/cleat-decide/src/request/admission/mod.rs
@@ -25,8 +25,9 @@
 use super::{Refusal, RefusalReason};
 
 /// A waiting request expires when its remaining time is less than the 90th
-/// percentile of service times, but at most this fraction (1 / 4) of its time is
-/// set aside for that: the long service times may be those of another caller.
+/// percentile of service times, but at most this fraction (1 / 4) of its time at
+/// arrival is set aside for that: the long service times may be those of another
+/// caller.
 const SERVICE_TIME_DIVISOR: u32 = 4;
 
 /// The flow that all callers share when fair queueing is disabled.
--- a/crates/cleat-decide/src/request/health.rs
+++ b/crates/cleat-decide/src/request/health.rs
@@ -9,8 +9,9 @@
 const SCORE_MAX: u32 = 12;
 /// The score of a failure that is certainly the target's fault.
 const SCORE_FAILURE: u32 = 4;
-/// The score of an attempt that had little time left before its deadline. The
-/// wait before the attempt usually causes such a timeout, unless they continue.
+/// The score of an attempt that timed out after little time. Such a timeout is
+/// usually caused by a long wait before the attempt and not by the target, so only
+/// a series of them ejects the target.
 const SCORE_SHORT_TIMEOUT: u32 = 1;
 /// A timeout after less than this multiple of the usual latency is a short one.
 const SHORT_TIMEOUT_MULTIPLE: f64 = 2.0;
@@ -20,7 +21,8 @@
 const ATTEMPTS_MIN: u32 = 8;
 /// The weight of one attempt in the moving averages.
 const AVERAGE_WEIGHT: f64 = 0.1;
-/// The duration of the first ejection; it doubles with each further one.
+/// The duration of the first ejection. It doubles with each further one, up to
+/// [`EJECTION_DOUBLINGS_MAX`] times.
 const EJECTION_FIRST: Duration = Duration::from_secs(1);
 const EJECTION_DOUBLINGS_MAX: u32 = 5;
 /// One past ejection is forgotten for each period of this length without a new
@@ -30,7 +32,7 @@
 const PROBATION_SUCCESSES: u32 = 5;
 /// How long a target warms up when it is new or was ejected.
 const WARM_UP: Duration = Duration::from_secs(10);
-const WARMTH_MIN_PERCENT: u128 = 10;
+const WARM_UP_MIN_PERCENT: u128 = 10;
 /// The time in which the recorded latency halves while there are no attempts, so
 /// that a target that was slow is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(10);
@@ -112,7 +114,7 @@
     pub fn warm_up_percent(&self, now: Duration) -> u8 {
         let since = now.saturating_sub(self.warm_up_since).min(WARM_UP);
         let percent = since.as_micros() * 100 / WARM_UP.as_micros();
-        u8::try_from(percent.max(WARMTH_MIN_PERCENT)).unwrap_or(100)
+        u8::try_from(percent.max(WARM_UP_MIN_PERCENT)).unwrap_or(100)
     }
 
     /// The recorded latency in microseconds; 0 if unknown.
--- a/crates/cleat-decide/tests/slots.rs
+++ b/crates/cleat-decide/tests/slots.rs
@@ -73,7 +73,7 @@
     }
 
     fn start(&mut self, index: usize, incarnation: u64, fresh: bool) -> Node {
-        let me = EntryIndex(u32::try_from(index).expect("few entries"));
+        let me = EntryIndex(u32::try_from(index).expect("there are few entries"));
         let slots = Slots::new(me, incarnation, &self.names, TERMS, Duration::ZERO);
         let mut slots = slots.with_protections(self.protections);
         let keys = TARGETS
@@ -91,9 +91,9 @@
 
     fn local(&self, index: usize) -> Duration {
         let node = &self.nodes[index];
-        let passed = i64::try_from(self.now - node.started_at).expect("short runs");
+        let passed = i64::try_from(self.now - node.started_at).expect("runs are short");
         let micros = passed * (1_000 + node.drift);
-        Duration::from_micros(u64::try_from(micros).expect("positive"))
+        Duration::from_micros(u64::try_from(micros).expect("time is not negative"))
     }
 
     fn run(&mut self, faults: bool) {
@@ -137,7 +137,7 @@
         for (_, from, out) in due {
             let to = out.to.0 as usize;
             let local = self.local(to);
-            let from_entry = EntryIndex(u32::try_from(from).expect("few entries"));
+            let from_entry = EntryIndex(u32::try_from(from).expect("there are few entries"));
             let answers = self.nodes[to]
                 .slots
                 .handle_message(from_entry, out.message, local);
@@ -203,7 +203,8 @@
             return false;
         };
         self.started_on_borrowed += u64::from(slot.grant.is_some());
-        let longest = u64::try_from(TERMS.max_request_duration.as_millis()).expect("short");
+        let longest =
+            u64::try_from(TERMS.max_request_duration.as_millis()).expect("the duration is short");
         let takes = self.rng.random_range(1..=longest);
         self.running.push(Running {
             target,
@@ -297,7 +298,7 @@
 fn exchange(nodes: &mut [Slots; 2], from: usize, out: Vec<Outgoing>, now: Duration) {
     for out in out {
         let to = out.to.0 as usize;
-        let sender = EntryIndex(u32::try_from(from).expect("two entries"));
+        let sender = EntryIndex(u32::try_from(from).expect("there are two entries"));
         let answers = nodes[to].handle_message(sender, out.message, now);
         exchange(nodes, to, answers, now);
     }
--- a/crates/cleat-maintain/examples/waves.rs
+++ b/crates/cleat-maintain/examples/waves.rs
@@ -35,12 +35,12 @@
     for instances in [6, 12, 48] {
         let one_at_a_time = Run::with_waves(&[instances], 1).finish();
         for budget in [1, 2, 6] {
-            let found = Run::with_waves(&[instances], budget).finish();
+            let results = Run::with_waves(&[instances], budget).finish();
             let bound = (instances as u64).div_ceil(budget) * UNAVOIDABLE_S;
-            let each = found.away_s as f64 / instances as f64;
+            let each = results.away_s as f64 / instances as f64;
             println!(
                 "{instances:4} {budget:6} {:6} {bound:7} {:15} {each:15.1} {UNAVOIDABLE_S:5} {:9} {:5}",
-                found.seconds, one_at_a_time.seconds, found.max_away, found.max_racks
+                results.seconds, one_at_a_time.seconds, results.max_away, results.max_racks
             );
         }
     }
@@ -52,18 +52,18 @@
     let sizes: Vec<usize> = (0..POOLS).map(|i| (INSTANCES + i) / POOLS).collect();
     let total: usize = sizes.iter().sum();
     for budget in [1, 2] {
-        let found = Run::with_waves(&sizes, budget).finish();
+        let results = Run::with_waves(&sizes, budget).finish();
         let largest = sizes.iter().copied().max().unwrap_or(0);
         let one_at_a_time = Run::with_waves(&[largest], budget).finish();
         let in_turn = one_at_a_time.seconds * POOLS as u64;
         println!(
             "{POOLS} pools, {total} instances, budget {budget}: all at once {} s; in turn {in_turn} s, \
              {:.1} % of 7 weeks; {} commands; decision at most {:?}, mean {:?}",
-            found.seconds,
+            results.seconds,
             100.0 * in_turn as f64 / SEVEN_WEEKS_S as f64,
-            found.commands,
-            found.slowest,
-            found.deciding / u32::try_from(found.seconds).unwrap_or(u32::MAX),
+            results.commands,
+            results.slowest,
+            results.deciding / u32::try_from(results.seconds).unwrap_or(u32::MAX),
         );
     }
     let idle = Run::idle(&sizes);
@@ -140,12 +140,12 @@
     }
 
     fn finish(&mut self) -> Results {
-        let mut found = Results::default();
-        while found.seconds < RUN_LIMIT_S {
-            found.seconds += 1;
+        let mut results = Results::default();
+        while results.seconds < RUN_LIMIT_S {
+            results.seconds += 1;
             self.announce_targets();
-            self.decide(&mut found);
-            self.measure(&mut found);
+            self.decide(&mut results);
+            self.measure(&mut results);
             if self
                 .world
                 .waves()
@@ -155,25 +155,25 @@
                 break;
             }
         }
-        found
+        results
     }
 
-    fn decide(&mut self, found: &mut Results) {
-        let now = Duration::from_secs(found.seconds);
+    fn decide(&mut self, results: &mut Results) {
+        let now = Duration::from_secs(results.seconds);
         let start = Instant::now();
         let effects = self.leader.handle(Event::Tick, &self.world, now);
         let took = start.elapsed();
-        found.deciding += took;
-        found.slowest = found.slowest.max(took);
+        results.deciding += took;
+        results.slowest = results.slowest.max(took);
         for effect in effects {
             let event = match effect {
                 Effect::Propose(body) => {
                     self.apply(body);
-                    found.commands += 1;
+                    results.commands += 1;
                     continue;
                 }
                 Effect::AwaitInForce { index } => Event::InForce { index },
-                Effect::RunAction(token) => self.run_action(token, found.seconds),
+                Effect::RunAction(token) => self.run_action(token, results.seconds),
             };
             self.leader.handle(event, &self.world, now);
         }
@@ -192,7 +192,7 @@
         Event::Reported { token, state }
     }
 
-    fn measure(&self, found: &mut Results) {
+    fn measure(&self, results: &mut Results) {
         let mut away = 0;
         let mut racks = Vec::new();
         for name in self.world.places().keys().filter(|n| self.world.is_away(n)) {
@@ -202,9 +202,9 @@
         }
         racks.sort();
         racks.dedup();
-        found.away_s += away;
-        found.max_away = found.max_away.max(away);
-        found.max_racks = found.max_racks.max(racks.len());
+        results.away_s += away;
+        results.max_away = results.max_away.max(away);
+        results.max_racks = results.max_racks.max(racks.len());
     }
 
     /// Announces a target for each machine that is up and has none.
--- a/crates/cleat-maintain/src/plan/observations.rs
+++ b/crates/cleat-maintain/src/plan/observations.rs
@@ -12,7 +12,8 @@
 pub(super) struct Observation {
     /// When the leader first saw the step or phase.
     pub(super) since: Duration,
-    /// When the leader first knew that the step or phase is in force on every entry.
+    /// When the leader first knew that the step or phase is in force: every entry that
+    /// may accept requests has applied it.
     pub(super) in_force_at: Option<Duration>,
     /// The state of the action that the platform reported last.
     pub(super) action_state: Option<ActionState>,
@@ -46,7 +47,8 @@
         self.by_epoch.entry(key).or_insert(new)
     }
 
-    /// Records that all commands up to log index `index` are in force on every entry.
+    /// Records that every entry that may accept requests has applied the log up to
+    /// `index`.
     pub(super) fn record_in_force(&mut self, index: u64, now: Duration) {
         let all = self.by_epoch.iter_mut();
         for (_, observation) in all.filter(|((_, epoch), _)| *epoch <= index) {
--- a/crates/cleat-maintain/src/plan/reconciler.rs
+++ b/crates/cleat-maintain/src/plan/reconciler.rs
@@ -110,7 +110,7 @@
                     }
                 }
             }
-            // One instance per tick: the next choice must see this one in the state.
+            // One instance per pool and tick: the next choice must see this one in the state.
             if let Ok(instance) = next_instance(world, pool) {
                 let (from, to) = (Step::Waiting, Step::Draining);
                 effects.push(propose_step(pool, wave.id, instance, from, to));
--- a/crates/cleat-maintain/src/plan/steps.rs
+++ b/crates/cleat-maintain/src/plan/steps.rs
@@ -44,12 +44,12 @@
         let index = cx.epoch;
         return Next::Do(Effect::AwaitInForce { index });
     };
-    let quiet_at = in_force_at + max_request_duration(cx.world, cx.pool);
+    let requests_ended_at = in_force_at + max_request_duration(cx.world, cx.pool);
     match observation.action_state {
-        Some(ActionState::Done) if cx.now >= quiet_at => Next::Enter(Step::Rebooting),
+        Some(ActionState::Done) if cx.now >= requests_ended_at => Next::Enter(Step::Rebooting),
         Some(ActionState::Done) => Next::Nothing,
         Some(ActionState::Failed) => Next::Enter(Step::Failed),
-        _ if cx.now >= quiet_at + seconds(cx.terms().drain_s) => Next::Enter(Step::Failed),
+        _ if cx.now >= requests_ended_at + seconds(cx.terms().drain_s) => Next::Enter(Step::Failed),
         _ => cx.run_action(Action::Drain),
     }
 }
--- a/crates/cleat-maintain/src/run.rs
+++ b/crates/cleat-maintain/src/run.rs
@@ -19,8 +19,9 @@
 /// platform and the log stays bounded however many pools are under maintenance.
 const MAX_IN_PROGRESS: usize = 32;
 
-/// A command was not accepted or its outcome is unknown. The reconciler decides
-/// again from the replicated state.
+/// This instance is not the leader or cannot reach a quorum. The outcome of a
+/// proposed command is unknown; the reconciler decides again from the replicated
+/// state.
 #[derive(Debug, Snafu)]
 #[snafu(display("this instance is no longer the leader, or cannot reach a quorum"))]
 pub struct LeadershipLost;
--- a/crates/cleat-maintain/tests/decisions.rs
+++ b/crates/cleat-maintain/tests/decisions.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn next_instance_prefers_failed_instance() {
+fn next_instance_prefers_unavailable_instance() {
     let mut sim = fleet(1);
     sim.fail_rack(2, Duration::from_secs(100));
     sim.run_second();
--- a/crates/cleat-maintain/tests/run.rs
+++ b/crates/cleat-maintain/tests/run.rs
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn run_advances_all_waves_while_the_platform_hangs_for_many() {
+async fn run_completes_other_waves_while_the_platform_hangs_for_many() {
     let replica = pools_with_waves();
     let platform = Arc::new(HangingPlatform::default());
     let executor = tokio::spawn(run(replica.clone(), platform.clone()));
