--- a/crates/cleat-quorum/examples/group_commit.rs
+++ b/crates/cleat-quorum/examples/group_commit.rs
@@ -22,9 +22,9 @@
 const RUN: Duration = Duration::from_secs(3);
 const PROPOSERS: [usize; 6] = [1, 4, 16, 64, 256, 1024];
 
-struct Counter(u64);
+struct CommandCounter(u64);
 
-impl StateMachine for Counter {
+impl StateMachine for CommandCounter {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         self.0 += 1;
         self.0.to_le_bytes().into()
@@ -43,9 +43,9 @@
 
 type Group = Arc<OnceLock<Vec<Arc<Replica>>>>;
 
-struct Direct(Group);
+struct DirectTransport(Group);
 
-impl Transport for Direct {
+impl Transport for DirectTransport {
     fn send(&self, to: MemberId, message: Message) {
         if let Some(replicas) = self.0.get() {
             replicas[to.0 as usize].deliver(message);
@@ -65,7 +65,7 @@
         let disk = Journal::open(&folder.join(&name), &name)?;
         let members = (0..VOTERS).map(member).collect();
         let cfg = ReplicaConfig::new(MemberId(id), members, rand::random());
-        let replica = Replica::spawn(cfg, disk, Direct(group.clone()), Counter(0))?;
+        let replica = Replica::spawn(cfg, disk, DirectTransport(group.clone()), CommandCounter(0))?;
         replicas.push(Arc::new(replica));
     }
     let _ = group.set(replicas.clone());
--- a/crates/cleat-quorum/examples/idle_traffic.rs
+++ b/crates/cleat-quorum/examples/idle_traffic.rs
@@ -18,9 +18,9 @@
 const SETTLE: Duration = Duration::from_secs(5);
 const RUN: Duration = Duration::from_secs(10);
 
-struct Nothing;
+struct NullStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NullStateMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         Box::default()
     }
@@ -42,12 +42,12 @@
 
 type Group = Arc<OnceLock<Vec<Replica>>>;
 
-struct Counted {
+struct CountingTransport {
     group: Group,
     sent: Arc<Sent>,
 }
 
-impl Transport for Counted {
+impl Transport for CountingTransport {
     fn send(&self, to: MemberId, message: Message) {
         let bytes = postcard::to_stdvec(&message).map_or(0, |encoded| encoded.len());
         self.sent.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -71,11 +71,11 @@
         counters.push(sent.clone());
         let members = (0..MEMBERS).map(member).collect();
         let cfg = ReplicaConfig::new(MemberId(id), members, rand::random());
-        let transport = Counted {
+        let transport = CountingTransport {
             group: group.clone(),
             sent,
         };
-        replicas.push(Replica::spawn_in_memory(cfg, transport, Nothing)?);
+        replicas.push(Replica::spawn_in_memory(cfg, transport, NullStateMachine)?);
     }
     let _ = group.set(replicas);
     sleep(SETTLE).await;
--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -23,13 +23,13 @@
                 self.effects.push(effect);
             }
         }
-        self.ask_for_snapshot();
+        self.request_snapshot();
     }
 
-    pub(super) fn ask_for_snapshot(&mut self) {
-        let last = self.log.snapshot_index().max(self.snapshot_asked);
+    pub(super) fn request_snapshot(&mut self) {
+        let last = self.log.snapshot_index().max(self.requested_snapshot_index);
         if self.applied >= last + self.config.limits.compact_after_entries {
-            self.snapshot_asked = self.applied;
+            self.requested_snapshot_index = self.applied;
             self.effects.push(Effect::TakeSnapshot(self.applied));
         }
     }
--- a/crates/cleat-quorum/src/core/formation.rs
+++ b/crates/cleat-quorum/src/core/bootstrap.rs
@@ -19,19 +19,19 @@
 
 /// What an unformed voter knows of the others.
 #[derive(Debug)]
-pub(crate) struct Formation {
+pub(crate) struct BootstrapState {
     hello_due: Duration,
     /// The latest identity heard of each voter.
-    heard: IndexMap<MemberId, u64>,
+    identities: IndexMap<MemberId, u64>,
     /// The identity of each voter that answered that it is unformed.
     uninitialized: IndexMap<MemberId, u64>,
 }
 
-impl Formation {
-    pub(crate) fn new(now: Duration) -> Formation {
-        Formation {
+impl BootstrapState {
+    pub(crate) fn new(now: Duration) -> BootstrapState {
+        BootstrapState {
             hello_due: now,
-            heard: IndexMap::new(),
+            identities: IndexMap::new(),
             uninitialized: IndexMap::new(),
         }
     }
@@ -42,13 +42,13 @@
 }
 
 impl Core {
-    pub(super) fn tick_unformed(&mut self) {
-        if self.now < self.formation.hello_due {
+    pub(super) fn tick_uninitialized(&mut self) {
+        if self.now < self.bootstrap.hello_due {
             return;
         }
-        self.formation.hello_due = self.now + self.config.timing.heartbeat_interval;
+        self.bootstrap.hello_due = self.now + self.config.timing.heartbeat_interval;
         if !self.config.may_bootstrap() {
-            return self.ask_to_join();
+            return self.request_join();
         }
         let own = self.config.id;
         let others: Vec<MemberId> = self.config.voters().filter(|id| *id != own).collect();
@@ -60,26 +60,26 @@
         for voter in others {
             self.send(voter, Body::Hello(hello));
         }
-        self.form_group();
+        self.try_bootstrap();
     }
 
     pub(super) fn on_hello(&mut self, from: MemberId, hello: Hello) {
-        self.formation.heard.insert(from, hello.identity);
+        self.bootstrap.identities.insert(from, hello.identity);
         match hello.in_reply_to {
-            None => self.answer_hello(from, hello),
-            Some(asked) if asked == self.identity => self.hear_answer(from, hello),
+            None => self.reply_to_hello(from, hello),
+            Some(identity) if identity == self.identity => self.record_hello_reply(from, hello),
             Some(_) => {}
         }
     }
 
-    fn answer_hello(&mut self, from: MemberId, hello: Hello) {
-        let uninitialized = !self.is_formed() && self.config.may_bootstrap();
-        let answer = Hello {
+    fn reply_to_hello(&mut self, from: MemberId, hello: Hello) {
+        let uninitialized = !self.is_initialized() && self.config.may_bootstrap();
+        let reply = Hello {
             identity: self.identity,
             uninitialized,
             in_reply_to: Some(hello.identity),
         };
-        let message = self.message(from, self.hard_state.term, Body::Hello(answer));
+        let message = self.message(from, self.hard_state.term, Body::Hello(reply));
         self.send_durable(message);
         self.relay_bootstrap(from, hello.identity);
     }
@@ -96,21 +96,21 @@
         }
     }
 
-    fn hear_answer(&mut self, from: MemberId, answer: Hello) {
-        if answer.uninitialized {
-            self.formation.uninitialized.insert(from, answer.identity);
+    fn record_hello_reply(&mut self, from: MemberId, reply: Hello) {
+        if reply.uninitialized {
+            self.bootstrap.uninitialized.insert(from, reply.identity);
         } else {
-            self.formation.uninitialized.shift_remove(&from);
+            self.bootstrap.uninitialized.shift_remove(&from);
         }
-        self.form_group();
+        self.try_bootstrap();
     }
 
-    fn form_group(&mut self) {
+    fn try_bootstrap(&mut self) {
         let lowest = self.config.voters().min();
-        if self.is_formed() || !self.config.may_bootstrap() || lowest != Some(self.config.id) {
+        if self.is_initialized() || !self.config.may_bootstrap() || lowest != Some(self.config.id) {
             return;
         }
-        let Some(membership) = self.founding_membership() else {
+        let Some(membership) = self.initial_membership() else {
             return;
         };
         let group = self.rng.random::<u32>().max(1);
@@ -123,18 +123,18 @@
             data,
         });
         // The others learn of the group with their next hello.
-        let others_know = self.now + self.config.timing.heartbeat_interval * 2;
-        self.election_due = self.election_due.min(others_know);
+        let others_initialized_at = self.now + self.config.timing.heartbeat_interval * 2;
+        self.election_deadline = self.election_deadline.min(others_initialized_at);
     }
 
     /// All configured members, once each voter is known to be unformed.
-    fn founding_membership(&self) -> Option<Membership> {
+    fn initial_membership(&self) -> Option<Membership> {
         let mut members = Vec::new();
         for configured in &self.config.members {
             let identity = if configured.id == self.config.id {
                 self.identity
             } else if configured.votes {
-                *self.formation.uninitialized.get(&configured.id)?
+                *self.bootstrap.uninitialized.get(&configured.id)?
             } else {
                 0
             };
@@ -152,11 +152,11 @@
 
     pub(super) fn on_bootstrap(&mut self, from: MemberId, snapshot: Snapshot) {
         let own = snapshot.membership.is_voter(self.config.id, self.identity);
-        if self.is_formed() || !own || snapshot.index != BOOTSTRAP_INDEX {
+        if self.is_initialized() || !own || snapshot.index != BOOTSTRAP_INDEX {
             return;
         }
         // A genesis from a disk that its sender has lost by now founds nothing.
-        let heard = self.formation.heard.get(&from).copied();
+        let heard = self.bootstrap.identities.get(&from).copied();
         let sender = snapshot.membership.get(from).map(|member| member.identity);
         if heard.is_some() && heard != sender {
             return;
@@ -167,17 +167,17 @@
     fn install_bootstrap(&mut self, snapshot: Snapshot) {
         let snapshot = Arc::new(snapshot);
         self.group = snapshot.group;
-        self.durability.critical_written();
+        self.durability.mark_critical_write();
         self.write(Write::Snapshot(snapshot.clone()));
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.log.install(snapshot);
         // An unformed member has confirmed no leader, so none relies on it.
-        self.sticky_until = self.now;
+        self.reject_votes_until = self.now;
         if self.is_sole_voter() {
             self.start_pre_vote();
         } else {
-            self.reset_election();
+            self.reset_election_timeout();
         }
     }
 }
--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -1,4 +1,4 @@
-//! What a core is told at construction.
+//! What a core is notified at construction.
 
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     /// The right to vote is bound to the identity of the disk.
     pub identity_check: bool,
     /// Votes are refused while a leader is live.
-    pub stickiness: bool,
+    pub leader_stickiness: bool,
     /// A lease runs from the member's own send time.
     pub lease_from_send: bool,
     /// A leader counts its own entries only after its sync.
@@ -90,7 +90,7 @@
         Protections {
             sync_before_send: true,
             identity_check: true,
-            stickiness: true,
+            leader_stickiness: true,
             lease_from_send: true,
             commit_after_own_sync: true,
             apply_before_lease_resumes: true,
--- a/crates/cleat-quorum/src/core/durability.rs
+++ b/crates/cleat-quorum/src/core/durability.rs
@@ -27,15 +27,15 @@
 pub(crate) struct Durability {
     /// Whether this step wrote something.
     pub(crate) dirty: bool,
-    issued: SyncId,
-    synced: SyncId,
+    last_issued: SyncId,
+    last_synced: SyncId,
     /// The sync that covers the latest term, vote and snapshot: what every
     /// message rests on.
-    critical: SyncId,
+    critical_sync: SyncId,
     /// The last entry on the disk. Invariant: never beyond the log.
     durable_index: LogIndex,
     /// The last entry at the time of each sync under way.
-    syncing: VecDeque<(SyncId, LogIndex)>,
+    pending_syncs: VecDeque<(SyncId, LogIndex)>,
     deferred: VecDeque<(SyncId, Deferred)>,
 }
 
@@ -43,11 +43,11 @@
     pub(crate) fn new(durable_index: LogIndex) -> Durability {
         Durability {
             dirty: false,
-            issued: SyncId(0),
-            synced: SyncId(0),
-            critical: SyncId(0),
+            last_issued: SyncId(0),
+            last_synced: SyncId(0),
+            critical_sync: SyncId(0),
             durable_index,
-            syncing: VecDeque::new(),
+            pending_syncs: VecDeque::new(),
             deferred: VecDeque::new(),
         }
     }
@@ -57,48 +57,48 @@
     }
 
     /// Whether all writes so far are on the disk.
-    pub(crate) fn is_clean(&self) -> bool {
-        !self.dirty && self.issued == self.synced
+    pub(crate) fn is_fully_synced(&self) -> bool {
+        !self.dirty && self.last_issued == self.last_synced
     }
 
     /// Notes that this step wrote the term, the vote or a snapshot.
-    pub(crate) fn critical_written(&mut self) {
-        self.critical = SyncId(self.issued.0 + 1);
+    pub(crate) fn mark_critical_write(&mut self) {
+        self.critical_sync = SyncId(self.last_issued.0 + 1);
     }
 
     /// Whether the latest term, vote and snapshot are on the disk.
-    pub(crate) fn critical_synced(&self) -> bool {
-        self.critical <= self.synced
+    pub(crate) fn is_critical_state_synced(&self) -> bool {
+        self.critical_sync <= self.last_synced
     }
 
     pub(crate) fn defer(&mut self, deferred: Deferred) {
-        let next = SyncId(self.issued.0 + u64::from(self.dirty));
+        let next = SyncId(self.last_issued.0 + u64::from(self.dirty));
         self.deferred.push_back((next, deferred));
     }
 
     /// Ends a step that wrote: gives the sync to ask for.
-    pub(crate) fn seal(&mut self, last_index: LogIndex) -> Option<SyncId> {
+    pub(crate) fn finish_step(&mut self, last_index: LogIndex) -> Option<SyncId> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
-        self.issued.0 += 1;
-        self.syncing.push_back((self.issued, last_index));
-        Some(self.issued)
+        self.last_issued.0 += 1;
+        self.pending_syncs.push_back((self.last_issued, last_index));
+        Some(self.last_issued)
     }
 
     /// Entries from `index` on were dropped: no sync covers them.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let last = index.saturating_sub(1);
         self.durable_index = self.durable_index.min(last);
-        for (_, at) in &mut self.syncing {
+        for (_, at) in &mut self.pending_syncs {
             *at = (*at).min(last);
         }
     }
 
     /// Notes a finished sync and gives what waited for it.
-    pub(crate) fn synced(&mut self, sync_id: SyncId) -> Vec<Deferred> {
-        self.synced = self.synced.max(sync_id);
-        while let Some((_, at)) = self.syncing.pop_front_if(|(t, _)| *t <= sync_id) {
+    pub(crate) fn complete_sync(&mut self, sync_id: SyncId) -> Vec<Deferred> {
+        self.last_synced = self.last_synced.max(sync_id);
+        while let Some((_, at)) = self.pending_syncs.pop_front_if(|(t, _)| *t <= sync_id) {
             self.durable_index = self.durable_index.max(at);
         }
         let mut ready = Vec::new();
--- a/crates/cleat-quorum/src/core/election.rs
+++ b/crates/cleat-quorum/src/core/election.rs
@@ -10,17 +10,17 @@
 impl Core {
     /// Asks whether an election could be won, without disturbing anyone.
     pub(super) fn start_pre_vote(&mut self) {
-        self.retry_election();
+        self.schedule_election_retry();
         self.leader = None;
         // The group may have removed this member while it was away.
-        self.ask_to_join();
+        self.request_join();
         if !self.is_voter() {
             return;
         }
         self.state = State::PreCandidate {
             votes: BTreeSet::new(),
         };
-        self.ask_for_votes(true, false);
+        self.request_votes(true, false);
         self.count_vote(self.config.id);
     }
 
@@ -32,12 +32,12 @@
             term,
             voted_for: Some(self.config.id),
         });
-        self.retry_election();
+        self.schedule_election_retry();
         self.state = State::Candidate {
             votes: BTreeSet::new(),
-            asked_at: self.now,
+            requested_at: self.now,
         };
-        self.ask_for_votes(false, transfer);
+        self.request_votes(false, transfer);
         if self.config.protections.sync_before_send {
             self.durability.defer(Deferred::OwnVote { term });
         } else {
@@ -45,7 +45,7 @@
         }
     }
 
-    fn ask_for_votes(&mut self, pre: bool, transfer: bool) {
+    fn request_votes(&mut self, pre: bool, transfer: bool) {
         let term = self.hard_state.term + Term::from(pre);
         let membership = self.log.membership().clone();
         let own = self.config.id;
@@ -72,11 +72,14 @@
                     self.start_election(false);
                 }
             }
-            State::Candidate { votes, asked_at } => {
+            State::Candidate {
+                votes,
+                requested_at,
+            } => {
                 votes.insert(from);
                 if votes.len() >= quorum {
-                    let asked_at = *asked_at;
-                    self.become_leader(asked_at);
+                    let requested_at = *requested_at;
+                    self.become_leader(requested_at);
                 }
             }
             State::Follower | State::Leader(_) => {}
@@ -87,7 +90,7 @@
         // A lead that was handed over is no reason to refuse; in any later
         // term the request is outdated.
         let handed_over = req.transfer && !req.pre;
-        if !self.may_vote(req) || (self.is_sticky() && !handed_over) {
+        if !self.matches_identity(req) || (self.must_reject_votes() && !handed_over) {
             return;
         }
         if term < self.hard_state.term {
@@ -105,18 +108,18 @@
 
     /// The right to vote belongs to one disk: a member that lost it may have
     /// voted in this term without knowing.
-    fn may_vote(&self, req: &VoteRequest) -> bool {
+    fn matches_identity(&self, req: &VoteRequest) -> bool {
         req.voter_identity == self.identity || !self.config.protections.identity_check
     }
 
     /// Whether a live leader may rely on this member not to elect another.
-    fn is_sticky(&self) -> bool {
-        if !self.config.protections.stickiness {
+    fn must_reject_votes(&self) -> bool {
+        if !self.config.protections.leader_stickiness {
             return false;
         }
         match &self.state {
             State::Leader(_) => self.holds_leader_lease(),
-            _ => self.now < self.sticky_until && !self.is_sole_voter(),
+            _ => self.now < self.reject_votes_until && !self.is_sole_voter(),
         }
     }
 
@@ -127,8 +130,8 @@
 
     fn grant_vote(&mut self, from: MemberId, req: &VoteRequest) -> bool {
         let HardState { term, voted_for } = self.hard_state;
-        let free = voted_for.is_none_or(|candidate| candidate == from);
-        if !free || !self.is_up_to_date(req) || !matches!(self.state, State::Follower) {
+        let may_grant = voted_for.is_none_or(|candidate| candidate == from);
+        if !may_grant || !self.is_up_to_date(req) || !matches!(self.state, State::Follower) {
             return false;
         }
         if voted_for.is_none() {
@@ -137,7 +140,7 @@
                 voted_for: Some(from),
             });
         }
-        self.reset_election();
+        self.reset_election_timeout();
         true
     }
 
@@ -155,13 +158,13 @@
         if !reply.granted {
             return self.observe_term(term);
         }
-        let asked = match self.state {
+        let expected = match self.state {
             State::PreCandidate { .. } => reply.pre && term == self.hard_state.term + 1,
             State::Candidate { .. } => !reply.pre && term == self.hard_state.term,
             State::Follower | State::Leader(_) => false,
         };
         let counts = self.counts_as_voter(self.log.membership(), from, reply.identity);
-        if asked && counts {
+        if expected && counts {
             self.count_vote(from);
         }
     }
--- a/crates/cleat-quorum/src/core/follower.rs
+++ b/crates/cleat-quorum/src/core/follower.rs
@@ -10,21 +10,21 @@
 
 impl Core {
     pub(super) fn on_append(&mut self, from: MemberId, term: Term, append: Append) {
-        if !self.follow(from, term) {
+        if !self.accept_leader(from, term) {
             return;
         }
-        self.take_lease(append.echo, append.commit);
+        self.extend_lease(append.echo, append.commit);
         let last_sent = append.prev_index + append.entries.len() as u64;
-        if !self.agrees_at(append.prev_index, append.prev_term) {
+        if !self.matches_at(append.prev_index, append.prev_term) {
             let hint = self.mismatch_hint(append.prev_index);
             return self.ack(from, append.round, AckOutcome::Mismatch(hint));
         }
-        let plain = append.entries.is_empty() && self.lease.is_latest(append.echo);
+        let nothing_to_report = append.entries.is_empty() && self.lease.is_latest(append.echo);
         let applied = self.applied;
-        self.merge(append.entries);
+        self.append_missing(append.entries);
         self.commit_to(append.commit.min(last_sent));
         // The echo tells that the leader has all that a learner could answer.
-        if plain && self.applied == applied && !self.is_voter() {
+        if nothing_to_report && self.applied == applied && !self.is_voter() {
             return;
         }
         // A committed prefix agrees with every later leader's log.
@@ -33,23 +33,23 @@
     }
 
     pub(super) fn on_install(&mut self, from: MemberId, term: Term, install: InstallSnapshot) {
-        if !self.follow(from, term) {
+        if !self.accept_leader(from, term) {
             return;
         }
         let index = install.snapshot.index;
-        if !self.is_formed() || index > self.commit {
+        if !self.is_initialized() || index > self.commit {
             self.install_snapshot(install.snapshot);
         }
-        self.take_lease(install.echo, install.commit);
+        self.extend_lease(install.echo, install.commit);
         self.acknowledge(from, install.round, index.max(self.commit));
     }
 
     /// Accepts the sender as the leader of its term, or tells it that its
     /// term is over.
-    fn follow(&mut self, from: MemberId, term: Term) -> bool {
+    fn accept_leader(&mut self, from: MemberId, term: Term) -> bool {
         if term < self.hard_state.term {
             let last = self.log.last_index();
-            self.acknowledge_term(from, AckOutcome::Mismatch(last));
+            self.reject_stale_term(from, AckOutcome::Mismatch(last));
             return false;
         }
         self.observe_term(term);
@@ -58,14 +58,14 @@
         }
         self.state = State::Follower;
         self.leader = Some(from);
-        self.sticky_until = self.now + self.config.timing.election_timeout_min;
-        self.reset_election();
+        self.reject_votes_until = self.now + self.config.timing.election_timeout_min;
+        self.reset_election_timeout();
         true
     }
 
     /// A lease counts from the send that the leader echoes, so a delayed
     /// message can't make it longer.
-    fn take_lease(&mut self, echo: Option<LeaseStamp>, commit: LogIndex) {
+    fn extend_lease(&mut self, echo: Option<LeaseStamp>, commit: LogIndex) {
         let Some(sent_at) = echo.and_then(|echo| self.lease.sent_at(echo)) else {
             return;
         };
@@ -93,19 +93,22 @@
     /// Whether this member renews its lease by asking. Learners detect no
     /// dead leader, so they need fewer heartbeats than voters; and a lease that
     /// is asked for is echoed at once, so it runs longer after the last one.
-    pub(super) fn asks_for_lease(&self) -> bool {
-        let follows = matches!(self.state, State::Follower) && self.leader.is_some();
-        follows && self.is_formed() && !self.is_voter() && self.lease.released().is_none()
+    pub(super) fn requests_lease_renewal(&self) -> bool {
+        let is_follower = matches!(self.state, State::Follower) && self.leader.is_some();
+        is_follower
+            && self.is_initialized()
+            && !self.is_voter()
+            && self.lease.released_stamp().is_none()
     }
 
-    pub(super) fn ask_for_lease(&mut self) {
+    pub(super) fn request_lease_renewal(&mut self) {
         self.renewal_due = self.now + self.config.timing.heartbeat_interval;
         if let Some(leader) = self.leader {
             self.ack_verified(leader, NO_ROUND, self.commit);
         }
     }
 
-    fn agrees_at(&self, index: LogIndex, term: Term) -> bool {
+    fn matches_at(&self, index: LogIndex, term: Term) -> bool {
         index <= self.commit || self.log.term_at(index) == Some(term)
     }
 
@@ -118,7 +121,7 @@
     }
 
     /// Adds the entries that are missing; drops those that differ.
-    fn merge(&mut self, entries: Vec<Entry>) {
+    fn append_missing(&mut self, entries: Vec<Entry>) {
         let mut missing = Vec::new();
         for entry in entries {
             if entry.index <= self.commit {
@@ -145,14 +148,14 @@
 
     fn install_snapshot(&mut self, snapshot: Snapshot) {
         let snapshot = Arc::new(snapshot);
-        let formed = self.is_formed();
-        let continues = formed && self.log.term_at(snapshot.index) == Some(snapshot.term);
+        let initialized = self.is_initialized();
+        let continues = initialized && self.log.term_at(snapshot.index) == Some(snapshot.term);
         // The entries that differ go first: a crash in between must not leave
         // them behind the snapshot.
-        if !continues && self.log.last_index() >= snapshot.index && formed {
+        if !continues && self.log.last_index() >= snapshot.index && initialized {
             self.truncate_from(snapshot.index);
         }
-        self.durability.critical_written();
+        self.durability.mark_critical_write();
         self.write(Write::Snapshot(snapshot.clone()));
         self.log.install(snapshot.clone());
         self.commit = snapshot.index;
@@ -170,7 +173,7 @@
     /// Acknowledges once what is acknowledged is on the disk. A heartbeat
     /// need not wait for entries that are still being synced.
     fn acknowledge(&mut self, to: MemberId, round: u64, verified: LogIndex) {
-        let pending = self.durability.dirty || !self.durability.critical_synced();
+        let pending = self.durability.dirty || !self.durability.is_critical_state_synced();
         if pending && self.config.protections.sync_before_send {
             let term = self.hard_state.term;
             self.durability.defer(Deferred::Ack {
@@ -194,7 +197,7 @@
     }
 
     /// Tells the leader of an earlier term that a later one began.
-    fn acknowledge_term(&mut self, to: MemberId, outcome: AckOutcome) {
+    fn reject_stale_term(&mut self, to: MemberId, outcome: AckOutcome) {
         self.ack(to, NO_ROUND, outcome);
     }
 
@@ -209,12 +212,12 @@
         };
         let message = self.message(to, self.hard_state.term, Body::Ack(ack));
         // What the message rests on must survive a restart.
-        if self.durability.critical_synced() {
+        if self.durability.is_critical_state_synced() {
             self.effects.push(super::Effect::Send(message));
         } else {
             self.send_durable(message);
         }
-        if let Some(stamp) = self.lease.released() {
+        if let Some(stamp) = self.lease.released_stamp() {
             self.send(to, Body::ReleaseLease(stamp));
         }
     }
--- a/crates/cleat-quorum/src/core/leader.rs
+++ b/crates/cleat-quorum/src/core/leader.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use super::event::{Rejection, Write};
-use super::lease::Liveness;
-use super::progress::{Leadership, PendingRead, Progress};
+use super::lease::PeerLease;
+use super::progress::{LeaderState, PendingRead, Progress};
 use super::types::{Entry, LogIndex, MemberId, Payload};
 use super::{Core, Effect, State};
 
 impl Core {
-    pub(super) fn become_leader(&mut self, asked_at: Duration) {
+    pub(super) fn become_leader(&mut self, requested_at: Duration) {
         let next = self.log.last_index() + 1;
-        let mut leadership = Leadership::new(next, asked_at);
+        let mut leader_state = LeaderState::new(next, requested_at);
         // Members may hold leases that an earlier leader granted up to now.
         let until = if self.config.protections.inherited_leases {
             self.now + self.config.timing.member_lease_with_drift()
@@ -23,29 +23,30 @@
         let members = membership.members.iter().map(|member| member.id);
         let others = members.chain(membership.retired.iter().copied());
         for id in others.filter(|id| *id != self.config.id) {
-            leadership
+            leader_state
                 .progress
-                .insert(id, Progress::new(next, Liveness::inherited(until)));
+                .insert(id, Progress::new(next, PeerLease::inherited(until)));
         }
         self.leader = Some(self.config.id);
-        self.state = State::Leader(Box::new(leadership));
-        self.append_own(vec![Payload::Noop]);
+        self.state = State::Leader(Box::new(leader_state));
+        self.append_as_leader(vec![Payload::Noop]);
         self.broadcast();
     }
 
     pub(super) fn tick_leader(&mut self) {
-        let contact = self.quorum_contact();
-        if self.now > contact + self.config.timing.election_timeout_max || self.transfer_failed() {
+        let contact = self.last_quorum_contact();
+        if self.now > contact + self.config.timing.election_timeout_max || self.transfer_timed_out()
+        {
             return self.become_follower();
         }
         if self.now >= self.deadline() {
             self.heartbeat();
         }
-        self.maintain_membership();
+        self.reconcile_membership();
     }
 
     /// Appends the leader's own entries and sends them to whoever is idle.
-    pub(super) fn append_own(&mut self, payloads: Vec<Payload>) {
+    pub(super) fn append_as_leader(&mut self, payloads: Vec<Payload>) {
         let term = self.hard_state.term;
         let mut entries = Vec::with_capacity(payloads.len());
         for payload in payloads {
@@ -65,7 +66,7 @@
     }
 
     pub(super) fn propose(&mut self, commands: &[Arc<[u8]>]) {
-        if let Err(rejection) = self.may_propose(commands) {
+        if let Err(rejection) = self.check_proposal(commands) {
             return self.effects.push(Effect::Rejected(rejection));
         }
         let first = self.log.last_index() + 1;
@@ -74,10 +75,10 @@
             term: self.hard_state.term,
         };
         self.effects.push(accepted);
-        self.append_own(commands.iter().cloned().map(Payload::Command).collect());
+        self.append_as_leader(commands.iter().cloned().map(Payload::Command).collect());
     }
 
-    fn may_propose(&self, commands: &[Arc<[u8]>]) -> Result<(), Rejection> {
+    fn check_proposal(&self, commands: &[Arc<[u8]>]) -> Result<(), Rejection> {
         if !matches!(self.state, State::Leader(_)) {
             return Err(Rejection::NotLeader {
                 leader: self.leader,
@@ -86,7 +87,7 @@
         if self.is_transferring_leadership() {
             return Err(Rejection::NotLeader { leader: None });
         }
-        if self.now >= self.quorum_contact() + self.config.timing.election_timeout_min {
+        if self.now >= self.last_quorum_contact() + self.config.timing.election_timeout_min {
             return Err(Rejection::NoQuorum);
         }
         let limits = self.config.limits;
@@ -104,19 +105,19 @@
     }
 
     pub(super) fn read(&mut self, id: u64) {
-        let certain = self.holds_leader_lease() && self.has_committed_own_term();
+        let confirmed = self.holds_leader_lease() && self.has_committed_own_term();
         let commit = self.commit;
-        let State::Leader(leadership) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             let rejection = Rejection::NotLeader {
                 leader: self.leader,
             };
             return self.effects.push(Effect::ReadRejected { id, rejection });
         };
-        if certain {
+        if confirmed {
             return self.effects.push(Effect::ReadReady { id, index: commit });
         }
-        let round = leadership.upcoming_round();
-        leadership.reads.push(PendingRead { id, round });
+        let round = leader_state.upcoming_round();
+        leader_state.reads.push(PendingRead { id, round });
         self.heartbeat();
     }
 
@@ -126,14 +127,13 @@
         others.map(|member| member.id).collect()
     }
 
-    pub(super) fn members_before(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
-        let State::Leader(leadership) = &self.state else {
+    pub(super) fn lease_holders_behind(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
+        let State::Leader(leader_state) = &self.state else {
             return Vec::new();
         };
-        let behind = leadership
-            .progress
-            .iter()
-            .filter(|(_, p)| p.live.may_hold_lease(now) && p.live.applied_index() < index);
+        let behind = leader_state.progress.iter().filter(|(_, p)| {
+            p.peer_lease.may_hold_lease(now) && p.peer_lease.applied_index() < index
+        });
         behind.map(|(id, _)| *id).collect()
     }
 }
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -8,7 +8,7 @@
 
 /// The lease of this member.
 #[derive(Debug)]
-pub(crate) struct MemberLease {
+pub(crate) struct OwnLease {
     incarnation: u32,
     seq: u32,
     /// The sends of this incarnation whose lease could still run, ascending.
@@ -20,19 +20,19 @@
     ///
     /// Invariant: at least the commit index of the leader that last granted
     /// a lease while none was running. While a lease runs unbroken, the
-    /// leader waits for this member, so the gate needs no further move.
-    gate: Option<LogIndex>,
+    /// leader waits for this member, so the required_index needs no further move.
+    required_index: Option<LogIndex>,
     released: bool,
 }
 
-impl MemberLease {
-    pub(crate) fn new(incarnation: u32) -> MemberLease {
-        MemberLease {
+impl OwnLease {
+    pub(crate) fn new(incarnation: u32) -> OwnLease {
+        OwnLease {
             incarnation,
             seq: 0,
             sent: VecDeque::new(),
             until: Duration::ZERO,
-            gate: None,
+            required_index: None,
             released: false,
         }
     }
@@ -74,13 +74,19 @@
     }
 
     /// Runs the lease until `until`; `commit` is what its granter had committed.
-    pub(crate) fn extend(&mut self, until: Duration, commit: LogIndex, now: Duration, gated: bool) {
+    pub(crate) fn extend(
+        &mut self,
+        until: Duration,
+        commit: LogIndex,
+        now: Duration,
+        recheck_after_lapse: bool,
+    ) {
         if until <= now || self.released {
             return;
         }
         let lapsed = self.until <= now;
-        if self.gate.is_none() || (lapsed && gated) {
-            self.gate = Some(commit);
+        if self.required_index.is_none() || (lapsed && recheck_after_lapse) {
+            self.required_index = Some(commit);
         }
         self.until = self.until.max(until);
     }
@@ -91,43 +97,45 @@
         self.current()
     }
 
-    pub(crate) fn released(&self) -> Option<LeaseStamp> {
+    pub(crate) fn released_stamp(&self) -> Option<LeaseStamp> {
         self.released.then(|| self.current())
     }
 
     /// The end of the lease, if this member may serve at all.
     pub(crate) fn serves_until(&self, applied: LogIndex) -> Option<Duration> {
-        let open = self.gate.is_some_and(|gate| applied >= gate);
-        (open && !self.released).then_some(self.until)
+        let may_serve = self
+            .required_index
+            .is_some_and(|required_index| applied >= required_index);
+        (may_serve && !self.released).then_some(self.until)
     }
 }
 
 /// What the leader knows of another member's lease.
 #[derive(Debug)]
-pub(crate) struct Liveness {
+pub(crate) struct PeerLease {
     stamp: Option<LeaseStamp>,
     applied: LogIndex,
     /// Until when the member may hold a lease, on the leader's clock.
-    live_until: Duration,
+    lease_until: Duration,
     /// Until when an earlier incarnation of the member, or one unknown, may hold one.
-    others_until: Duration,
+    other_incarnations_until: Duration,
     released: bool,
 }
 
-impl Liveness {
+impl PeerLease {
     /// A member that may hold a lease of an earlier leader until `until`.
-    pub(crate) fn inherited(until: Duration) -> Liveness {
-        Liveness {
+    pub(crate) fn inherited(until: Duration) -> PeerLease {
+        PeerLease {
             stamp: None,
             applied: 0,
-            live_until: until,
-            others_until: until,
+            lease_until: until,
+            other_incarnations_until: until,
             released: false,
         }
     }
 
     /// Notes an acknowledgement; a lease from its stamp lapses before `until`.
-    pub(crate) fn acked(&mut self, stamp: LeaseStamp, applied: LogIndex, until: Duration) {
+    pub(crate) fn record_ack(&mut self, stamp: LeaseStamp, applied: LogIndex, until: Duration) {
         match self.stamp {
             Some(old) if old.incarnation == stamp.incarnation => {
                 if self.released {
@@ -140,13 +148,13 @@
                 });
             }
             _ => {
-                self.others_until = self.others_until.max(self.live_until);
+                self.other_incarnations_until = self.other_incarnations_until.max(self.lease_until);
                 self.applied = applied;
                 self.stamp = Some(stamp);
                 self.released = false;
             }
         }
-        self.live_until = self.live_until.max(until);
+        self.lease_until = self.lease_until.max(until);
     }
 
     /// The member gave its lease up. Only the incarnation that is known can do so,
@@ -156,7 +164,7 @@
             .stamp
             .is_some_and(|known| known.incarnation == stamp.incarnation)
         {
-            self.live_until = self.others_until;
+            self.lease_until = self.other_incarnations_until;
             self.released = true;
         }
     }
@@ -171,6 +179,6 @@
 
     /// Whether the member may hold a lease.
     pub(crate) fn may_hold_lease(&self, now: Duration) -> bool {
-        now <= self.live_until
+        now <= self.lease_until
     }
 }
--- a/crates/cleat-quorum/src/core/membership.rs
+++ b/crates/cleat-quorum/src/core/membership.rs
@@ -1,13 +1,13 @@
 //! Changes of the membership, one at a time.
 
 use super::event::Rejection;
-use super::lease::Liveness;
+use super::lease::PeerLease;
 use super::progress::Progress;
 use super::types::{Member, MemberId, Membership, Payload};
 use super::{Core, Effect, State};
 
 /// How many entries a member may lag and still be made a voter.
-const CAUGHT_UP_GAP: u64 = 256;
+const CAUGHT_UP_MAX_LAG: u64 = 256;
 
 impl Core {
     pub(super) fn remove(&mut self, id: MemberId) {
@@ -27,31 +27,31 @@
     /// A change begins only when the one before is committed, and after the
     /// leader's first entry: otherwise two majorities might not overlap.
     fn may_change_membership(&self) -> bool {
-        let settled = self.log.membership_index() <= self.commit;
-        settled && self.has_committed_own_term() && self.holds_leader_lease()
+        let committed = self.log.membership_index() <= self.commit;
+        committed && self.has_committed_own_term() && self.holds_leader_lease()
     }
 
     /// Brings the membership closer to the settings by one step: adds members
     /// that are missing, takes the vote from a lost disk, and gives a vote to
     /// a member that caught up.
-    pub(super) fn maintain_membership(&mut self) {
+    pub(super) fn reconcile_membership(&mut self) {
         if !matches!(self.state, State::Leader(_)) || !self.may_change_membership() {
             return;
         }
         let membership = self.log.membership().clone();
-        let wanted = self.wanted_members();
-        let change = wanted
+        let target = self.target_members();
+        let change = target
             .iter()
-            .find_map(|id| self.next_record(&membership, *id));
+            .find_map(|id| self.next_member_change(&membership, *id));
         if let Some(member) = change {
             self.change_membership(membership.with(member));
-        } else if let Some(id) = self.silent_surplus(&membership) {
+        } else if let Some(id) = self.silent_extra_voter(&membership) {
             self.change_membership(membership.without(id));
         }
     }
 
     /// The record of a member that differs from what it should be, if any.
-    fn next_record(&self, membership: &Membership, id: MemberId) -> Option<Member> {
+    fn next_member_change(&self, membership: &Membership, id: MemberId) -> Option<Member> {
         let retired = membership.retired.contains(&id) && !self.joiners.contains(&id);
         if id == self.config.id || retired {
             return None;
@@ -63,14 +63,14 @@
                 votes: false,
             });
         };
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return None;
         };
-        let progress = leadership.progress.get(&id)?;
+        let progress = leader_state.progress.get(&id)?;
         let identity = progress.identity;
         let caught_up =
-            progress.matched > 0 && progress.matched + CAUGHT_UP_GAP >= self.log.last_index();
-        if !self.wants_vote(id) || !caught_up || !progress.live.may_hold_lease(self.now) {
+            progress.matched > 0 && progress.matched + CAUGHT_UP_MAX_LAG >= self.log.last_index();
+        if !self.should_vote(id) || !caught_up || !progress.peer_lease.may_hold_lease(self.now) {
             return None;
         }
         let lost_disk = record.votes && record.identity != identity;
@@ -85,18 +85,18 @@
     fn change_membership(&mut self, next: Membership) {
         let last = self.log.last_index();
         let until = self.now + self.config.timing.member_lease_with_drift();
-        if let State::Leader(leadership) = &mut self.state {
+        if let State::Leader(leader_state) = &mut self.state {
             for member in next
                 .members
                 .iter()
                 .filter(|member| member.id != self.config.id)
             {
-                leadership
+                leader_state
                     .progress
                     .entry(member.id)
-                    .or_insert_with(|| Progress::new(last + 1, Liveness::inherited(until)));
+                    .or_insert_with(|| Progress::new(last + 1, PeerLease::inherited(until)));
             }
         }
-        self.append_own(vec![Payload::Membership(next)]);
+        self.append_as_leader(vec![Payload::Membership(next)]);
     }
 }
--- a/crates/cleat-quorum/src/core/message.rs
+++ b/crates/cleat-quorum/src/core/message.rs
@@ -146,7 +146,7 @@
     pub snapshot: Snapshot,
 }
 
-/// Who a voter is, for the formation of a group.
+/// Who a voter is, for the bootstrap of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The identity of the sender's disk.
--- a/crates/cleat-quorum/src/core/mod.rs
+++ b/crates/cleat-quorum/src/core/mod.rs
@@ -4,13 +4,13 @@
 //! a monotonic duration since any fixed point of this member's incarnation.
 
 mod apply;
+mod bootstrap;
 mod config;
 mod durability;
 mod election;
 mod event;
 mod follower;
-mod formation;
-mod joining;
+mod join;
 mod leader;
 mod lease;
 mod log;
@@ -44,14 +44,14 @@
     Term,
 };
 
+use bootstrap::BootstrapState;
 use durability::{Deferred, Durability};
-use formation::Formation;
-use lease::MemberLease;
+use lease::OwnLease;
 use log::Log;
-use progress::Leadership;
+use progress::LeaderState;
 
 /// How much longer the longest wait for another election is than the shortest.
-const RETRY_SPREAD: u32 = 4;
+const ELECTION_RETRY_SPREAD: u32 = 4;
 
 /// What a member finds on its disk when it starts.
 #[derive(Clone, Debug)]
@@ -75,9 +75,9 @@
     },
     Candidate {
         votes: BTreeSet<MemberId>,
-        asked_at: Duration,
+        requested_at: Duration,
     },
-    Leader(Box<Leadership>),
+    Leader(Box<LeaderState>),
 }
 
 /// One member's consensus state.
@@ -100,17 +100,17 @@
     ///
     /// Invariant: at least `election_timeout_min` after the start of this incarnation, since
     /// the member can't know which leader it heard before.
-    sticky_until: Duration,
-    election_due: Duration,
+    reject_votes_until: Duration,
+    election_deadline: Duration,
     durability: Durability,
-    lease: MemberLease,
+    lease: OwnLease,
     /// When a learner asks for its lease anew.
     renewal_due: Duration,
-    formation: Formation,
+    bootstrap: BootstrapState,
     /// Members that asked this leader to take them in.
     joiners: BTreeSet<MemberId>,
     /// The last entry for which a snapshot was asked for.
-    snapshot_asked: LogIndex,
+    requested_snapshot_index: LogIndex,
     effects: Vec<Effect>,
 }
 
@@ -122,7 +122,7 @@
         let incarnation = rng.random();
         let log = Log::new(recovery.snapshot, recovery.entries);
         let commit = log.snapshot_index();
-        let sticky_until = now + config.timing.election_timeout_min;
+        let reject_votes_until = now + config.timing.election_timeout_min;
         let mut core = Core {
             identity: recovery.identity,
             rng,
@@ -135,18 +135,18 @@
             applied: commit,
             state: State::Follower,
             leader: None,
-            sticky_until,
-            election_due: now,
-            lease: MemberLease::new(incarnation),
+            reject_votes_until,
+            election_deadline: now,
+            lease: OwnLease::new(incarnation),
             renewal_due: now,
-            formation: Formation::new(now),
+            bootstrap: BootstrapState::new(now),
             joiners: BTreeSet::new(),
-            snapshot_asked: 0,
+            requested_snapshot_index: 0,
             effects: Vec::new(),
             config,
         };
         if !core.is_sole_voter() {
-            core.reset_election();
+            core.reset_election_timeout();
         }
         core
     }
@@ -166,7 +166,7 @@
             Event::ReleaseLease => self.release(),
         }
         self.renew_own_lease();
-        if let Some(sync_id) = self.durability.seal(self.log.last_index()) {
+        if let Some(sync_id) = self.durability.finish_step(self.log.last_index()) {
             self.effects.push(Effect::Sync(sync_id));
         }
         std::mem::take(&mut self.effects)
@@ -175,29 +175,29 @@
     /// When the next [`Event::Tick`] is due.
     pub fn deadline(&self) -> Duration {
         match &self.state {
-            State::Leader(leadership) => leadership.heartbeat_due,
-            _ if !self.is_formed() => self.formation.hello_due(),
-            _ if self.asks_for_lease() => self.renewal_due.min(self.election_due),
-            _ => self.election_due,
+            State::Leader(leader_state) => leader_state.heartbeat_due,
+            _ if !self.is_initialized() => self.bootstrap.hello_due(),
+            _ if self.requests_lease_renewal() => self.renewal_due.min(self.election_deadline),
+            _ => self.election_deadline,
         }
     }
 
     fn tick(&mut self) {
         if matches!(self.state, State::Leader(_)) {
             self.tick_leader();
-        } else if !self.is_formed() {
-            self.tick_unformed();
+        } else if !self.is_initialized() {
+            self.tick_uninitialized();
         } else {
             self.tick_follower();
         }
     }
 
     fn tick_follower(&mut self) {
-        if self.now >= self.election_due {
+        if self.now >= self.election_deadline {
             return self.start_pre_vote();
         }
-        if self.asks_for_lease() && self.now >= self.renewal_due {
-            self.ask_for_lease();
+        if self.requests_lease_renewal() && self.now >= self.renewal_due {
+            self.request_lease_renewal();
         }
     }
 
@@ -218,14 +218,14 @@
             Body::Join(id) => return self.on_join(from, id),
             _ => {}
         }
-        if !self.is_formed() {
-            self.receive_unformed(group, from, term, body);
+        if !self.is_initialized() {
+            self.receive_uninitialized(group, from, term, body);
         } else if group == self.group {
-            self.receive_formed(from, term, body);
+            self.receive_initialized(from, term, body);
         }
     }
 
-    fn receive_formed(&mut self, from: MemberId, term: Term, body: Body) {
+    fn receive_initialized(&mut self, from: MemberId, term: Term, body: Body) {
         match body {
             Body::Append(append) => self.on_append(from, term, append),
             Body::InstallSnapshot(install) => self.on_install(from, term, install),
@@ -239,7 +239,7 @@
     }
 
     /// A member of no group only learns from a leader; it never votes.
-    fn receive_unformed(&mut self, group: u32, from: MemberId, term: Term, body: Body) {
+    fn receive_uninitialized(&mut self, group: u32, from: MemberId, term: Term, body: Body) {
         if term < self.hard_state.term {
             return;
         }
@@ -262,7 +262,7 @@
     }
 
     fn synced(&mut self, sync_id: SyncId) {
-        for deferred in self.durability.synced(sync_id) {
+        for deferred in self.durability.complete_sync(sync_id) {
             match deferred {
                 Deferred::Send(message) => self.effects.push(Effect::Send(message)),
                 Deferred::Ack {
@@ -298,17 +298,17 @@
 
     fn set_hard_state(&mut self, hard_state: HardState) {
         self.hard_state = hard_state;
-        self.durability.critical_written();
+        self.durability.mark_critical_write();
         self.write(Write::HardState(hard_state));
     }
 
     fn become_follower(&mut self) {
         let state = std::mem::replace(&mut self.state, State::Follower);
         self.leader = None;
-        self.reset_election();
-        if let State::Leader(leadership) = state {
+        self.reset_election_timeout();
+        if let State::Leader(leader_state) = state {
             let rejection = Rejection::NotLeader { leader: None };
-            for read in leadership.reads {
+            for read in leader_state.reads {
                 self.effects.push(Effect::ReadRejected {
                     id: read.id,
                     rejection,
@@ -318,32 +318,34 @@
         }
     }
 
-    fn reset_election(&mut self) {
+    fn reset_election_timeout(&mut self) {
         let Timing {
             election_timeout_min,
             election_timeout_max,
             lease_renewal,
             ..
         } = self.config.timing;
-        let wait = self
+        let timeout = self
             .rng
             .random_range(election_timeout_min..=election_timeout_max.max(election_timeout_min));
         // A learner elects nobody, and hears the leader less often.
         let learner = !self.is_voter();
-        let patience = if learner {
+        let learner_delay = if learner {
             lease_renewal
         } else {
             Duration::ZERO
         };
-        self.election_due = self.now + wait + patience;
+        self.election_deadline = self.now + timeout + learner_delay;
     }
 
     /// Sets when to try again if the election under way fails. The leader is
     /// gone by then, so the members' leases leave no time for a full wait.
-    fn retry_election(&mut self) {
+    fn schedule_election_retry(&mut self) {
         let longest = self.config.timing.election_timeout_min;
-        let wait = self.rng.random_range(longest / RETRY_SPREAD..=longest);
-        self.election_due = self.now + wait;
+        let wait = self
+            .rng
+            .random_range(longest / ELECTION_RETRY_SPREAD..=longest);
+        self.election_deadline = self.now + wait;
     }
 
     fn write(&mut self, write: Write) {
@@ -358,7 +360,7 @@
 
     /// Sends once everything written so far is on the disk.
     fn send_durable(&mut self, message: Message) {
-        if self.durability.is_clean() || !self.config.protections.sync_before_send {
+        if self.durability.is_fully_synced() || !self.config.protections.sync_before_send {
             self.effects.push(Effect::Send(message));
         } else {
             self.durability.defer(Deferred::Send(message));
@@ -376,7 +378,7 @@
     }
 
     /// Whether this member belongs to a group.
-    fn is_formed(&self) -> bool {
+    fn is_initialized(&self) -> bool {
         self.log.snapshot().is_some()
     }
 
@@ -392,7 +394,7 @@
 
     /// A group of one elects itself at once: no other leader can be live.
     fn is_sole_voter(&self) -> bool {
-        if self.is_formed() {
+        if self.is_initialized() {
             return self.is_voter() && self.log.membership().voters().count() == 1;
         }
         self.config.may_bootstrap() && self.config.voters().count() == 1
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use super::lease::Liveness;
+use super::lease::PeerLease;
 use super::message::{Ack, AckOutcome};
 use super::types::{LogIndex, MemberId};
 
@@ -35,14 +35,14 @@
     /// The highest round that this identity acknowledged.
     pub(crate) round: u64,
     /// When that round left.
-    pub(crate) round_sent: Option<Duration>,
+    pub(crate) round_sent_at: Option<Duration>,
     /// When anything was last sent to the member.
     pub(crate) sent_at: Duration,
-    pub(crate) live: Liveness,
+    pub(crate) peer_lease: PeerLease,
 }
 
 impl Progress {
-    pub(crate) fn new(next: LogIndex, live: Liveness) -> Progress {
+    pub(crate) fn new(next: LogIndex, peer_lease: PeerLease) -> Progress {
         Progress {
             identity: 0,
             matched: 0,
@@ -50,28 +50,28 @@
             needs_snapshot: false,
             inflight: None,
             round: 0,
-            round_sent: None,
+            round_sent_at: None,
             sent_at: Duration::ZERO,
-            live,
+            peer_lease,
         }
     }
 
     /// Forgets what another identity of the member held.
-    pub(crate) fn meet(&mut self, identity: u64) {
+    pub(crate) fn set_identity(&mut self, identity: u64) {
         if self.identity == identity {
             return;
         }
         self.identity = identity;
         self.matched = 0;
         self.inflight = None;
-        self.round_sent = None;
+        self.round_sent_at = None;
     }
 
     /// Whether the member lacks entries or is not known to have applied all
     /// that is committed.
-    pub(crate) fn lags(&self, last: LogIndex, commit: LogIndex) -> bool {
+    pub(crate) fn is_behind(&self, last: LogIndex, commit: LogIndex) -> bool {
         let sending = self.inflight.is_some() || self.needs_snapshot;
-        sending || self.next <= last || self.live.applied_index() < commit
+        sending || self.next <= last || self.peer_lease.applied_index() < commit
     }
 
     pub(crate) fn expire(&mut self, now: Duration) {
@@ -84,14 +84,14 @@
     }
 
     /// Takes what an acknowledgement of the current identity says of the log.
-    pub(crate) fn take_outcome(&mut self, ack: &Ack, overtaken: bool) {
+    pub(crate) fn apply_outcome(&mut self, ack: &Ack, stale: bool) {
         if let AckOutcome::Matched(index) = ack.outcome {
             self.matched = self.matched.max(index);
             self.next = self.next.max(index + 1);
-        } else if overtaken {
+        } else if stale {
             return;
         }
-        self.settle(ack.round);
+        self.complete_inflight(ack.round);
         if self.inflight.is_some() {
             return;
         }
@@ -108,7 +108,7 @@
     }
 
     /// Ends what is under way if this acknowledgement answers it.
-    fn settle(&mut self, round: u64) {
+    fn complete_inflight(&mut self, round: u64) {
         let answered =
             |inflight: Inflight| inflight.round == round || inflight.last_index <= self.matched;
         if self.inflight.is_some_and(answered) {
@@ -129,22 +129,22 @@
 pub(crate) struct Transfer {
     /// The first round whose acknowledgement makes a voter the successor.
     pub(crate) round: u64,
-    /// Whether a voter was told to stand for election since the last heartbeat.
-    pub(crate) told: bool,
+    /// Whether a voter was notified to stand for election since the last heartbeat.
+    pub(crate) notified: bool,
     /// When the leader steps down if nobody took over.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
 }
 
 /// The state that only a leader has.
 #[derive(Debug)]
-pub(crate) struct Leadership {
+pub(crate) struct LeaderState {
     /// The other members, and retired ones for their leases.
     pub(crate) progress: IndexMap<MemberId, Progress>,
     /// The leader's first entry. Invariant: the commit index covers every
     /// earlier term only once this entry is committed.
     pub(crate) first_index: LogIndex,
     /// When the votes were asked for: the first contact with a majority.
-    pub(crate) asked_at: Duration,
+    pub(crate) requested_at: Duration,
     pub(crate) heartbeat_due: Duration,
     pub(crate) reads: Vec<PendingRead>,
     /// Set for the rest of the term once the lead is handed over.
@@ -157,12 +157,12 @@
     rounds: VecDeque<(u64, Duration)>,
 }
 
-impl Leadership {
-    pub(crate) fn new(first_index: LogIndex, asked_at: Duration) -> Leadership {
-        Leadership {
+impl LeaderState {
+    pub(crate) fn new(first_index: LogIndex, requested_at: Duration) -> LeaderState {
+        LeaderState {
             progress: IndexMap::new(),
             first_index,
-            asked_at,
+            requested_at,
             heartbeat_due: Duration::ZERO,
             reads: Vec::new(),
             transfer: None,
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -44,10 +44,10 @@
             .quorum_value(0, |_, progress| progress.map_or(own_round, |p| p.round))
             .unwrap_or_default();
         let index = self.commit;
-        let State::Leader(leadership) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        for read in leadership
+        for read in leader_state
             .reads
             .extract_if(.., |read| read.round <= confirmed)
         {
@@ -63,7 +63,7 @@
         missing: T,
         value: impl Fn(&Core, Option<&Progress>) -> T,
     ) -> Option<T> {
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return None;
         };
         let membership = self.log.membership();
@@ -73,7 +73,7 @@
                 if voter.id == self.config.id {
                     return value(self, None);
                 }
-                let progress = leadership.progress.get(&voter.id);
+                let progress = leader_state.progress.get(&voter.id);
                 let known =
                     progress.filter(|p| self.counts_as_voter(membership, voter.id, p.identity));
                 known.map_or(missing, |progress| value(self, Some(progress)))
@@ -84,20 +84,20 @@
     }
 
     /// When the latest round left that a majority acknowledged.
-    fn quorum_sent(&self, now: Duration) -> Option<Duration> {
+    fn quorum_round_sent_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_value(None, |_, progress| match progress {
-            Some(progress) => progress.round_sent,
+            Some(progress) => progress.round_sent_at,
             None => Some(now),
         })?
     }
 
-    pub(super) fn quorum_contact(&self) -> Duration {
-        let State::Leader(leadership) = &self.state else {
+    pub(super) fn last_quorum_contact(&self) -> Duration {
+        let State::Leader(leader_state) = &self.state else {
             return Duration::ZERO;
         };
-        self.quorum_sent(self.now)
+        self.quorum_round_sent_at(self.now)
             .unwrap_or_default()
-            .max(leadership.asked_at)
+            .max(leader_state.requested_at)
     }
 
     pub(super) fn holds_leader_lease(&self) -> bool {
@@ -115,7 +115,7 @@
     fn leader_lease_start(&self, now: Duration) -> Option<Duration> {
         let ended =
             self.is_transferring_leadership() && self.config.protections.transfer_ends_lease;
-        self.quorum_sent(now).filter(|_| !ended)
+        self.quorum_round_sent_at(now).filter(|_| !ended)
     }
 
     pub(super) fn leader_lease_until(&self) -> Option<Duration> {
@@ -128,17 +128,18 @@
     /// Whether this leader's commit index covers all earlier terms.
     pub(super) fn has_committed_own_term(&self) -> bool {
         match &self.state {
-            State::Leader(leadership) => self.commit >= leadership.first_index,
+            State::Leader(leader_state) => self.commit >= leader_state.first_index,
             _ => false,
         }
     }
 
-    /// A leader grants itself a member's lease as it does to the others.
+    /// A leader grants_leases itself a member's lease as it does to the others.
     pub(super) fn renew_own_lease(&mut self) {
         if self.has_committed_own_term() && self.holds_leader_lease() {
             let until = self.now + self.config.timing.member_lease;
-            let gated = self.config.protections.apply_before_lease_resumes;
-            self.lease.extend(until, self.commit, self.now, gated);
+            let recheck_after_lapse = self.config.protections.apply_before_lease_resumes;
+            self.lease
+                .extend(until, self.commit, self.now, recheck_after_lapse);
         }
     }
 }
--- a/crates/cleat-quorum/src/core/replicate.rs
+++ b/crates/cleat-quorum/src/core/replicate.rs
@@ -6,9 +6,9 @@
 use super::{Core, State};
 
 /// After how many heartbeats unanswered entries are sent again.
-const RESEND_HEARTBEATS: u32 = 2;
+const RESEND_AFTER_HEARTBEATS: u32 = 2;
 /// How many heartbeats apart a learner hears from the leader unasked.
-const LEARNER_HEARTBEATS: u32 = 4;
+const LEARNER_HEARTBEAT_INTERVALS: u32 = 4;
 
 impl Core {
     /// Sends a heartbeat to every member, with entries for those that lack some.
@@ -29,10 +29,10 @@
         let Some(round) = self.next_round() else {
             return;
         };
-        if let State::Leader(leadership) = &mut self.state {
-            leadership.heartbeat_due = due;
-            if let Some(transfer) = &mut leadership.transfer {
-                transfer.told = false;
+        if let State::Leader(leader_state) = &mut self.state {
+            leader_state.heartbeat_due = due;
+            if let Some(transfer) = &mut leader_state.transfer {
+                transfer.notified = false;
             }
         }
         for id in members {
@@ -42,7 +42,7 @@
 
     /// Echoes the stamp of a learner that asks; the heartbeats stay due as
     /// they are.
-    fn renew(&mut self, id: MemberId) {
+    fn send_lease_renewal(&mut self, id: MemberId) {
         if let Some(round) = self.next_round() {
             self.send_to(id, round);
         }
@@ -51,27 +51,28 @@
     /// Whether a member needs every heartbeat. A learner that serves and lacks
     /// nothing asks by itself; it gets a few in case it does not know whom.
     fn needs_heartbeat(&self, id: MemberId) -> bool {
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return false;
         };
-        let Some(progress) = leadership.progress.get(&id) else {
+        let Some(progress) = leader_state.progress.get(&id) else {
             return false;
         };
         let votes = self.log.membership().get(id).is_some_and(|m| m.votes);
-        let served = progress.live.may_hold_lease(self.now)
-            && !progress.lags(self.log.last_index(), self.commit);
-        let spared = progress.sent_at + self.config.timing.heartbeat_interval * LEARNER_HEARTBEATS;
-        votes || !served || self.now >= spared
+        let up_to_date = progress.peer_lease.may_hold_lease(self.now)
+            && !progress.is_behind(self.log.last_index(), self.commit);
+        let next_due =
+            progress.sent_at + self.config.timing.heartbeat_interval * LEARNER_HEARTBEAT_INTERVALS;
+        votes || !up_to_date || self.now >= next_due
     }
 
     /// Sends what a member lacks, unless something is under way to it.
     pub(super) fn send_pending(&mut self, id: MemberId) {
         let last = self.log.last_index();
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return;
         };
         let idle = |p: &Progress| p.inflight.is_none() && (p.next <= last || p.needs_snapshot);
-        if leadership.progress.get(&id).is_some_and(idle)
+        if leader_state.progress.get(&id).is_some_and(idle)
             && let Some(round) = self.next_round()
         {
             self.send_to(id, round);
@@ -81,26 +82,26 @@
     pub(super) fn next_round(&mut self) -> Option<u64> {
         let horizon = self.config.timing.election_timeout_max;
         match &mut self.state {
-            State::Leader(leadership) => Some(leadership.next_round(self.now, horizon)),
+            State::Leader(leader_state) => Some(leader_state.next_round(self.now, horizon)),
             _ => None,
         }
     }
 
     fn send_to(&mut self, id: MemberId, round: u64) {
-        let grants = self.holds_leader_lease() && self.has_committed_own_term();
-        let State::Leader(leadership) = &mut self.state else {
+        let grants_leases = self.holds_leader_lease() && self.has_committed_own_term();
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let Some(progress) = leadership.progress.get_mut(&id) else {
+        let Some(progress) = leader_state.progress.get_mut(&id) else {
             return;
         };
         progress.expire(self.now);
         progress.sent_at = self.now;
-        let echo = progress.live.echo().filter(|_| grants);
+        let echo = progress.peer_lease.echo().filter(|_| grants_leases);
         let idle = progress.inflight.is_none();
-        let cut_off = self.log.term_at(progress.next - 1).is_none();
-        let expires = self.now + self.config.timing.heartbeat_interval * RESEND_HEARTBEATS;
-        if idle && (progress.needs_snapshot || cut_off) {
+        let compacted = self.log.term_at(progress.next - 1).is_none();
+        let expires = self.now + self.config.timing.heartbeat_interval * RESEND_AFTER_HEARTBEATS;
+        if idle && (progress.needs_snapshot || compacted) {
             return self.send_snapshot(id, round, echo);
         }
         // What is under way arrives first, as a rule; if not, the member
@@ -124,7 +125,7 @@
         let append = Append {
             round,
             prev_index,
-            // A member that lags behind the log just answers that it differs.
+            // A member that is_behind behind the log just answers that it differs.
             prev_term: self.log.term_at(prev_index).unwrap_or_default(),
             commit: self.commit,
             echo,
@@ -139,8 +140,8 @@
         };
         // A snapshot takes longer on the way than entries do.
         let expires = self.now + self.config.timing.election_timeout_max;
-        if let State::Leader(leadership) = &mut self.state
-            && let Some(progress) = leadership.progress.get_mut(&id)
+        if let State::Leader(leader_state) = &mut self.state
+            && let Some(progress) = leader_state.progress.get_mut(&id)
         {
             progress.inflight = Some(Inflight {
                 round,
@@ -173,43 +174,45 @@
             return;
         }
         let until = self.now + self.config.timing.member_lease_with_drift();
-        let State::Leader(leadership) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        let sent_at = leadership.sent_at(ack.round);
-        let Some(progress) = leadership.progress.get_mut(&from) else {
+        let sent_at = leader_state.sent_at(ack.round);
+        let Some(progress) = leader_state.progress.get_mut(&from) else {
             return;
         };
-        progress.live.acked(ack.stamp, ack.applied, until);
-        // An acknowledgement that was overtaken still tells what its disk
+        progress
+            .peer_lease
+            .record_ack(ack.stamp, ack.applied, until);
+        // An acknowledgement that was stale still tells what its disk
         // holds, unless another disk has spoken since.
-        let overtaken = ack.round < progress.round;
-        if overtaken && ack.identity != progress.identity {
+        let stale = ack.round < progress.round;
+        if stale && ack.identity != progress.identity {
             return;
         }
-        progress.meet(ack.identity);
+        progress.set_identity(ack.identity);
         // A member of no group yet may vote soon; no lease can rest on it.
         if ack.outcome != AckOutcome::Uninitialized {
             progress.round = progress.round.max(ack.round);
-            progress.round_sent = progress.round_sent.max(sent_at);
+            progress.round_sent_at = progress.round_sent_at.max(sent_at);
         }
-        progress.take_outcome(ack, overtaken);
+        progress.apply_outcome(ack, stale);
         self.advance_commit();
         self.confirm_reads();
-        self.offer_lead(from, ack.round);
+        self.try_transfer_to(from, ack.round);
         if ack.round == NO_ROUND {
-            self.renew(from);
+            self.send_lease_renewal(from);
         } else {
             self.send_pending(from);
         }
-        self.maintain_membership();
+        self.reconcile_membership();
     }
 
     pub(super) fn on_release(&mut self, from: MemberId, stamp: LeaseStamp) {
-        if let State::Leader(leadership) = &mut self.state
-            && let Some(progress) = leadership.progress.get_mut(&from)
+        if let State::Leader(leader_state) = &mut self.state
+            && let Some(progress) = leader_state.progress.get_mut(&from)
         {
-            progress.live.release(stamp);
+            progress.peer_lease.release(stamp);
         }
     }
 }
--- a/crates/cleat-quorum/src/core/status.rs
+++ b/crates/cleat-quorum/src/core/status.rs
@@ -73,7 +73,7 @@
     /// The part that this member plays.
     pub fn role(&self) -> Role {
         match &self.state {
-            _ if !self.is_formed() => Role::Uninitialized,
+            _ if !self.is_initialized() => Role::Uninitialized,
             State::Leader(_) => Role::Leader,
             State::Follower if !self.is_voter() => Role::Learner,
             State::Follower => Role::Follower,
@@ -92,15 +92,15 @@
     /// Whether the entry is applied on every member that may hold a lease.
     /// Only a leader that is certain of being the only one can say so.
     pub fn in_force(&self, index: LogIndex, now: Duration) -> bool {
-        let certain = self.has_committed_own_term()
+        let confirmed = self.has_committed_own_term()
             && self.holds_leader_lease_at(now)
             && self.applied >= index;
-        certain && self.members_behind(index, now).is_empty()
+        confirmed && self.members_behind(index, now).is_empty()
     }
 
     /// The members that may hold a lease and have not reported the entry.
     pub fn members_behind(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
-        self.members_before(index, now)
+        self.lease_holders_behind(index, now)
     }
 
     /// The identity of this member's disk.
@@ -161,18 +161,18 @@
     }
 
     fn member_statuses(&self) -> Vec<MemberStatus> {
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return Vec::new();
         };
         let members = self.log.membership().members.iter();
         members
             .map(|member| {
-                let progress = leadership.progress.get(&member.id);
+                let progress = leader_state.progress.get(&member.id);
                 MemberStatus {
                     id: member.id,
                     votes: member.votes,
-                    applied: progress.map_or(self.applied, |p| p.live.applied_index()),
-                    may_hold_lease: progress.is_none_or(|p| p.live.may_hold_lease(self.now)),
+                    applied: progress.map_or(self.applied, |p| p.peer_lease.applied_index()),
+                    may_hold_lease: progress.is_none_or(|p| p.peer_lease.may_hold_lease(self.now)),
                 }
             })
             .collect()
--- a/crates/cleat-quorum/src/core/transfer.rs
+++ b/crates/cleat-quorum/src/core/transfer.rs
@@ -2,7 +2,7 @@
 //!
 //! It takes no more commands and trusts its own lease no longer. Once all it
 //! appended is committed, the first voter that acknowledges a later round and
-//! holds the whole log is told to stand for election at once; the others vote
+//! holds the whole log is notified to stand for election at once; the others vote
 //! for it without waiting for the old leader's silence. If nobody takes over,
 //! the leader steps down and an ordinary election follows.
 
@@ -13,19 +13,19 @@
 
 impl Core {
     pub(super) fn transfer_leadership(&mut self) {
-        let until = self.now + self.config.timing.election_timeout_min;
+        let deadline = self.now + self.config.timing.election_timeout_min;
         if !self.has_other_voters() || self.is_transferring_leadership() {
             return;
         }
-        let State::Leader(leadership) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
         // Only rounds that begin after the lease was given up count: the
-        // driver shows the end of the lease before anyone is told to stand.
-        leadership.transfer = Some(Transfer {
-            round: leadership.upcoming_round(),
-            told: false,
-            until,
+        // driver shows the end of the lease before anyone is notified to stand.
+        leader_state.transfer = Some(Transfer {
+            round: leader_state.upcoming_round(),
+            notified: false,
+            deadline,
         });
         self.heartbeat();
     }
@@ -40,48 +40,48 @@
         self.transfer().is_some()
     }
 
-    pub(super) fn transfer_failed(&self) -> bool {
+    pub(super) fn transfer_timed_out(&self) -> bool {
         self.transfer()
-            .is_some_and(|transfer| self.now >= transfer.until)
+            .is_some_and(|transfer| self.now >= transfer.deadline)
     }
 
     fn transfer(&self) -> Option<&Transfer> {
         match &self.state {
-            State::Leader(leadership) => leadership.transfer.as_ref(),
+            State::Leader(leader_state) => leader_state.transfer.as_ref(),
             _ => None,
         }
     }
 
     /// Tells the voter to stand for election if it is the first, since the
     /// last heartbeat, that could replace this leader.
-    pub(super) fn offer_lead(&mut self, to: MemberId, round: u64) {
+    pub(super) fn try_transfer_to(&mut self, to: MemberId, round: u64) {
         let last = self.log.last_index();
-        let settled = self.commit == last;
-        let State::Leader(leadership) = &self.state else {
+        let committed = self.commit == last;
+        let State::Leader(leader_state) = &self.state else {
             return;
         };
-        let due = leadership
+        let due = leader_state
             .transfer
-            .is_some_and(|transfer| !transfer.told && round >= transfer.round);
-        let ready = leadership.progress.get(&to).is_some_and(|progress| {
+            .is_some_and(|transfer| !transfer.notified && round >= transfer.round);
+        let ready = leader_state.progress.get(&to).is_some_and(|progress| {
             let votes = self.counts_as_voter(self.log.membership(), to, progress.identity);
             votes && progress.matched == last
         });
-        if !due || !ready || !settled {
+        if !due || !ready || !committed {
             return;
         }
-        if let State::Leader(leadership) = &mut self.state
-            && let Some(transfer) = &mut leadership.transfer
+        if let State::Leader(leader_state) = &mut self.state
+            && let Some(transfer) = &mut leader_state.transfer
         {
-            transfer.told = true;
+            transfer.notified = true;
         }
         self.send(to, Body::TimeoutNow);
     }
 
     pub(super) fn on_timeout_now(&mut self, from: MemberId, term: Term) {
-        let told_by_leader = term == self.hard_state.term && self.leader == Some(from);
-        let follows = matches!(self.state, State::Follower);
-        if told_by_leader && follows && self.is_voter() {
+        let sent_by_leader = term == self.hard_state.term && self.leader == Some(from);
+        let is_follower = matches!(self.state, State::Follower);
+        if sent_by_leader && is_follower && self.is_voter() {
             self.leader = None;
             self.start_election(true);
         }
--- a/crates/cleat-quorum/src/driver/disk.rs
+++ b/crates/cleat-quorum/src/driver/disk.rs
@@ -35,8 +35,8 @@
     synced: &UnboundedSender<Result<SyncId, StoreError>>,
 ) {
     while let Ok(first) = batches.recv() {
-        let group = std::iter::once(first).chain(batches.try_iter());
-        let result = commit(&mut store, group);
+        let pending_batches = std::iter::once(first).chain(batches.try_iter());
+        let result = write_and_sync(&mut store, pending_batches);
         let failed = result.is_err();
         if synced.send(result).is_err() || failed {
             return;
@@ -45,12 +45,12 @@
 }
 
 /// Writes all that waits and syncs it at once.
-fn commit(
+fn write_and_sync(
     store: &mut impl Store,
-    group: impl Iterator<Item = Batch>,
+    pending_batches: impl Iterator<Item = Batch>,
 ) -> Result<SyncId, StoreError> {
     let mut last = SyncId::default();
-    for batch in group {
+    for batch in pending_batches {
         for write in &batch.writes {
             store.write(write)?;
         }
--- a/crates/cleat-quorum/src/driver/replica.rs
+++ b/crates/cleat-quorum/src/driver/replica.rs
@@ -102,9 +102,9 @@
         if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > BOOTSTRAP_INDEX) {
             state_machine.restore(&snapshot.data)?;
         }
-        let origin = BootTime::now();
+        let clock_origin = BootTime::now();
         let core = Core::new(cfg.core, recovery, Duration::ZERO);
-        let status = Status::new(core.status(), origin);
+        let status = Status::new(core.status(), clock_origin);
         let status = Arc::new(ArcSwap::from_pointee(status));
         let (applied_tx, applied) = watch::channel(core.status().applied);
         let (requests, requests_rx) = mpsc::channel(REQUEST_QUEUE);
@@ -125,7 +125,7 @@
             status: status.clone(),
             applied: applied_tx,
         };
-        tokio::spawn(Task::new(core, origin, outputs).run(inputs));
+        tokio::spawn(Task::new(core, clock_origin, outputs).run(inputs));
         Ok(Replica {
             requests,
             messages,
@@ -141,13 +141,13 @@
     /// See [`ProposeError`]; only `OutcomeUnknown` leaves it open whether the
     /// command is or will be applied.
     pub async fn propose(&self, command: Box<[u8]>) -> Result<Applied, ProposeError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let proposal = Proposal {
             command: command.into(),
             reply,
         };
-        self.ask(Request::Propose(proposal)).await?;
-        answer.await.unwrap_or(Err(ProposeError::OutcomeUnknown))
+        self.send_request(Request::Propose(proposal)).await?;
+        response.await.unwrap_or(Err(ProposeError::OutcomeUnknown))
     }
 
     /// An index that covers all that was committed before the call, and that
@@ -156,9 +156,9 @@
     /// # Errors
     /// See [`ProposeError`].
     pub async fn read_index(&self) -> Result<u64, ProposeError> {
-        let (reply, answer) = oneshot::channel();
-        self.ask(Request::Read(reply)).await?;
-        answer.await.unwrap_or(Err(ProposeError::Stopped))
+        let (reply, response) = oneshot::channel();
+        self.send_request(Request::Read(reply)).await?;
+        response.await.unwrap_or(Err(ProposeError::Stopped))
     }
 
     /// Waits until the entry is applied on every member that may serve.
@@ -166,7 +166,7 @@
     /// # Errors
     /// See [`InForceError`].
     pub async fn wait_in_force(&self, index: u64, limit: Duration) -> Result<(), InForceError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let wait = InForceWait {
             index,
             deadline: Instant::now() + limit,
@@ -174,7 +174,7 @@
         };
         let sent = self.requests.send(Request::InForce(wait)).await;
         sent.map_err(|_| InForceError::Stopped)?;
-        answer.await.unwrap_or(Err(InForceError::Stopped))
+        response.await.unwrap_or(Err(InForceError::Stopped))
     }
 
     /// Waits until the entry is applied on this member.
@@ -196,12 +196,13 @@
     /// # Errors
     /// See [`ProposeError`]. Success means that the change is appended.
     pub async fn remove_member(&self, id: MemberId) -> Result<(), ProposeError> {
-        let (reply, answer) = oneshot::channel();
-        self.ask(Request::RemoveMember { id, reply }).await?;
-        answer.await.unwrap_or(Err(ProposeError::Stopped))
+        let (reply, response) = oneshot::channel();
+        self.send_request(Request::RemoveMember { id, reply })
+            .await?;
+        response.await.unwrap_or(Err(ProposeError::Stopped))
     }
 
-    async fn ask(&self, request: Request) -> Result<(), ProposeError> {
+    async fn send_request(&self, request: Request) -> Result<(), ProposeError> {
         let sent = self.requests.send(request).await;
         sent.map_err(|_| ProposeError::Stopped)
     }
--- a/crates/cleat-quorum/src/driver/status.rs
+++ b/crates/cleat-quorum/src/driver/status.rs
@@ -12,9 +12,9 @@
 }
 
 impl Status {
-    pub(crate) fn new(core: CoreStatus, origin: BootTime) -> Status {
-        let serves_until = core.serves_until.map(|until| origin + until);
-        let leader_lease_until = core.leader_lease_until.map(|until| origin + until);
+    pub(crate) fn new(core: CoreStatus, clock_origin: BootTime) -> Status {
+        let serves_until = core.serves_until.map(|until| clock_origin + until);
+        let leader_lease_until = core.leader_lease_until.map(|until| clock_origin + until);
         Status {
             core,
             serves_until,
--- a/crates/cleat-quorum/src/driver/task.rs
+++ b/crates/cleat-quorum/src/driver/task.rs
@@ -21,11 +21,11 @@
 use crate::store::StoreError;
 
 /// How many requests one step groups at most.
-const GROUP: usize = 256;
+const MAX_REQUESTS_PER_STEP: usize = 256;
 /// How long a stop waits for the next leader at most.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(1_000);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How many messages are taken before the task looks elsewhere.
-const MESSAGES: usize = 64;
+const MAX_MESSAGES_PER_TURN: usize = 64;
 
 /// What the task listens to.
 pub(crate) struct Inputs {
@@ -50,14 +50,14 @@
     #[snafu(context(false), display("{source}"))]
     Disk { source: StoreError },
     #[snafu(display("the disk thread ended"))]
-    DiskGone,
+    DiskThreadEnded,
     #[snafu(context(false), display("{source}"))]
     Restore { source: RestoreError },
 }
 
 pub(crate) struct Task<T, M> {
     core: Core,
-    origin: BootTime,
+    clock_origin: BootTime,
     outputs: Outputs<T, M>,
     writes: Vec<Write>,
     waiters: Waiters,
@@ -66,49 +66,49 @@
     removal: Option<Reply<(), ProposeError>>,
     role: Role,
     /// When a stop ends at the latest; none unless the lead is handed over.
-    stop_by: Option<Instant>,
+    stop_deadline: Option<Instant>,
 }
 
 impl<T: Transport, M: StateMachine> Task<T, M> {
-    pub(crate) fn new(core: Core, origin: BootTime, outputs: Outputs<T, M>) -> Task<T, M> {
+    pub(crate) fn new(core: Core, clock_origin: BootTime, outputs: Outputs<T, M>) -> Task<T, M> {
         Task {
             role: core.role(),
             core,
-            origin,
+            clock_origin,
             outputs,
             writes: Vec::new(),
             waiters: Waiters::default(),
             proposals: Vec::new(),
             removal: None,
-            stop_by: None,
+            stop_deadline: None,
         }
     }
 
     pub(crate) async fn run(mut self, mut inputs: Inputs) {
-        if let Err(failure) = self.serve(&mut inputs).await {
+        if let Err(failure) = self.run_until_stopped(&mut inputs).await {
             error!("the replica stops: {failure}");
         }
         let last = self.outputs.status.load().stopped();
         self.outputs.status.store(Arc::new(last));
-        self.waiters.stop();
+        self.waiters.reject_all();
         inputs.requests.close();
         while let Ok(request) = inputs.requests.try_recv() {
-            refuse(request);
+            reject_stopped(request);
         }
     }
 
-    async fn serve(&mut self, inputs: &mut Inputs) -> Result<(), Failure> {
-        let mut requests = Vec::with_capacity(GROUP);
-        let mut messages = Vec::with_capacity(MESSAGES);
+    async fn run_until_stopped(&mut self, inputs: &mut Inputs) -> Result<(), Failure> {
+        let mut requests = Vec::with_capacity(MAX_REQUESTS_PER_STEP);
+        let mut messages = Vec::with_capacity(MAX_MESSAGES_PER_TURN);
         loop {
             let deadline = self.deadline();
             tokio::select! {
-                _ = inputs.stop.recv(), if self.stop_by.is_none() => self.begin_stop()?,
+                _ = inputs.stop.recv(), if self.stop_deadline.is_none() => self.begin_stop()?,
                 synced = inputs.synced.recv() => {
-                    let sync_id = synced.ok_or(Failure::DiskGone)??;
+                    let sync_id = synced.ok_or(Failure::DiskThreadEnded)??;
                     self.step(Event::Synced(sync_id))?;
                 }
-                count = inputs.messages.recv_many(&mut messages, MESSAGES) => {
+                count = inputs.messages.recv_many(&mut messages, MAX_MESSAGES_PER_TURN) => {
                     if count == 0 {
                         return Ok(());
                     }
@@ -116,27 +116,30 @@
                         self.step(Event::Receive(message))?;
                     }
                 }
-                count = inputs.requests.recv_many(&mut requests, GROUP), if self.core.can_accept_proposals() => {
+                count = inputs.requests.recv_many(&mut requests, MAX_REQUESTS_PER_STEP), if self.core.can_accept_proposals() => {
                     if count == 0 {
                         return Ok(());
                     }
-                    self.take(requests.drain(..))?;
+                    self.handle_requests(requests.drain(..))?;
                 }
                 () = sleep_until(deadline) => self.step(Event::Tick)?,
             }
             let now = Instant::now();
-            let local = BootTime::now() - self.origin;
-            self.waiters.check_in_force(&self.core, local, now);
-            if self.stop_by.is_some_and(|limit| self.may_stop(limit, now)) {
+            let core_now = BootTime::now() - self.clock_origin;
+            self.waiters.check_in_force(&self.core, core_now, now);
+            if self
+                .stop_deadline
+                .is_some_and(|limit| self.can_stop(limit, now))
+            {
                 return self.step(Event::ReleaseLease);
             }
         }
     }
 
     fn deadline(&self) -> Instant {
-        let local = BootTime::now() - self.origin;
-        let core = Instant::now() + self.core.deadline().saturating_sub(local);
-        let others = [self.waiters.deadline(), self.stop_by];
+        let core_now = BootTime::now() - self.clock_origin;
+        let core = Instant::now() + self.core.deadline().saturating_sub(core_now);
+        let others = [self.waiters.deadline(), self.stop_deadline];
         others.into_iter().flatten().fold(core, Instant::min)
     }
 
@@ -145,23 +148,23 @@
         self.step(Event::TransferLeadership)?;
         let now = Instant::now();
         let limit = if self.core.is_transferring_leadership() {
-            HAND_OVER_LIMIT
+            TRANSFER_TIMEOUT
         } else {
             Duration::ZERO
         };
-        self.stop_by = Some(now + limit);
+        self.stop_deadline = Some(now + limit);
         Ok(())
     }
 
     /// The next leader has to be known, so that it is told of the release.
-    fn may_stop(&self, limit: Instant, now: Instant) -> bool {
+    fn can_stop(&self, limit: Instant, now: Instant) -> bool {
         let replaced =
             !self.core.is_transferring_leadership() && self.core.status().leader.is_some();
         replaced || now >= limit
     }
 
     /// Takes requests; all proposals among them become one group.
-    fn take(&mut self, requests: impl Iterator<Item = Request>) -> Result<(), Failure> {
+    fn handle_requests(&mut self, requests: impl Iterator<Item = Request>) -> Result<(), Failure> {
         let limit = self.core.max_command_bytes();
         let mut proposals = Vec::new();
         for request in requests {
@@ -202,25 +205,25 @@
     fn step(&mut self, event: Event) -> Result<(), Failure> {
         let mut next = Some(event);
         while let Some(event) = next.take() {
-            let now = BootTime::now() - self.origin;
+            let now = BootTime::now() - self.clock_origin;
             for effect in self.core.step(event, now) {
                 // The effects of one step come before those of the next: the
                 // tickets of syncs must reach the disk in order.
-                next = self.carry_out(effect)?.or(next);
+                next = self.execute(effect)?.or(next);
             }
         }
-        self.publish();
+        self.publish_status();
         Ok(())
     }
 
     /// Carries out an effect; gives the event that it leads to.
-    fn carry_out(&mut self, effect: Effect) -> Result<Option<Event>, Failure> {
+    fn execute(&mut self, effect: Effect) -> Result<Option<Event>, Failure> {
         match effect {
             Effect::Write(write) => self.writes.push(write),
             Effect::Sync(sync_id) => {
                 let writes = std::mem::take(&mut self.writes);
                 let sent = self.outputs.batches.send(Batch { writes, sync_id });
-                sent.map_err(|_| Failure::DiskGone)?;
+                sent.map_err(|_| Failure::DiskThreadEnded)?;
             }
             Effect::Send(message) => self.outputs.transport.send(message.to, message),
             Effect::Apply {
@@ -228,20 +231,20 @@
                 term,
                 command,
             } => {
-                let answer = self.outputs.state_machine.apply(index, &command);
-                self.waiters.applied(index, term, answer);
+                let response = self.outputs.state_machine.apply(index, &command);
+                self.waiters.applied(index, term, response);
             }
             Effect::Restore(snapshot) => self.outputs.state_machine.restore(&snapshot.data)?,
             Effect::TakeSnapshot(index) => {
                 let data: Arc<[u8]> = self.outputs.state_machine.snapshot().into();
-                self.warn_of_snapshot(index, &data);
+                self.warn_if_snapshot_too_large(index, &data);
                 return Ok(Some(Event::SnapshotTaken { index, data }));
             }
             Effect::Accepted { first, term } => {
                 let proposals = std::mem::take(&mut self.proposals);
                 self.waiters.accepted(first, term, proposals);
             }
-            Effect::Rejected(rejection) => self.refuse_step(rejection),
+            Effect::Rejected(rejection) => self.reject_pending(rejection),
             Effect::ReadReady { id, index } => self.waiters.finish_read(id, Ok(index)),
             Effect::ReadRejected { id, rejection } => {
                 self.waiters.finish_read(id, Err(rejection.into()));
@@ -251,13 +254,13 @@
         Ok(None)
     }
 
-    fn warn_of_snapshot(&self, index: u64, data: &[u8]) {
+    fn warn_if_snapshot_too_large(&self, index: u64, data: &[u8]) {
         if data.len() > self.core.max_snapshot_bytes() {
             warn!("the snapshot at entry {index} is over the limit; the log is not compacted");
         }
     }
 
-    fn refuse_step(&mut self, rejection: Rejection) {
+    fn reject_pending(&mut self, rejection: Rejection) {
         for proposal in self.proposals.drain(..) {
             let _ = proposal.reply.send(Err(rejection.into()));
         }
@@ -266,8 +269,8 @@
         }
     }
 
-    fn publish(&mut self) {
-        let status = Status::new(self.core.status(), self.origin);
+    fn publish_status(&mut self) {
+        let status = Status::new(self.core.status(), self.clock_origin);
         if status.role() != self.role {
             self.role = status.role();
             info!("now {:?} in term {}", status.role(), status.term());
@@ -282,7 +285,7 @@
     }
 }
 
-fn refuse(request: Request) {
+fn reject_stopped(request: Request) {
     match request {
         Request::Propose(proposal) => drop(proposal.reply.send(Err(ProposeError::Stopped))),
         Request::Read(reply) => drop(reply.send(Err(ProposeError::Stopped))),
--- a/crates/cleat-quorum/src/driver/waiters.rs
+++ b/crates/cleat-quorum/src/driver/waiters.rs
@@ -11,7 +11,7 @@
 use super::request::{InForceWait, Proposal, Reply};
 use crate::core::{Core, LogIndex, Role, Term};
 
-struct Pending {
+struct PendingProposal {
     index: LogIndex,
     term: Term,
     reply: Reply<Applied, ProposeError>,
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(crate) struct Waiters {
     /// Invariant: ascending by index, all of the term that this member leads.
-    proposals: VecDeque<Pending>,
+    proposals: VecDeque<PendingProposal>,
     reads: IndexMap<u64, Reply<u64, ProposeError>>,
     next_read: u64,
     in_force: Vec<InForceWait>,
@@ -30,12 +30,13 @@
     pub(crate) fn accepted(&mut self, first: LogIndex, term: Term, proposals: Vec<Proposal>) {
         for (index, proposal) in (first..).zip(proposals) {
             let reply = proposal.reply;
-            self.proposals.push_back(Pending { index, term, reply });
+            self.proposals
+                .push_back(PendingProposal { index, term, reply });
         }
     }
 
     pub(crate) fn applied(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
-        let due = |pending: &mut Pending| pending.index <= index;
+        let due = |pending: &mut PendingProposal| pending.index <= index;
         let Some(pending) = self.proposals.pop_front_if(due) else {
             return;
         };
@@ -77,17 +78,17 @@
     }
 
     /// Answers those whose entry is in force, whose time is over, or who ask
-    /// a member that does not lead. `local` is the core's time.
-    pub(crate) fn check_in_force(&mut self, core: &Core, local: Duration, now: Instant) {
+    /// a member that does not lead. `core_now` is the core's time.
+    pub(crate) fn check_in_force(&mut self, core: &Core, core_now: Duration, now: Instant) {
         let leads = core.role() == Role::Leader;
         for wait in std::mem::take(&mut self.in_force) {
             let result = if !leads {
                 let leader = core.status().leader;
                 Err(InForceError::NotLeader { leader })
-            } else if core.in_force(wait.index, local) {
+            } else if core.in_force(wait.index, core_now) {
                 Ok(())
             } else if now >= wait.deadline {
-                let members_behind = core.members_behind(wait.index, local);
+                let members_behind = core.members_behind(wait.index, core_now);
                 Err(InForceError::Timeout { members_behind })
             } else {
                 self.in_force.push(wait);
@@ -98,7 +99,7 @@
     }
 
     /// Answers everyone at the end of the task.
-    pub(crate) fn stop(&mut self) {
+    pub(crate) fn reject_all(&mut self) {
         self.lost_leadership();
         for (_, reply) in self.reads.drain(..) {
             let _ = reply.send(Err(ProposeError::Stopped));
--- a/crates/cleat-quorum/tests/core.rs
+++ b/crates/cleat-quorum/tests/core.rs
@@ -15,7 +15,7 @@
 
 /// Figure 8 of the Raft paper: an entry of term 2 reaches a majority under
 /// the leader of term 4, while another member holds an entry of term 3.
-fn commit_of_old_term(own_term_commit: bool) -> u64 {
+fn commit_index_with_old_term_majority(own_term_commit: bool) -> u64 {
     let mut group = Group::new(5, 0, |id, config, recovery| {
         config.protections.own_term_commit = own_term_commit;
         config.limits = Limits {
@@ -29,7 +29,7 @@
         }
     });
     // Only member 0 can be elected, and only the old entry reaches member 2.
-    group.passes = |message| {
+    group.filter_message = |message| {
         if let Body::Append(append) = &mut message.body {
             append.entries.retain(|entry| entry.term < 4);
             return message.to.0 <= 2;
@@ -48,9 +48,9 @@
 
 #[test]
 fn advance_commit_old_term() {
-    assert_eq!(commit_of_old_term(true), BOOTSTRAP_INDEX);
+    assert_eq!(commit_index_with_old_term_majority(true), BOOTSTRAP_INDEX);
     assert_eq!(
-        commit_of_old_term(false),
+        commit_index_with_old_term_majority(false),
         3,
         "the check must notice the rule's absence"
     );
@@ -58,7 +58,7 @@
 
 #[test]
 fn new_sole_voter_leads_at_once() {
-    let mut group = Group::formed(1, 0);
+    let mut group = Group::with_defaults(1, 0);
     group.step(0, Event::Tick);
     let status = group.core(0).status();
     assert_eq!(
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn in_force_waits_for_lapse() {
-    let mut group = Group::formed(3, 1);
+fn in_force_waits_for_lease_expiry() {
+    let mut group = Group::with_defaults(3, 1);
     group.advance(seconds(3));
     let leader = group.leader();
     assert!(group.core(3).in_service(group.now));
     // The learner gets nothing any more: it is waited for until it lapses.
-    group.passes = |message| message.to.0 != 3 && message.from.0 != 3;
+    group.filter_message = |message| message.to.0 != 3 && message.from.0 != 3;
     group.propose(leader, b"change");
     let index = group.core(leader).status().commit;
     assert!(!group.core(leader).in_force(index, group.now));
@@ -127,22 +127,22 @@
 }
 
 #[test]
-fn release_is_not_waited_for() {
-    let mut group = Group::formed(3, 1);
+fn in_force_ignores_released_lease() {
+    let mut group = Group::with_defaults(3, 1);
     group.advance(seconds(3));
     let leader = group.leader();
     group.step(3, Event::ReleaseLease);
     group.deliver_all();
     assert!(!group.core(3).in_service(group.now));
-    group.passes = |message| message.to.0 != 3;
+    group.filter_message = |message| message.to.0 != 3;
     group.propose(leader, b"change");
     let index = group.core(leader).status().commit;
     assert!(group.core(leader).in_force(index, group.now));
 }
 
 #[test]
-fn lost_disk_regains_its_vote() {
-    let mut group = Group::formed(3, 0);
+fn member_with_lost_disk_regains_its_vote() {
+    let mut group = Group::with_defaults(3, 0);
     group.advance(seconds(3));
     let lost = (group.leader() + 1) % 3;
     let fresh = Group::new(3, 0, |_, _, recovery| recovery.identity += 7777);
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn hello_answer_to_lost_disk_founds_nothing() {
-    let mut group = Group::formed(3, 0);
+fn hello_reply_to_lost_disk_does_not_bootstrap() {
+    let mut group = Group::with_defaults(3, 0);
     group.step(0, Event::Tick);
     // The answers arrive after member 0 lost its disk.
     let mut answers = Vec::new();
@@ -187,13 +187,13 @@
 
 #[test]
 fn propose_rejections() {
-    let mut group = Group::formed(3, 0);
+    let mut group = Group::with_defaults(3, 0);
     group.advance(seconds(3));
     let leader = group.leader();
     let large = vec![0; Limits::default().max_command_bytes + 1];
     group.propose(leader, &large);
     group.propose((leader + 1) % 3, b"elsewhere");
-    group.passes = |_| false;
+    group.filter_message = |_| false;
     let before = group.core(leader).log_bounds().1;
     group.now += Duration::from_millis(900);
     group.propose(leader, b"cut off");
@@ -221,11 +221,11 @@
 /// A learner renews its lease by asking: two messages at a time, and never
 /// less than a second of lease left.
 #[test]
-fn ask_for_lease_idle_learner() {
+fn request_lease_renewal_idle_learner() {
     static MESSAGES: AtomicU32 = AtomicU32::new(0);
-    let mut group = Group::formed(3, 1);
+    let mut group = Group::with_defaults(3, 1);
     group.advance(seconds(3));
-    group.passes = |message| {
+    group.filter_message = |message| {
         let learners = message.from.0 == 3 || message.to.0 == 3;
         MESSAGES.fetch_add(u32::from(learners), Ordering::Relaxed);
         true
@@ -241,10 +241,10 @@
 /// A leader that is cut off may serve longer than it may be sure to lead.
 #[test]
 fn leader_lease_ends_before_service() {
-    let mut group = Group::formed(3, 0);
+    let mut group = Group::with_defaults(3, 0);
     group.advance(seconds(3));
     let leader = group.leader();
-    group.passes = |_| false;
+    group.filter_message = |_| false;
     group.advance(Duration::from_millis(700));
     let status = group.core(leader).status();
     assert_eq!(status.role, Role::Leader);
@@ -253,8 +253,8 @@
 }
 
 #[test]
-fn remove_waits_for_the_lease() {
-    let mut group = Group::formed(3, 1);
+fn in_force_waits_for_lease_of_removed_member() {
+    let mut group = Group::with_defaults(3, 1);
     group.advance(seconds(3));
     let leader = group.leader();
     group.step(leader, Event::RemoveMember(MemberId(3)));
@@ -270,20 +270,21 @@
 }
 
 #[test]
-fn on_ack_of_unformed_member_supports_no_lease() {
+fn ack_of_uninitialized_member_does_not_extend_leader_lease() {
     let mut group = Group::new(3, 0, |id, _, recovery| {
         if id < 2 {
             recover(recovery, 3, 0, &[]);
         }
     });
     // Member 2 hears the leader but gets neither genesis nor snapshot.
-    group.passes = |message| !matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
+    group.filter_message =
+        |message| !matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
     group.advance(seconds(3));
     let leader = group.leader();
     assert!(group.core(leader).holds_leader_lease_at(group.now));
     assert_eq!(group.core(2).role(), Role::Uninitialized);
     // From now on it is the only one that answers.
-    group.passes = |message| {
+    group.filter_message = |message| {
         let state = matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
         !state && (message.from.0 == 2 || message.to.0 == 2)
     };
@@ -295,8 +296,8 @@
 /// their answers and the genesis. No majority is left, so nobody may lead
 /// until an operator empties the founder's folder as well.
 #[test]
-fn form_group_two_lost_disks_elects_nobody() {
-    let mut group = Group::formed(3, 0);
+fn bootstrap_two_lost_disks_elects_nobody() {
+    let mut group = Group::with_defaults(3, 0);
     group.step(0, Event::Tick);
     while let Some(message) = group.queue.pop_front() {
         group.step(message.to.0, Event::Receive(message));
--- a/crates/cleat-quorum/tests/group/mod.rs
+++ b/crates/cleat-quorum/tests/group/mod.rs
@@ -21,7 +21,7 @@
     pub(crate) now: Duration,
     pub(crate) queue: VecDeque<Message>,
     /// Which messages arrive, and with what.
-    pub(crate) passes: fn(&mut Message) -> bool,
+    pub(crate) filter_message: fn(&mut Message) -> bool,
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -51,12 +51,12 @@
             cores: (0..voters + learners).map(start).collect(),
             now: Duration::ZERO,
             queue: VecDeque::new(),
-            passes: |_| true,
+            filter_message: |_| true,
             effects: Vec::new(),
         }
     }
 
-    pub(crate) fn formed(voters: u32, learners: u32) -> Group {
+    pub(crate) fn with_defaults(voters: u32, learners: u32) -> Group {
         Group::new(voters, learners, |_, _, _| {})
     }
 
@@ -81,7 +81,7 @@
             let Some(mut message) = self.queue.pop_front() else {
                 return;
             };
-            if (self.passes)(&mut message) {
+            if (self.filter_message)(&mut message) {
                 self.step(message.to.0, Event::Receive(message));
             }
         }
--- a/crates/cleat-quorum/tests/joining.rs
+++ b/crates/cleat-quorum/tests/join.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn join_without_the_right_to_found_founds_nothing() {
+fn join_without_may_bootstrap_elects_nobody() {
     let mut group = seeded(0, |_| false);
     group.advance(seconds(4));
     let led = group.cores.iter().any(|core| core.role() == Role::Leader);
@@ -57,11 +57,11 @@
 fn join_replaces_a_silent_voter() {
     // The sixth member is not there at first.
     let mut group = seeded(1, |_| true);
-    group.passes = |message| message.from.0 != 5 && message.to.0 != 5;
+    group.filter_message = |message| message.from.0 != 5 && message.to.0 != 5;
     group.advance(seconds(4));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
     // Member 4 is gone for good, the sixth comes.
-    group.passes = |message| message.from.0 != 4 && message.to.0 != 4;
+    group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 5]);
 }
@@ -70,19 +70,19 @@
 fn join_keeps_a_silent_voter_that_nobody_replaces() {
     let mut group = seeded(0, |_| true);
     group.advance(seconds(4));
-    group.passes = |message| message.from.0 != 4 && message.to.0 != 4;
+    group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn join_removed_member_comes_back() {
+fn join_removed_member_rejoins() {
     let mut group = seeded(1, |_| true);
-    group.passes = |message| message.from.0 != 5 && message.to.0 != 5;
+    group.filter_message = |message| message.from.0 != 5 && message.to.0 != 5;
     group.advance(seconds(4));
-    group.passes = |message| message.from.0 != 4 && message.to.0 != 4;
+    group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
-    group.passes = |_| true;
+    group.filter_message = |_| true;
     group.advance(seconds(8));
     assert!(voters(&group).contains(&4), "it asked for its place");
 }
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -43,9 +43,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Wires(Arc<Mutex<Vec<Option<Arc<Replica>>>>>);
+struct LocalTransport(Arc<Mutex<Vec<Option<Arc<Replica>>>>>);
 
-impl Wires {
+impl LocalTransport {
     fn get(&self, id: u32) -> Option<Arc<Replica>> {
         self.0
             .lock()
@@ -59,7 +59,7 @@
     }
 }
 
-impl Transport for Wires {
+impl Transport for LocalTransport {
     fn send(&self, to: MemberId, message: Message) {
         if let Some(replica) = self.get(to.0) {
             replica.deliver(message);
@@ -71,15 +71,15 @@
     dir: TempDir,
     voters: u32,
     members: u32,
-    wires: Wires,
+    transport: LocalTransport,
     machines: Vec<Commands>,
 }
 
 impl Group {
     fn start(voters: u32, learners: u32) -> Group {
         let members = voters + learners;
-        let wires = Wires::default();
-        wires
+        let transport = LocalTransport::default();
+        transport
             .0
             .lock()
             .expect("not poisoned")
@@ -90,7 +90,7 @@
             dir,
             voters,
             members,
-            wires,
+            transport,
             machines,
         };
         for id in 0..members {
@@ -120,27 +120,27 @@
     fn spawn(&mut self, id: u32) {
         let machine = Commands::default();
         self.machines[id as usize] = machine.clone();
-        let (cfg, wires) = (self.config(id), self.wires.clone());
+        let (cfg, transport) = (self.config(id), self.transport.clone());
         let replica = if id < self.voters {
             let disk = Journal::open(&self.folder(id), "e").expect("the journal opens");
-            Replica::spawn(cfg, disk, wires, machine)
+            Replica::spawn(cfg, disk, transport, machine)
         } else {
-            Replica::spawn_in_memory(cfg, wires, machine)
+            Replica::spawn_in_memory(cfg, transport, machine)
         };
-        self.wires
+        self.transport
             .set(id, Some(replica.expect("the replica starts")));
     }
 
     /// Ends a member without a word to the others.
-    async fn kill(&self, id: u32) {
-        let Some(replica) = self.wires.get(id) else {
+    async fn crash(&self, id: u32) {
+        let Some(replica) = self.transport.get(id) else {
             return;
         };
-        self.wires.set(id, None);
+        self.transport.set(id, None);
         drop(replica);
     }
 
-    async fn reopen(&mut self, id: u32) {
+    async fn restart(&mut self, id: u32) {
         // The disk thread of the last incarnation may still hold the folder's lock.
         let folder = self.folder(id);
         until(|| Journal::open(&folder, "e").is_ok()).await;
@@ -148,12 +148,12 @@
     }
 
     fn replica(&self, id: u32) -> Arc<Replica> {
-        self.wires.get(id).expect("the member runs")
+        self.transport.get(id).expect("the member runs")
     }
 
     fn leader(&self) -> Option<u32> {
         let leads = |id: &u32| {
-            let replica = self.wires.get(*id);
+            let replica = self.transport.get(*id);
             replica.is_some_and(|replica| {
                 let status = replica.status();
                 status.is_leader() && status.in_service(cleat_quorum::BootTime::now())
@@ -173,7 +173,7 @@
     }
 
     /// Proposes until the outcome is known.
-    async fn insist(&self, command: &str) -> u64 {
+    async fn propose_until_applied(&self, command: &str) -> u64 {
         loop {
             if let Ok(index) = self.propose(command).await {
                 return index;
@@ -202,7 +202,7 @@
 #[tokio::test]
 async fn propose_single_member() {
     let group = Group::start(1, 0);
-    let first = group.insist("a").await;
+    let first = group.propose_until_applied("a").await;
     let applied = group
         .replica(0)
         .propose(b"b".as_slice().into())
@@ -231,13 +231,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn propose_survives_the_leader() {
+async fn propose_survives_leader_crashes() {
     let mut group = Group::start(3, 1);
     let mut acknowledged = Vec::new();
     for round in 0..3 {
         for step in 0..15 {
             let command = format!("{round}.{step}");
-            group.insist(&command).await;
+            group.propose_until_applied(&command).await;
             acknowledged.push(command);
         }
         let leader = group.leader().expect("a leader");
@@ -247,18 +247,18 @@
             matches!(refused, Err(ProposeError::NotLeader { .. })),
             "{refused:?}"
         );
-        group.kill(leader).await;
-        let index = group.insist(&format!("{round}.after")).await;
+        group.crash(leader).await;
+        let index = group.propose_until_applied(&format!("{round}.after")).await;
         acknowledged.push(format!("{round}.after"));
         if round == 1 {
             until(|| std::fs::remove_dir_all(group.folder(leader)).is_ok()).await;
         }
-        group.reopen(leader).await;
+        group.restart(leader).await;
         for id in 0..group.members {
             group.wait_applied(id, index).await;
         }
     }
-    let index = group.insist("last").await;
+    let index = group.propose_until_applied("last").await;
     let leader = group.leader().expect("a leader");
     group
         .replica(leader)
@@ -280,9 +280,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn stop_hands_the_lead_over() {
+async fn stop_transfers_leadership() {
     let group = Group::start(3, 1);
-    group.insist("a").await;
+    group.propose_until_applied("a").await;
     let leader = group.leader().expect("a leader");
     let old = group.replica(leader);
     let term = old.status().term();
@@ -291,8 +291,8 @@
     assert!(old.status().term() > term);
     let refused = old.propose(b"b".as_slice().into()).await;
     assert_eq!(refused, Err(ProposeError::Stopped));
-    group.wires.set(leader, None);
-    let index = group.insist("b").await;
+    group.transport.set(leader, None);
+    let index = group.propose_until_applied("b").await;
     for id in (0..group.members).filter(|id| *id != leader) {
         group.wait_applied(id, index).await;
         let commands = group.machines[id as usize].all();
@@ -303,10 +303,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn propose_without_quorum() {
     let group = Group::start(3, 0);
-    group.insist("a").await;
+    group.propose_until_applied("a").await;
     let leader = group.leader().expect("a leader");
     for id in (0..3).filter(|id| *id != leader) {
-        group.kill(id).await;
+        group.crash(id).await;
     }
     let replica = group.replica(leader);
     let lost = replica.propose(b"b".as_slice().into()).await;
@@ -343,9 +343,9 @@
         snapshot: None,
         entries: Vec::new(),
     };
-    let (cfg, wires) = (group.config(0), Wires::default());
+    let (cfg, transport) = (group.config(0), LocalTransport::default());
     let replica =
-        Replica::spawn_with_store(cfg, recovery, FailingStore, wires, Commands::default());
+        Replica::spawn_with_store(cfg, recovery, FailingStore, transport, Commands::default());
     let replica = replica.expect("the replica starts");
     timeout(LIMIT, replica.wait_stopped())
         .await
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn schedule_random_faults_upkeep() {
+fn schedule_random_faults_with_disk_loss_and_stop() {
     let plan = Plan {
-        upkeep: true,
+        disk_loss_and_stop: true,
         random_faults: 4,
         ..Plan::default()
     };
@@ -95,9 +95,9 @@
 
 /// The leases outlive their leader, unless the first election fails.
 #[test]
-fn schedule_leader_dies() {
+fn schedule_leader_crashes() {
     let plan = Plan {
-        kill_leader: true,
+        crash_leader: true,
         leadership_transfers: 0,
         random_faults: 0,
         ..Plan::default()
@@ -124,7 +124,7 @@
 /// A lead that is handed over is missing for some round trips and a sync,
 /// not for an election time-out.
 #[test]
-fn schedule_leader_hands_over() {
+fn schedule_leadership_transfer() {
     let plan = Plan {
         leadership_transfers: 1,
         random_faults: 0,
@@ -132,7 +132,7 @@
         ..Plan::default()
     };
     let results = run_all(seeds(200), move |seed| {
-        run(seed, plan).map(|world| world.without_leader)
+        run(seed, plan).map(|world| world.leaderless_periods)
     });
     let times = results
         .into_iter()
@@ -149,10 +149,10 @@
     assert!(late < SECOND / 10, "{late} us");
 }
 
-/// Every fault at every step: the schedule must reach the step, and the group
+/// Every fault at every step: the schedule must trigger_targeted_fault the step, and the group
 /// must hold its invariants and recover.
 #[test]
-fn matrix_every_step_and_fault() {
+fn every_fault_at_every_step() {
     const SEEDS: u64 = 8;
     let mut table = format!("{:12}", "step");
     for fault in Fault::ALL {
@@ -162,24 +162,24 @@
         table += &format!("\n{:12}", format!("{step:?}"));
         for fault in Fault::ALL {
             let plan = Plan {
-                cell: Some((step, fault)),
-                upkeep: true,
+                targeted_fault: Some((step, fault)),
+                disk_loss_and_stop: true,
                 random_faults: 0,
                 ..Plan::default()
             };
-            let job = |seed| run(seed, plan).map(|world: World| world.hits);
+            let job = |seed| run(seed, plan).map(|world: World| world.targeted_injections);
             let results = run_all(seeds(SEEDS), job);
             let failed: Vec<_> = results
                 .iter()
                 .filter(|(_, result)| result.is_err())
                 .collect();
             assert!(failed.is_empty(), "{step:?} x {fault:?}: {failed:?}");
-            let hits: u32 = results
+            let targeted_injections: u32 = results
                 .iter()
-                .filter_map(|(_, hits)| hits.as_ref().ok())
+                .filter_map(|(_, targeted_injections)| targeted_injections.as_ref().ok())
                 .sum();
-            assert!(hits > 0, "{step:?} was never reached");
-            table += &format!("{hits:>12}");
+            assert!(targeted_injections > 0, "{step:?} was never reached");
+            table += &format!("{targeted_injections:>12}");
         }
     }
     println!("schedules that passed with the fault at the step, of {SEEDS}\n{table}");
@@ -201,12 +201,17 @@
     }
 }
 
-const CRASHES: &[Fault] = &[Fault::Kill, Fault::CutBoth, Fault::Second];
-const CUTS: &[Fault] = &[Fault::CutIn, Fault::CutOut, Fault::CutBoth];
-const PAUSES: &[Fault] = &[Fault::Freeze, Fault::Delay, Fault::CutIn, Fault::CutOut];
+const CRASHES: &[Fault] = &[Fault::Crash, Fault::CutBoth, Fault::Compound];
+const CUTS: &[Fault] = &[Fault::CutInbound, Fault::CutOutbound, Fault::CutBoth];
+const PAUSES: &[Fault] = &[
+    Fault::Pause,
+    Fault::Delay,
+    Fault::CutInbound,
+    Fault::CutOutbound,
+];
 
 /// Shows that the checks notice a protection that is switched off.
-fn assert_red(name: &str, plan: Plan, expected: fn(&Violation) -> bool) {
+fn assert_detects(name: &str, plan: Plan, expected: fn(&Violation) -> bool) {
     let failed = first_violation(seeds(4000), plan);
     println!("{name} off: {failed:?}");
     let (_, violation) = failed.unwrap_or_else(|| panic!("nothing noticed {name} off"));
@@ -232,39 +237,39 @@
 #[test]
 fn protection_sync_before_send() {
     let plan = without(CRASHES, |p| p.sync_before_send = false);
-    assert_red("sync before send", plan, loses_entries);
+    assert_detects("sync before send", plan, loses_entries);
 }
 
 #[test]
 fn protection_commit_after_own_sync() {
     let plan = without(CRASHES, |p| p.commit_after_own_sync = false);
-    assert_red("own sync counts", plan, loses_entries);
+    assert_detects("own sync counts", plan, loses_entries);
 }
 
 #[test]
 fn protection_log_check() {
     let plan = without(CRASHES, |p| p.log_check = false);
-    assert_red("log check", plan, loses_entries);
+    assert_detects("log check", plan, loses_entries);
 }
 
 #[test]
 fn protection_identity_check() {
-    let plan = without(&[Fault::LostDisk], |p| p.identity_check = false);
-    assert_red("identity check", plan, |v| {
+    let plan = without(&[Fault::LoseDisk], |p| p.identity_check = false);
+    assert_detects("identity check", plan, |v| {
         matches!(v, Violation::LostDiskVotes(..))
     });
 }
 
 #[test]
-fn protection_stickiness() {
+fn protection_leader_stickiness() {
     // Without proposals a cut-off member stays up to date and can be elected.
-    let plan = without(CUTS, |p| p.stickiness = false);
+    let plan = without(CUTS, |p| p.leader_stickiness = false);
     let plan = Plan {
         client_pause: 5 * SECOND,
         learners: 0,
         ..plan
     };
-    assert_red("stickiness", plan, |v| {
+    assert_detects("leader_stickiness", plan, |v| {
         matches!(v, Violation::TwoLeaderLeases)
     });
 }
@@ -273,13 +278,13 @@
 fn protection_transfer_ends_lease() {
     let plan = without(PAUSES, |p| p.transfer_ends_lease = false);
     let plan = Plan {
-        cell: Some((Step::TimeoutNow, Fault::CutBoth)),
+        targeted_fault: Some((Step::TimeoutNow, Fault::CutBoth)),
         leadership_transfers: 4,
         random_faults: 0,
         slow_sync: (0.0, SECOND),
         ..plan
     };
-    assert_red("transfer ends lease", plan, |v| {
+    assert_detects("transfer ends lease", plan, |v| {
         matches!(v, Violation::TwoLeaderLeases)
     });
 }
@@ -287,17 +292,17 @@
 #[test]
 fn protection_lease_from_send() {
     let plan = without(PAUSES, |p| p.lease_from_send = false);
-    assert_red("lease from send", plan, serves_behind);
+    assert_detects("lease from send", plan, serves_behind);
 }
 
 #[test]
 fn protection_apply_before_lease_resumes() {
     let plan = without(PAUSES, |p| p.apply_before_lease_resumes = false);
-    assert_red("renewal gate", plan, serves_behind);
+    assert_detects("renewal gate", plan, serves_behind);
 }
 
 #[test]
 fn protection_inherited_leases() {
     let plan = without(PAUSES, |p| p.inherited_leases = false);
-    assert_red("inherited leases", plan, serves_behind);
+    assert_detects("inherited leases", plan, serves_behind);
 }
--- a/crates/cleat-quorum/tests/simulation/upkeep.rs
+++ b/crates/cleat-quorum/tests/simulation/actions.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::node::Node;
-use super::{Fault, MILLI, NORMAL, Occurrence, SECOND, Violation, World};
+use super::{FAULT_FREE, Fault, MILLI, Occurrence, SECOND, Violation, World};
 
 impl World {
     pub(super) fn client(&mut self) -> Result<(), Violation> {
@@ -21,15 +21,15 @@
         self.step(at, Event::Read(id))
     }
 
-    pub(super) fn upkeep(&mut self, stage: u8) -> Result<(), Violation> {
+    pub(super) fn disk_loss_and_stop(&mut self, stage: u8) -> Result<(), Violation> {
         let last_voter = self.plan.voters as usize - 1;
         let last = self.nodes.len() - 1;
         match stage {
             0 => {
-                self.inject(last_voter, Fault::LostDisk);
+                self.inject(last_voter, Fault::LoseDisk);
             }
             1 => {
-                self.after(100 * MILLI, Occurrence::Inject(last, Fault::Kill));
+                self.after(100 * MILLI, Occurrence::Inject(last, Fault::Crash));
                 return self.step(last, Event::ReleaseLease);
             }
             _ => {}
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    pub(super) fn kill_leader(&mut self) {
+    pub(super) fn crash_leader(&mut self) {
         let now = self.now;
         let serves = |node: &Node| {
             node.core
@@ -48,42 +48,42 @@
         let Some(leader) = self.nodes.iter().position(leads) else {
             return;
         };
-        self.nodes[leader].kill(&mut self.rng);
-        self.watched = (0..self.nodes.len())
+        self.nodes[leader].crash(&mut self.rng);
+        self.serving_at_crash = (0..self.nodes.len())
             .filter(|at| serves(&self.nodes[*at]))
             .collect();
     }
 
     pub(super) fn transfer_leadership(&mut self) -> Result<(), Violation> {
-        let Some(leader) = self.certain_leader() else {
+        let Some(leader) = self.confirmed_leader() else {
             return Ok(());
         };
-        self.handed_over = Some((self.now, leader));
+        self.transfer_started = Some((self.now, leader));
         self.step(leader, Event::TransferLeadership)
     }
 
     /// The leader that may be sure of its lead, and of all that is committed.
-    fn certain_leader(&self) -> Option<usize> {
+    fn confirmed_leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
             let until = node
                 .core
                 .as_ref()
                 .and_then(|c| c.status().leader_lease_until);
-            !node.frozen && until.is_some_and(|until| node.local(self.now) < until)
+            !node.paused && until.is_some_and(|until| node.local(self.now) < until)
         })
     }
 
-    pub(super) fn watch_lead(&mut self) {
-        if let Some((since, old)) = self.handed_over
-            && self.certain_leader().is_some_and(|leader| leader != old)
+    pub(super) fn record_transfer(&mut self) {
+        if let Some((since, old)) = self.transfer_started
+            && self.confirmed_leader().is_some_and(|leader| leader != old)
         {
-            self.without_leader.push(self.now - since);
-            self.handed_over = None;
+            self.leaderless_periods.push(self.now - since);
+            self.transfer_started = None;
         }
     }
 
-    pub(super) fn watch_leases(&mut self) {
-        for at in &self.watched {
+    pub(super) fn record_lapsed_leases(&mut self) {
+        for at in &self.serving_at_crash {
             let node = &self.nodes[*at];
             let core = node.core.as_ref();
             if core.is_some_and(|core| !core.in_service(node.local(self.now))) {
@@ -117,8 +117,8 @@
         self.step(at, Event::Tick)
     }
 
-    pub(super) fn thaw(&mut self, at: usize) -> Result<(), Violation> {
-        self.nodes[at].frozen = false;
+    pub(super) fn resume(&mut self, at: usize) -> Result<(), Violation> {
+        self.nodes[at].paused = false;
         let backlog = std::mem::take(&mut self.nodes[at].backlog);
         for event in backlog {
             self.step(at, event)?;
@@ -126,14 +126,14 @@
         self.step(at, Event::Tick)
     }
 
-    pub(super) fn heal(&mut self) -> Result<(), Violation> {
-        self.conditions = NORMAL;
+    pub(super) fn end_faults(&mut self) -> Result<(), Violation> {
+        self.conditions = FAULT_FREE;
         self.plan.slow_sync = (0.0, SECOND);
-        self.checker.healed_at = Some(self.checker.committed());
+        self.checker.committed_at_faults_end = Some(self.checker.committed());
         for at in 0..self.nodes.len() {
-            self.nodes[at].cut_in.clear();
-            self.nodes[at].cut_out.clear();
-            self.thaw(at)?;
+            self.nodes[at].blocked_inbound.clear();
+            self.nodes[at].blocked_outbound.clear();
+            self.resume(at)?;
             self.restart(at)?;
         }
         Ok(())
--- a/crates/cleat-quorum/tests/simulation/check.rs
+++ b/crates/cleat-quorum/tests/simulation/check.rs
@@ -57,7 +57,7 @@
     /// The committed entries at the start of each read.
     reads: Vec<LogIndex>,
     in_force: LogIndex,
-    pub(super) healed_at: Option<LogIndex>,
+    pub(super) committed_at_faults_end: Option<LogIndex>,
 }
 
 impl Checker {
@@ -191,21 +191,21 @@
         Ok(())
     }
 
-    /// No member serves, frozen or not, behind what was called in force.
+    /// No member serves, paused or not, behind what was called in force.
     pub(super) fn check_leases(&mut self, nodes: &[Node], now: Micros) -> Result<(), Violation> {
-        let mut certain = 0;
-        for node in nodes.iter().filter(|node| !node.frozen) {
+        let mut confirmed = 0;
+        for node in nodes.iter().filter(|node| !node.paused) {
             let Some(core) = &node.core else {
                 continue;
             };
             let local = node.local(now);
             let commit = core.commit_index();
-            certain += u32::from(core.holds_leader_lease_at(local));
+            confirmed += u32::from(core.holds_leader_lease_at(local));
             if commit > self.in_force && core.in_force(commit, local) {
                 self.in_force = commit;
             }
         }
-        if certain > 1 {
+        if confirmed > 1 {
             return Err(Violation::TwoLeaderLeases);
         }
         for node in nodes {
--- a/crates/cleat-quorum/tests/simulation/effects.rs
+++ b/crates/cleat-quorum/tests/simulation/effects.rs
@@ -6,7 +6,7 @@
 use super::{MILLI, Micros, Occurrence, SECOND, Step, Violation, World};
 
 impl World {
-    pub(super) fn carry_out(&mut self, at: usize, effects: Vec<Effect>) -> Result<(), Violation> {
+    pub(super) fn execute(&mut self, at: usize, effects: Vec<Effect>) -> Result<(), Violation> {
         for effect in effects {
             match effect {
                 Effect::Write(write) => {
@@ -15,7 +15,7 @@
                         if entries.iter().any(|e| matches!(e.payload, Payload::Membership(_))));
                     self.nodes[at].disk.pending.push_back(write);
                     if membership {
-                        self.reach(Step::Membership, at, at);
+                        self.trigger_targeted_fault(Step::Membership, at, at);
                     }
                 }
                 Effect::Sync(sync_id) => self.start_sync(at, sync_id),
@@ -65,7 +65,7 @@
             return Ok(());
         }
         node.disk.finish_sync(sync_id);
-        self.reach(Step::Sync, at, at);
+        self.trigger_targeted_fault(Step::Sync, at, at);
         self.step(at, Event::Synced(sync_id))
     }
 
@@ -75,14 +75,14 @@
         let step = Step::of(message);
         let conditions = self.conditions;
         let lost = self.rng.random_bool(0.005 + conditions.drop);
-        if !self.nodes[at].cut_out.contains(&message.to) && !lost {
+        if !self.nodes[at].blocked_outbound.contains(&message.to) && !lost {
             let copies = 1 + u32::from(self.rng.random_bool(0.01 + conditions.duplicate));
             for _ in 0..copies {
                 let delay = self.travel_time();
                 self.after(delay, Occurrence::Deliver(message.clone()));
             }
         }
-        self.reach(step, at, to);
+        self.trigger_targeted_fault(step, at, to);
         Ok(())
     }
 
@@ -96,16 +96,18 @@
         self.rng.random_range(300..3 * MILLI)
     }
 
-    /// Strikes the cell's fault when its step is reached, on either side.
-    pub(super) fn reach(&mut self, step: Step, from: usize, to: usize) {
-        let Some((cell, fault)) = self.plan.cell else {
+    /// Strikes the targeted_fault's fault when its step is reached, on either side.
+    pub(super) fn trigger_targeted_fault(&mut self, step: Step, from: usize, to: usize) {
+        let Some((targeted_fault, fault)) = self.plan.targeted_fault else {
             return;
         };
-        let due = self.hits == 0 && cell == step && self.now >= SECOND + self.cell_armed;
-        if due && self.now < self.plan.heal {
+        let due = self.targeted_injections == 0
+            && targeted_fault == step
+            && self.now >= SECOND + self.targeted_fault_after;
+        if due && self.now < self.plan.faults_end {
             let node = if self.rng.random_bool(0.5) { from } else { to };
             let soon = self.rng.random_range(0..4 * MILLI);
-            self.after(soon, Occurrence::InjectCell(node, fault));
+            self.after(soon, Occurrence::InjectTargeted(node, fault));
         }
     }
 }
--- a/crates/cleat-quorum/tests/simulation/fault.rs
+++ b/crates/cleat-quorum/tests/simulation/fault.rs
@@ -3,29 +3,38 @@
 use cleat_quorum::{Body, Message, Payload};
 use rand::RngExt;
 
-use super::{Conditions, MILLI, Micros, NORMAL, Occurrence, SECOND, World};
+use super::{FAULT_FREE, MILLI, Micros, NetworkConditions, Occurrence, SECOND, World};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    Kill,
-    LostDisk,
-    CutIn,
-    CutOut,
+    Crash,
+    LoseDisk,
+    CutInbound,
+    CutOutbound,
     CutBoth,
-    Freeze,
+    Pause,
     Duplicate,
     Delay,
     Reorder,
     /// A kill, and another fault elsewhere while the first recovers.
-    Second,
+    Compound,
 }
 
 impl Fault {
     pub(crate) const ALL: [Fault; 10] = {
-        use Fault::{CutBoth, CutIn, CutOut, Delay, Duplicate};
-        use Fault::{Freeze, Kill, LostDisk, Reorder, Second};
+        use Fault::{Compound, Crash, LoseDisk, Pause, Reorder};
+        use Fault::{CutBoth, CutInbound, CutOutbound, Delay, Duplicate};
         [
-            Kill, LostDisk, CutIn, CutOut, CutBoth, Freeze, Duplicate, Delay, Reorder, Second,
+            Crash,
+            LoseDisk,
+            CutInbound,
+            CutOutbound,
+            CutBoth,
+            Pause,
+            Duplicate,
+            Delay,
+            Reorder,
+            Compound,
         ]
     };
 }
@@ -88,18 +97,18 @@
     payloads.any(|payload| matches!(payload, Payload::Membership(_)))
 }
 
-const DUPLICATING: Conditions = Conditions {
+const DUPLICATING: NetworkConditions = NetworkConditions {
     duplicate: 0.5,
-    ..NORMAL
+    ..FAULT_FREE
 };
-const DELAYING: Conditions = Conditions {
+const DELAYING: NetworkConditions = NetworkConditions {
     delay: 0.3,
     drop: 0.1,
-    ..NORMAL
+    ..FAULT_FREE
 };
-const REORDERING: Conditions = Conditions {
+const REORDERING: NetworkConditions = NetworkConditions {
     reorder: 0.7,
-    ..NORMAL
+    ..FAULT_FREE
 };
 
 impl World {
@@ -107,30 +116,30 @@
     pub(super) fn inject(&mut self, at: usize, fault: Fault) -> bool {
         let lasts = self.rng.random_range(50 * MILLI..4 * SECOND);
         match fault {
-            Fault::Kill => self.kill(at, lasts),
-            Fault::LostDisk => {
+            Fault::Crash => self.crash(at, lasts),
+            Fault::LoseDisk => {
                 if !self.may_lose_disk(at) {
                     return false;
                 }
-                self.kill(at, lasts);
+                self.crash(at, lasts);
                 self.voter_disks_lost += u32::from(self.nodes[at].votes);
                 self.nodes[at].disk = super::node::Disk::default();
             }
-            Fault::CutIn => self.cut(at, true, false, lasts),
-            Fault::CutOut => self.cut(at, false, true, lasts),
+            Fault::CutInbound => self.cut(at, true, false, lasts),
+            Fault::CutOutbound => self.cut(at, false, true, lasts),
             Fault::CutBoth => self.cut(at, true, true, lasts),
-            Fault::Freeze => {
+            Fault::Pause => {
                 if self.nodes[at].core.is_none() {
                     return false;
                 }
-                self.nodes[at].frozen = true;
-                self.after(lasts, Occurrence::Thaw(at));
+                self.nodes[at].paused = true;
+                self.after(lasts, Occurrence::Resume(at));
             }
             Fault::Duplicate => self.set_conditions(DUPLICATING, lasts),
             Fault::Delay => self.set_conditions(DELAYING, lasts),
             Fault::Reorder => self.set_conditions(REORDERING, lasts),
-            Fault::Second => {
-                self.kill(at, lasts);
+            Fault::Compound => {
+                self.crash(at, lasts);
                 let node = self.rng.random_range(0..self.nodes.len());
                 let fault = Fault::ALL[self.rng.random_range(0..Fault::ALL.len() - 1)];
                 let soon = lasts + self.rng.random_range(0..SECOND);
@@ -140,13 +149,13 @@
         true
     }
 
-    fn kill(&mut self, at: usize, lasts: Micros) {
+    fn crash(&mut self, at: usize, lasts: Micros) {
         let World { nodes, rng, .. } = self;
-        nodes[at].kill(rng);
+        nodes[at].crash(rng);
         self.after(lasts, Occurrence::Restart(at));
     }
 
-    fn cut(&mut self, at: usize, cut_in: bool, cut_out: bool, lasts: Micros) {
+    fn cut(&mut self, at: usize, blocked_inbound: bool, blocked_outbound: bool, lasts: Micros) {
         // Half of the cuts hit only some of the links.
         let partly = self.rng.random_bool(0.5);
         for other in 0..self.nodes.len() {
@@ -154,19 +163,19 @@
                 continue;
             }
             let id = self.nodes[other].id;
-            if cut_in {
-                self.nodes[at].cut_in.insert(id);
+            if blocked_inbound {
+                self.nodes[at].blocked_inbound.insert(id);
             }
-            if cut_out {
-                self.nodes[at].cut_out.insert(id);
+            if blocked_outbound {
+                self.nodes[at].blocked_outbound.insert(id);
             }
         }
-        self.after(lasts, Occurrence::Uncut(at));
+        self.after(lasts, Occurrence::RestoreLinks(at));
     }
 
-    fn set_conditions(&mut self, conditions: Conditions, lasts: Micros) {
+    fn set_conditions(&mut self, conditions: NetworkConditions, lasts: Micros) {
         self.conditions = conditions;
-        self.after(lasts, Occurrence::Normal);
+        self.after(lasts, Occurrence::RestoreNetwork);
     }
 
     /// One voter at a time may lose its disk, and the next only once the
--- a/crates/cleat-quorum/tests/simulation/mod.rs
+++ b/crates/cleat-quorum/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
 //! A seeded schedule over pure cores: fake network, disks and clocks, faults,
 //! and the invariants that are checked after every step.
 
+mod actions;
 mod check;
 mod effects;
 mod fault;
 mod node;
-mod upkeep;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -38,17 +38,17 @@
     /// How often a sync is slow, and how long it then takes at most.
     pub(crate) slow_sync: (f64, Micros),
     /// One fault at the first occurrence of a step after a random time.
-    pub(crate) cell: Option<(Step, Fault)>,
+    pub(crate) targeted_fault: Option<(Step, Fault)>,
     /// A lost disk and a graceful stop, so that their steps occur.
-    pub(crate) upkeep: bool,
+    pub(crate) disk_loss_and_stop: bool,
     /// The longest pause between two proposals.
     pub(crate) client_pause: Micros,
     /// Kills the leader four seconds after the start, until the heal.
-    pub(crate) kill_leader: bool,
+    pub(crate) crash_leader: bool,
     /// How often the leader hands its lead over, at random times.
     pub(crate) leadership_transfers: u32,
     /// When all faults end.
-    pub(crate) heal: Micros,
+    pub(crate) faults_end: Micros,
     /// Whether the group must recover after that.
     pub(crate) liveness: bool,
     pub(crate) protections: Protections,
@@ -62,12 +62,12 @@
             random_faults: 6,
             faults: &Fault::ALL,
             slow_sync: (0.02, 400 * MILLI),
-            cell: None,
-            upkeep: false,
+            targeted_fault: None,
+            disk_loss_and_stop: false,
             client_pause: 120 * MILLI,
-            kill_leader: false,
+            crash_leader: false,
             leadership_transfers: 2,
-            heal: 7 * SECOND,
+            faults_end: 7 * SECOND,
             liveness: true,
             protections: Protections::default(),
         }
@@ -79,27 +79,27 @@
     SyncDone(usize, u64, SyncId),
     Timer(usize, u64),
     Inject(usize, Fault),
-    InjectCell(usize, Fault),
+    InjectTargeted(usize, Fault),
     Restart(usize),
-    Thaw(usize),
-    Uncut(usize),
-    Normal,
-    KillLeader,
+    Resume(usize),
+    RestoreLinks(usize),
+    RestoreNetwork,
+    CrashLeader,
     TransferLeadership,
     Client,
-    Upkeep(u8),
-    Heal,
+    DiskLossAndStop(u8),
+    EndFaults,
 }
 
 #[derive(Clone, Copy)]
-struct Conditions {
+struct NetworkConditions {
     drop: f64,
     duplicate: f64,
     delay: f64,
     reorder: f64,
 }
 
-const NORMAL: Conditions = Conditions {
+const FAULT_FREE: NetworkConditions = NetworkConditions {
     drop: 0.0,
     duplicate: 0.0,
     delay: 0.0,
@@ -114,18 +114,18 @@
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     occurrences: BTreeMap<u64, Occurrence>,
     nodes: Vec<Node>,
-    conditions: Conditions,
-    cell_armed: Micros,
+    conditions: NetworkConditions,
+    targeted_fault_after: Micros,
     /// The members that served when the leader was killed and lapsed later.
     pub(crate) lapsed: BTreeSet<usize>,
     /// When a lead was last handed over, by whom, and how long until another
     /// member led.
-    handed_over: Option<(Micros, usize)>,
-    pub(crate) without_leader: Vec<Micros>,
-    watched: Vec<usize>,
+    transfer_started: Option<(Micros, usize)>,
+    pub(crate) leaderless_periods: Vec<Micros>,
+    serving_at_crash: Vec<usize>,
     voter_disks_lost: u32,
-    /// How often the cell's fault was injected at its step.
-    pub(crate) hits: u32,
+    /// How often the targeted_fault's fault was injected at its step.
+    pub(crate) targeted_injections: u32,
     checker: Checker,
 }
 
@@ -145,7 +145,7 @@
         } else {
             6 * SECOND
         };
-        let cell_armed = rng.random_range(0..latest);
+        let targeted_fault_after = rng.random_range(0..latest);
         let count = plan.voters + plan.learners;
         let nodes = (0..count)
             .map(|id| Node::new(id, id < plan.voters, &mut rng))
@@ -158,14 +158,14 @@
             queue: BinaryHeap::new(),
             occurrences: BTreeMap::new(),
             nodes,
-            conditions: NORMAL,
-            cell_armed,
+            conditions: FAULT_FREE,
+            targeted_fault_after,
             lapsed: BTreeSet::new(),
-            handed_over: None,
-            without_leader: Vec::new(),
-            watched: Vec::new(),
+            transfer_started: None,
+            leaderless_periods: Vec::new(),
+            serving_at_crash: Vec::new(),
             voter_disks_lost: 0,
-            hits: 0,
+            targeted_injections: 0,
             checker: Checker::default(),
         };
         world.prepare();
@@ -177,17 +177,17 @@
         for _ in 0..self.plan.random_faults {
             let at = self
                 .rng
-                .random_range(0..self.plan.heal.saturating_sub(ease).max(1));
+                .random_range(0..self.plan.faults_end.saturating_sub(ease).max(1));
             let node = self.rng.random_range(0..self.nodes.len());
             let fault = self.plan.faults[self.rng.random_range(0..self.plan.faults.len())];
             self.after(at, Occurrence::Inject(node, fault));
         }
-        if self.plan.upkeep {
-            self.after(3 * SECOND, Occurrence::Upkeep(0));
-            self.after(5 * SECOND, Occurrence::Upkeep(1));
+        if self.plan.disk_loss_and_stop {
+            self.after(3 * SECOND, Occurrence::DiskLossAndStop(0));
+            self.after(5 * SECOND, Occurrence::DiskLossAndStop(1));
         }
-        if self.plan.kill_leader {
-            self.after(4 * SECOND, Occurrence::KillLeader);
+        if self.plan.crash_leader {
+            self.after(4 * SECOND, Occurrence::CrashLeader);
         }
         for _ in 0..self.plan.leadership_transfers {
             let at = self.rng.random_range(2 * SECOND..6 * SECOND);
@@ -198,7 +198,7 @@
             self.after(at, Occurrence::Restart(node));
         }
         self.after(0, Occurrence::Client);
-        self.after(self.plan.heal, Occurrence::Heal);
+        self.after(self.plan.faults_end, Occurrence::EndFaults);
     }
 
     fn after(&mut self, delay: Micros, occurrence: Occurrence) {
@@ -209,7 +209,7 @@
 
     fn run(&mut self) -> Result<(), Violation> {
         let recovery = 10 * SECOND;
-        let end = self.now + self.plan.heal + recovery;
+        let end = self.now + self.plan.faults_end + recovery;
         while let Some(Reverse((at, order))) = self.queue.pop() {
             self.now = at;
             if at > end {
@@ -218,11 +218,11 @@
             if let Some(occurrence) = self.occurrences.remove(&order) {
                 self.handle(occurrence)?;
                 self.checker.check_leases(&self.nodes, self.now)?;
-                self.watch_leases();
-                self.watch_lead();
+                self.record_lapsed_leases();
+                self.record_transfer();
             }
-            let healed = self.now > self.plan.heal + SECOND;
-            if healed && (!self.plan.liveness || self.recovered()) {
+            let settled = self.now > self.plan.faults_end + SECOND;
+            if settled && (!self.plan.liveness || self.recovered()) {
                 return Ok(());
             }
         }
@@ -235,7 +235,7 @@
 
     /// Whether everyone serves, every voter votes, and all state is in force.
     fn recovered(&self) -> bool {
-        let Some(goal) = self.checker.healed_at else {
+        let Some(goal) = self.checker.committed_at_faults_end else {
             return false;
         };
         let now = self.now;
@@ -268,38 +268,39 @@
             }
             Occurrence::Timer(..) => {}
             Occurrence::Inject(node, fault) => drop(self.inject(node, fault)),
-            Occurrence::InjectCell(node, fault) => {
-                self.hits += u32::from(self.hits == 0 && self.inject(node, fault));
+            Occurrence::InjectTargeted(node, fault) => {
+                self.targeted_injections +=
+                    u32::from(self.targeted_injections == 0 && self.inject(node, fault));
             }
             Occurrence::Restart(node) => self.restart(node)?,
-            Occurrence::Thaw(node) => self.thaw(node)?,
-            Occurrence::Uncut(node) => {
-                self.nodes[node].cut_in.clear();
-                self.nodes[node].cut_out.clear();
+            Occurrence::Resume(node) => self.resume(node)?,
+            Occurrence::RestoreLinks(node) => {
+                self.nodes[node].blocked_inbound.clear();
+                self.nodes[node].blocked_outbound.clear();
             }
-            Occurrence::Normal => self.conditions = NORMAL,
-            Occurrence::KillLeader => self.kill_leader(),
+            Occurrence::RestoreNetwork => self.conditions = FAULT_FREE,
+            Occurrence::CrashLeader => self.crash_leader(),
             Occurrence::TransferLeadership => self.transfer_leadership()?,
             Occurrence::Client => self.client()?,
-            Occurrence::Upkeep(stage) => self.upkeep(stage)?,
-            Occurrence::Heal => self.heal()?,
+            Occurrence::DiskLossAndStop(stage) => self.disk_loss_and_stop(stage)?,
+            Occurrence::EndFaults => self.end_faults()?,
         }
         Ok(())
     }
 
     fn deliver(&mut self, message: Message) -> Result<(), Violation> {
         let to = message.to.0 as usize;
-        if self.nodes[to].cut_in.contains(&message.from) {
+        if self.nodes[to].blocked_inbound.contains(&message.from) {
             return Ok(());
         }
         self.step(to, Event::Receive(message))
     }
 
-    /// Steps a core, or keeps the event for a frozen one.
+    /// Steps a core, or keeps the event for a paused one.
     fn step(&mut self, at: usize, event: Event) -> Result<(), Violation> {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.frozen {
+        if node.paused {
             node.backlog.push(event);
             return Ok(());
         }
@@ -309,7 +310,7 @@
         };
         let effects = core.step(event, local);
         self.checker.check_node(&mut self.nodes[at])?;
-        self.carry_out(at, effects)?;
+        self.execute(at, effects)?;
         self.set_timer(at);
         Ok(())
     }
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -86,12 +86,12 @@
     pub(super) disk: Disk,
     pub(super) incarnation: u64,
     pub(super) timer: u64,
-    pub(super) frozen: bool,
+    pub(super) paused: bool,
     pub(super) backlog: Vec<Event>,
     /// The members whose messages do not arrive here.
-    pub(super) cut_in: BTreeSet<MemberId>,
-    /// The members that messages from here do not reach.
-    pub(super) cut_out: BTreeSet<MemberId>,
+    pub(super) blocked_inbound: BTreeSet<MemberId>,
+    /// The members that messages from here do not trigger_targeted_fault.
+    pub(super) blocked_outbound: BTreeSet<MemberId>,
     pub(super) seen_commit: LogIndex,
     /// The state machine: a hash over all commands, and the last of them.
     pub(super) machine: (u64, LogIndex),
@@ -108,10 +108,10 @@
             disk: Disk::default(),
             incarnation: 0,
             timer: 0,
-            frozen: false,
+            paused: false,
             backlog: Vec::new(),
-            cut_in: BTreeSet::new(),
-            cut_out: BTreeSet::new(),
+            blocked_inbound: BTreeSet::new(),
+            blocked_outbound: BTreeSet::new(),
             seen_commit: 0,
             machine: (0, 0),
             // Two clocks differ by less than the bound of five percent.
@@ -161,7 +161,7 @@
     }
 
     /// Ends the incarnation; some of the unsynced writes may be on the disk.
-    pub(super) fn kill(&mut self, rng: &mut StdRng) {
+    pub(super) fn crash(&mut self, rng: &mut StdRng) {
         if self.core.take().is_some() {
             let kept = rng.random_range(0..=self.disk.pending.len());
             self.disk.persist(kept);
@@ -170,7 +170,7 @@
         self.disk.syncs.clear();
         self.disk.busy_until = 0;
         self.disk.next_ends = 0;
-        self.frozen = false;
+        self.paused = false;
         self.backlog.clear();
     }
 
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -17,9 +17,9 @@
 const TERM: u64 = 1;
 const LIMIT: Duration = Duration::from_secs(20);
 
-struct Nothing;
+struct NullStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NullStateMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         Box::default()
     }
@@ -34,9 +34,9 @@
 }
 
 /// Each sync waits until the test allows it.
-struct Gated(mpsc::Receiver<()>);
+struct GatedStore(mpsc::Receiver<()>);
 
-impl Store for Gated {
+impl Store for GatedStore {
     fn write(&mut self, _: &Write) -> Result<(), StoreError> {
         Ok(())
     }
@@ -111,7 +111,13 @@
     let (cfg, recovery) = follower(1);
     let (allow, gate) = mpsc::channel();
     let sent = Sent::default();
-    let replica = Replica::spawn_with_store(cfg, recovery, Gated(gate), sent.clone(), Nothing);
+    let replica = Replica::spawn_with_store(
+        cfg,
+        recovery,
+        GatedStore(gate),
+        sent.clone(),
+        NullStateMachine,
+    );
     let replica = replica.expect("the replica starts");
     for index in BOOTSTRAP_INDEX..BOOTSTRAP_INDEX + 3 {
         replica.deliver(append(index));
