--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries on their way to the state machine, and its snapshots.
+//! Application of committed entries, and state machine snapshots.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::{Core, Effect};
 
 impl Core {
-    /// Applies what is committed.
+    /// Applies all committed entries.
     pub(super) fn apply_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.entry(self.applied + 1) else {
--- a/crates/cleat-quorum/src/core/bootstrap.rs
+++ b/crates/cleat-quorum/src/core/bootstrap.rs
@@ -1,10 +1,12 @@
-//! How voters with empty disks found a group.
+//! Bootstrap of a group by voters with empty disks.
 //!
-//! Each unformed voter asks all configured voters who they are. The one with
-//! the lowest id makes the genesis once every voter has answered it, in this
-//! incarnation of its disk, that it belongs to no group. A voter accepts one genesis
-//! at most, and only one that names its own identity; so two of them can't
-//! both gain a majority, and a voter that lost its disk can't found a second.
+//! Each uninitialized voter sends a hello to all configured voters. The voter
+//! with the lowest id creates the bootstrap snapshot once every other voter has
+//! replied, to the current identity of its disk, that it is uninitialized.
+//!
+//! A voter accepts at most one bootstrap snapshot, and only one that names its
+//! own identity. Therefore two bootstrap snapshots can't both reach a majority,
+//! and a voter that lost its disk can't bootstrap a second group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,13 +19,13 @@
 use super::message::{Body, Hello};
 use super::types::{BOOTSTRAP_INDEX, Member, MemberId, Membership, Snapshot};
 
-/// What an unformed voter knows of the others.
+/// What an uninitialized voter knows about the other voters.
 #[derive(Debug)]
 pub(crate) struct BootstrapState {
     hello_due: Duration,
-    /// The latest identity heard of each voter.
+    /// Latest disk identity received from each voter.
     identities: IndexMap<MemberId, u64>,
-    /// The identity of each voter that answered that it is unformed.
+    /// Disk identity of each voter that replied that it is uninitialized.
     uninitialized: IndexMap<MemberId, u64>,
 }
 
@@ -84,7 +86,8 @@
         self.relay_bootstrap(from, hello.identity);
     }
 
-    /// Passes the genesis on, so that its maker may fail after one delivery.
+    /// Forwards the bootstrap snapshot, so that its creator may fail after
+    /// delivering it once.
     fn relay_bootstrap(&mut self, to: MemberId, identity: u64) {
         let Some(snapshot) = self.log.snapshot() else {
             return;
@@ -122,12 +125,14 @@
             membership,
             data,
         });
-        // The others learn of the group with their next hello.
+        // The other voters receive the bootstrap snapshot in reply to their
+        // next hello.
         let others_initialized_at = self.now + self.config.timing.heartbeat_interval * 2;
         self.election_deadline = self.election_deadline.min(others_initialized_at);
     }
 
-    /// All configured members, once each voter is known to be unformed.
+    /// Membership of all configured members, once every other voter is known to
+    /// be uninitialized.
     fn initial_membership(&self) -> Option<Membership> {
         let mut members = Vec::new();
         for configured in &self.config.members {
@@ -155,7 +160,8 @@
         if self.is_initialized() || !own || snapshot.index != BOOTSTRAP_INDEX {
             return;
         }
-        // A genesis from a disk that its sender has lost by now founds nothing.
+        // Ignore the bootstrap snapshot if its sender has lost the disk that it
+        // names.
         let heard = self.bootstrap.identities.get(&from).copied();
         let sender = snapshot.membership.get(from).map(|member| member.identity);
         if heard.is_some() && heard != sender {
@@ -172,7 +178,8 @@
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.log.install(snapshot);
-        // An unformed member has confirmed no leader, so none relies on it.
+        // An uninitialized member acknowledges no leader lease, so no leader
+        // relies on it to reject votes.
         self.reject_votes_until = self.now;
         if self.is_sole_voter() {
             self.start_pre_vote();
--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -1,33 +1,37 @@
-//! What a core is notified at construction.
+//! Configuration of a core.
 
 use std::time::Duration;
 
 use super::timing::Timing;
 use super::types::MemberId;
 
-/// A member as the settings list it.
+/// A member as listed in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
-    /// The key of the member.
+    /// Identifier of the member.
     pub id: MemberId,
-    /// Whether the settings make it a voter.
+    /// Whether the settings make the member a voter.
     pub votes: bool,
 }
 
-/// Bounds on memory and message size.
+/// Limits on memory use and message size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest command in bytes.
+    /// Maximum size of a command.
     pub max_command_bytes: usize,
-    /// About how many bytes of entries one message carries; at least one entry.
+    /// Approximate maximum size of the entries in one message. A message
+    /// carries at least one entry, whatever its size.
     pub max_batch_bytes: usize,
-    /// The largest snapshot of the state machine in bytes; it travels in one message.
+    /// Maximum size of a state machine snapshot, which is sent in a single
+    /// message.
     pub max_snapshot_bytes: usize,
-    /// How many applied entries make a new snapshot due.
+    /// Number of applied entries after which a new snapshot is taken.
     pub compact_after_entries: u64,
-    /// How many entries before a snapshot stay in memory for slow members.
+    /// Number of entries before a snapshot that stay in memory for slow
+    /// members.
     pub retained_entries: u64,
-    /// How many uncommitted entries a leader holds before it takes no more.
+    /// Number of uncommitted entries at which a leader rejects further
+    /// proposals.
     pub max_uncommitted_entries: u64,
 }
 
@@ -44,44 +48,48 @@
     }
 }
 
-/// How a group grows from a few seeds, where the settings do not list every
-/// member.
+/// Settings for a group that starts from a few seeds and adds members at run
+/// time, where the settings don't list every member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JoinConfig {
-    /// Whether this member may found a group with the other seeds. False for
-    /// a member that starts later: its empty disk may be a lost one.
+    /// Whether this member may bootstrap a group with the other seeds. Must be
+    /// false for a member that starts later: its disk may be empty because it
+    /// was lost.
     pub may_bootstrap: bool,
-    /// How many voters the group keeps. Members beyond them vote too, but
-    /// lose their place when they fall silent.
+    /// Number of voters to keep. Further members become voters as well, but are
+    /// removed after `extra_voter_timeout` without contact.
     pub target_voters: usize,
-    /// How long a voter beyond that number may be silent.
+    /// How long a voter beyond `target_voters` may be silent before it is
+    /// removed.
     pub extra_voter_timeout: Duration,
 }
 
-/// Switches that turn single protections off, so that a test can show that
-/// its check notices. Never changed outside tests.
+/// Switches that each disable one safety mechanism, so that tests can show that
+/// their checks detect its absence. Never changed outside tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Protections {
-    /// Votes and acknowledgements leave only after the sync they rest on.
+    /// Send votes and acknowledgements only after the writes that they depend
+    /// on are synced.
     pub sync_before_send: bool,
-    /// The right to vote is bound to the identity of the disk.
+    /// Accept votes only under the recorded disk identity.
     pub identity_check: bool,
-    /// Votes are refused while a leader is live.
+    /// Reject vote requests while a leader is live.
     pub leader_stickiness: bool,
-    /// A lease runs from the member's own send time.
+    /// Start a lease at the member's own send time.
     pub lease_from_send: bool,
-    /// A leader counts its own entries only after its sync.
+    /// Count the leader's own entries towards a majority only after its sync.
     pub commit_after_own_sync: bool,
-    /// A lapsed lease resumes only once the commit index at renewal is applied.
+    /// Resume service after a lease expired only once the commit index at
+    /// renewal is applied.
     pub apply_before_lease_resumes: bool,
-    /// Only entries of the leader's own term are committed by counting.
+    /// Commit only entries of the leader's own term by counting replicas.
     pub own_term_commit: bool,
-    /// Members vote only for a candidate whose log is up to date.
+    /// Grant votes only to candidates whose log is up to date.
     pub log_check: bool,
-    /// A new leader waits for the leases that its predecessor granted.
+    /// Let a new leader wait for the leases that its predecessor granted.
     pub inherited_leases: bool,
-    /// A leader that hands its lead over trusts its lease no longer.
+    /// End the leader lease when a leadership transfer starts.
     pub transfer_ends_lease: bool,
 }
 
@@ -102,28 +110,28 @@
     }
 }
 
-/// The configuration of one core.
+/// Configuration of one core.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// This member.
+    /// Identifier of this member.
     pub id: MemberId,
-    /// All members by the settings, this one included.
+    /// All configured members, including this one.
     pub members: Vec<MemberConfig>,
-    /// Set where members join by themselves; `members` then lists the seeds.
+    /// Set if members join at run time; `members` then lists the seeds.
     pub join: Option<JoinConfig>,
-    /// Time-outs and leases.
+    /// Timeouts and leases.
     pub timing: Timing,
-    /// Bounds on memory and message size.
+    /// Limits on memory use and message size.
     pub limits: Limits,
-    /// Where this core's random numbers start; must differ from incarnation to incarnation.
+    /// Seed of the random number generator; must differ between incarnations.
     pub seed: u64,
-    /// Test-only switches.
+    /// Switches for tests.
     #[doc(hidden)]
     pub protections: Protections,
 }
 
 impl CoreConfig {
-    /// A configuration with the default timing and limits.
+    /// Creates a configuration with the default timing and limits.
     pub fn new(id: MemberId, members: Vec<MemberConfig>, seed: u64) -> Self {
         CoreConfig {
             id,
@@ -143,7 +151,7 @@
             .map(|member| member.id)
     }
 
-    /// Whether this member may take part in the foundation of a group.
+    /// Whether this member may take part in bootstrapping a group.
     pub(crate) fn may_bootstrap(&self) -> bool {
         self.is_voter(self.id) && self.join.is_none_or(|join| join.may_bootstrap)
     }
--- a/crates/cleat-quorum/src/core/durability.rs
+++ b/crates/cleat-quorum/src/core/durability.rs
@@ -1,4 +1,4 @@
-//! What waits for the disk.
+//! Tracking of syncs, and of the actions that wait for them.
 
 use std::collections::VecDeque;
 
@@ -6,12 +6,12 @@
 use super::message::Message;
 use super::types::{LogIndex, MemberId, Term};
 
-/// Something that must not happen before a sync.
+/// An action that must not happen before a sync completes.
 #[derive(Debug)]
 pub(crate) enum Deferred {
-    /// A message that states what is on the disk.
+    /// A message that reports durable state.
     Send(Message),
-    /// The acknowledgement of entries that agree with the leader's up to `verified`.
+    /// Acknowledgement of entries that match the leader's up to `verified`.
     Ack {
         to: MemberId,
         round: u64,
@@ -22,19 +22,19 @@
     OwnVote { term: Term },
 }
 
-/// The state of the disk as far as the core knows.
+/// Sync state of the disk, as far as the core knows.
 #[derive(Debug)]
 pub(crate) struct Durability {
-    /// Whether this step wrote something.
+    /// Whether the current step wrote to the disk.
     pub(crate) dirty: bool,
     last_issued: SyncId,
     last_synced: SyncId,
-    /// The sync that covers the latest term, vote and snapshot: what every
-    /// message rests on.
+    /// The sync that covers the latest term, vote and snapshot. Every message
+    /// depends on it.
     critical_sync: SyncId,
-    /// The last entry on the disk. Invariant: never beyond the log.
+    /// Last durable entry. Invariant: not beyond the end of the log.
     durable_index: LogIndex,
-    /// The last entry at the time of each sync under way.
+    /// Pending syncs, each with the last entry that it covers.
     pending_syncs: VecDeque<(SyncId, LogIndex)>,
     deferred: VecDeque<(SyncId, Deferred)>,
 }
@@ -56,17 +56,17 @@
         self.durable_index
     }
 
-    /// Whether all writes so far are on the disk.
+    /// Whether all writes so far are durable.
     pub(crate) fn is_fully_synced(&self) -> bool {
         !self.dirty && self.last_issued == self.last_synced
     }
 
-    /// Notes that this step wrote the term, the vote or a snapshot.
+    /// Records that the current step wrote the term, the vote or a snapshot.
     pub(crate) fn mark_critical_write(&mut self) {
         self.critical_sync = SyncId(self.last_issued.0 + 1);
     }
 
-    /// Whether the latest term, vote and snapshot are on the disk.
+    /// Whether the latest term, vote and snapshot are durable.
     pub(crate) fn is_critical_state_synced(&self) -> bool {
         self.critical_sync <= self.last_synced
     }
@@ -76,7 +76,7 @@
         self.deferred.push_back((next, deferred));
     }
 
-    /// Ends a step that wrote: gives the sync to ask for.
+    /// Ends a step. If it wrote to the disk, returns the sync to request.
     pub(crate) fn finish_step(&mut self, last_index: LogIndex) -> Option<SyncId> {
         if !std::mem::take(&mut self.dirty) {
             return None;
@@ -86,7 +86,7 @@
         Some(self.last_issued)
     }
 
-    /// Entries from `index` on were dropped: no sync covers them.
+    /// Excludes entries from `index` on from the pending syncs.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let last = index.saturating_sub(1);
         self.durable_index = self.durable_index.min(last);
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Notes a finished sync and gives what waited for it.
+    /// Records a completed sync and returns the actions that were waiting for
+    /// it.
     pub(crate) fn complete_sync(&mut self, sync_id: SyncId) -> Vec<Deferred> {
         self.last_synced = self.last_synced.max(sync_id);
         while let Some((_, at)) = self.pending_syncs.pop_front_if(|(t, _)| *t <= sync_id) {
--- a/crates/cleat-quorum/src/core/election.rs
+++ b/crates/cleat-quorum/src/core/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, vote and the rejection of votes while a leader is live.
+//! Pre-votes, votes, and the rejection of votes while a leader is live.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,12 @@
 use super::{Core, State};
 
 impl Core {
-    /// Asks whether an election could be won, without disturbing anyone.
+    /// Starts a pre-vote, which finds out whether an election could be won
+    /// without raising the term of any member.
     pub(super) fn start_pre_vote(&mut self) {
         self.schedule_election_retry();
         self.leader = None;
-        // The group may have removed this member while it was away.
+        // The group may have removed this member while it was unreachable.
         self.request_join();
         if !self.is_voter() {
             return;
@@ -24,8 +25,8 @@
         self.count_vote(self.config.id);
     }
 
-    /// Starts an election in the next term. `transfer` tells that the leader of
-    /// this term asked for it.
+    /// Starts an election in the next term. `transfer` is set if the leader of
+    /// this term requested the election.
     pub(super) fn start_election(&mut self, transfer: bool) {
         let term = self.hard_state.term + 1;
         self.set_hard_state(HardState {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Counts a vote and goes on once a majority is reached.
+    /// Counts a vote and moves to the next phase once a majority is reached.
     pub(super) fn count_vote(&mut self, from: MemberId) {
         let quorum = self.log.membership().quorum();
         match &mut self.state {
@@ -87,8 +88,9 @@
     }
 
     pub(super) fn on_vote_request(&mut self, from: MemberId, term: Term, req: &VoteRequest) {
-        // A lead that was handed over is no reason to refuse; in any later
-        // term the request is outdated.
+        // After a leadership transfer, the old leader no longer relies on its
+        // lease, so there is no need to reject. A transfer request from an
+        // earlier term is rejected as stale below.
         let handed_over = req.transfer && !req.pre;
         if !self.matches_identity(req) || (self.must_reject_votes() && !handed_over) {
             return;
@@ -106,13 +108,15 @@
         self.reply_vote(from, term, false, granted);
     }
 
-    /// The right to vote belongs to one disk: a member that lost it may have
-    /// voted in this term without knowing.
+    /// Whether the request names this member's disk identity. The right to vote
+    /// is bound to one disk: a member that lost its disk may have voted in this
+    /// term without knowing.
     fn matches_identity(&self, req: &VoteRequest) -> bool {
         req.voter_identity == self.identity || !self.config.protections.identity_check
     }
 
-    /// Whether a live leader may rely on this member not to elect another.
+    /// Whether a live leader may rely on this member not to elect another
+    /// leader.
     fn must_reject_votes(&self) -> bool {
         if !self.config.protections.leader_stickiness {
             return false;
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Whether the given identity of a member counts for a majority.
+    /// Whether a member counts towards a majority under the given identity.
     pub(super) fn counts_as_voter(
         &self,
         membership: &Membership,
--- a/crates/cleat-quorum/src/core/event.rs
+++ b/crates/cleat-quorum/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a core and what comes out.
+//! Inputs and outputs of a core.
 
 use std::sync::Arc;
 
@@ -7,126 +7,132 @@
 use super::message::Message;
 use super::types::{Entry, HardState, LogIndex, MemberId, Snapshot, Term};
 
-/// Numbers the syncs of one incarnation, from 1.
+/// Sequence number of a sync in one incarnation, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SyncId(pub u64);
 
-/// Something that happened.
+/// An input to the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due when [`deadline`](super::Core::deadline) is reached.
+    /// The time returned by [`deadline`](super::Core::deadline) was reached.
     Tick,
-    /// A message arrived.
+    /// A message was received.
     Receive(Message),
-    /// All writes up to this sync are on the disk.
+    /// All writes up to this sync are durable.
     Synced(SyncId),
-    /// Commands to append, as one group.
+    /// Append these commands as one batch.
     Propose(Vec<Arc<[u8]>>),
-    /// A linearizable read; the caller chooses the number.
+    /// Start a linearizable read under an identifier that the caller chooses.
     Read(u64),
-    /// The state machine's snapshot that [`Effect::TakeSnapshot`] asked for.
+    /// Delivers the state machine snapshot requested by
+    /// [`Effect::TakeSnapshot`].
     SnapshotTaken {
-        /// The last entry in it.
+        /// Last entry included in the snapshot.
         index: LogIndex,
-        /// The state.
+        /// Serialized state machine.
         data: Arc<[u8]>,
     },
-    /// An operator removes a member for good.
+    /// Remove a member permanently.
     RemoveMember(MemberId),
-    /// This member is about to stop: if it leads, it takes no more commands
-    /// and hands its lead over. There is no way back within the term.
+    /// Prepare to stop: a leader rejects further proposals and transfers
+    /// leadership. This can't be undone within the term.
     TransferLeadership,
-    /// This member is about to stop and gives up its lease.
+    /// Release this member's lease before it stops.
     ReleaseLease,
 }
 
-/// A change to the member's disk. Writes are carried out in order.
+/// A change to the member's disk. Writes must be executed in order.
 #[derive(Clone, Debug)]
 pub enum Write {
     /// Append consecutive entries.
     Append(Vec<Entry>),
-    /// Drop this entry and all after it.
+    /// Delete this entry and all entries after it.
     TruncateFrom(LogIndex),
     /// Replace the term and vote.
     HardState(HardState),
-    /// Save a snapshot, then drop the entries up to its index.
+    /// Save a snapshot, then delete the entries up to its index.
     Snapshot(Arc<Snapshot>),
 }
 
-/// What has to be done, in order, and before the next step.
+/// An action for the driver. Effects must be executed in order and before the
+/// next step.
 ///
-/// A message that rests on a write is not among the effects of the step that
-/// wrote: the core holds it back until [`Event::Synced`] confirms the sync_id
-/// and sends it in that step. So every `Send` may leave at once.
+/// The core defers a message that depends on a write until [`Event::Synced`]
+/// confirms the sync that covers the write. The driver may therefore execute
+/// every `Send` immediately.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Change the disk.
+    /// Write to the disk.
     Write(Write),
-    /// Sync all writes before it, then report [`Event::Synced`].
+    /// Sync all preceding writes, then report [`Event::Synced`].
     Sync(SyncId),
     /// Send a message.
     Send(Message),
-    /// Apply a committed command.
+    /// Apply a committed command to the state machine.
     Apply {
-        /// Its position.
+        /// Position of the command.
         index: LogIndex,
-        /// Its term, which tells a proposer whether it is its own.
+        /// Term of the command; a proposer compares it to recognize its own
+        /// command.
         term: Term,
         /// The command.
         command: Arc<[u8]>,
     },
-    /// Replace the state machine by a snapshot.
+    /// Replace the state machine with a snapshot.
     Restore(Arc<Snapshot>),
-    /// Take a snapshot of the state machine as it is now.
+    /// Take a snapshot of the current state machine.
     TakeSnapshot(LogIndex),
-    /// The proposed commands have consecutive positions from `first`.
+    /// The proposed commands were appended at consecutive positions.
     Accepted {
-        /// The position of the first command.
+        /// Position of the first command.
         first: LogIndex,
-        /// The term of them all.
+        /// Term of all the commands.
         term: Term,
     },
-    /// The proposal was not appended.
+    /// The proposal or membership change was rejected.
     Rejected(Rejection),
-    /// The read may go on once this entry is applied.
+    /// The read may proceed once this entry is applied.
     ReadReady {
-        /// The number of the read.
+        /// Identifier of the read.
         id: u64,
-        /// The entry.
+        /// Entry that must be applied first.
         index: LogIndex,
     },
-    /// The read can't be confirmed here.
+    /// This member can't confirm the read.
     ReadRejected {
-        /// The number of the read.
+        /// Identifier of the read.
         id: u64,
-        /// Why.
+        /// Reason for the rejection.
         rejection: Rejection,
     },
-    /// This member no longer leads; its uncommitted proposals are in doubt.
+    /// This member is no longer the leader. The outcome of its uncommitted
+    /// proposals is unknown.
     LostLeadership,
 }
 
-/// Why a proposal, a read or a removal was not taken. Nothing was changed.
+/// Reason why a proposal, a read or a removal was rejected. No state was
+/// changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Rejection {
-    /// This member does not lead. Ask the leader, if one is known.
-    #[snafu(display("this member does not lead the group"))]
+    /// This member is not the leader. Retry on the leader, if one is known.
+    #[snafu(display("this member is not the leader"))]
     NotLeader {
-        /// The leader as far as it is known.
+        /// Leader of the current term, if known.
         leader: Option<MemberId>,
     },
-    /// The leader reaches no majority of the voters. Try again later.
-    #[snafu(display("the leader reaches no majority of the voters"))]
+    /// The leader can't reach a majority of the voters. Retry later.
+    #[snafu(display("the leader can't reach a majority of the voters"))]
     NoQuorum,
-    /// Too much is uncommitted. Try again later.
-    #[snafu(display("too many commands wait to be committed"))]
+    /// Too many commands are uncommitted, or another membership change is in
+    /// progress. Retry later.
+    #[snafu(display("too many uncommitted commands, or a membership change is in progress"))]
     Busy,
-    /// A command is larger than the limit. Make it smaller.
-    #[snafu(display("the command has {size} bytes, more than the limit of {limit}"))]
+    /// A command exceeds the size limit.
+    #[snafu(display("the command size of {size} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the command in bytes.
         size: usize,
-        /// The limit in bytes.
+        /// Limit in bytes.
         limit: usize,
     },
 }
--- a/crates/cleat-quorum/src/core/follower.rs
+++ b/crates/cleat-quorum/src/core/follower.rs
@@ -1,4 +1,4 @@
-//! How a member takes entries, snapshots and its lease from the leader.
+//! Handling of entries, snapshots and lease renewals from the leader.
 
 use std::sync::Arc;
 
@@ -23,11 +23,12 @@
         let applied = self.applied;
         self.append_missing(append.entries);
         self.commit_to(append.commit.min(last_sent));
-        // The echo tells that the leader has all that a learner could answer.
+        // The echo shows that the leader has already received this learner's
+        // latest acknowledgement.
         if nothing_to_report && self.applied == applied && !self.is_voter() {
             return;
         }
-        // A committed prefix agrees with every later leader's log.
+        // Every later leader's log contains the committed prefix.
         let verified = last_sent.max(self.commit);
         self.acknowledge(from, append.round, verified);
     }
@@ -44,8 +45,8 @@
         self.acknowledge(from, install.round, index.max(self.commit));
     }
 
-    /// Accepts the sender as the leader of its term, or tells it that its
-    /// term is over.
+    /// Accepts the sender as the leader of its term. A sender with a stale term
+    /// is sent the current term instead.
     fn accept_leader(&mut self, from: MemberId, term: Term) -> bool {
         if term < self.hard_state.term {
             let last = self.log.last_index();
@@ -63,8 +64,8 @@
         true
     }
 
-    /// A lease counts from the send that the leader echoes, so a delayed
-    /// message can't make it longer.
+    /// Extends the lease. It starts at the send that the leader echoes, so a
+    /// delayed message can't prolong it.
     fn extend_lease(&mut self, echo: Option<LeaseStamp>, commit: LogIndex) {
         let Some(sent_at) = echo.and_then(|echo| self.lease.sent_at(echo)) else {
             return;
@@ -90,9 +91,10 @@
         );
     }
 
-    /// Whether this member renews its lease by asking. Learners detect no
-    /// dead leader, so they need fewer heartbeats than voters; and a lease that
-    /// is asked for is echoed at once, so it runs longer after the last one.
+    /// Whether this member renews its lease by request. Learners don't detect
+    /// leader failures and so need fewer heartbeats than voters. The leader
+    /// answers a request at once, so the lease starts later, and lasts longer,
+    /// than with an echo in the next heartbeat.
     pub(super) fn requests_lease_renewal(&self) -> bool {
         let is_follower = matches!(self.state, State::Follower) && self.leader.is_some();
         is_follower
@@ -120,7 +122,7 @@
         before_term.max(self.commit)
     }
 
-    /// Adds the entries that are missing; drops those that differ.
+    /// Appends the missing entries and replaces conflicting ones.
     fn append_missing(&mut self, entries: Vec<Entry>) {
         let mut missing = Vec::new();
         for entry in entries {
@@ -150,8 +152,8 @@
         let snapshot = Arc::new(snapshot);
         let initialized = self.is_initialized();
         let continues = initialized && self.log.term_at(snapshot.index) == Some(snapshot.term);
-        // The entries that differ go first: a crash in between must not leave
-        // them behind the snapshot.
+        // Delete the conflicting entries first: a crash between the two writes
+        // must not leave them after the snapshot.
         if !continues && self.log.last_index() >= snapshot.index && initialized {
             self.truncate_from(snapshot.index);
         }
@@ -170,8 +172,9 @@
         }
     }
 
-    /// Acknowledges once what is acknowledged is on the disk. A heartbeat
-    /// need not wait for entries that are still being synced.
+    /// Sends an acknowledgement once the state that it reports is durable. The
+    /// acknowledgement of a heartbeat doesn't wait for entries whose sync is
+    /// pending.
     fn acknowledge(&mut self, to: MemberId, round: u64, verified: LogIndex) {
         let pending = self.durability.dirty || !self.durability.is_critical_state_synced();
         if pending && self.config.protections.sync_before_send {
@@ -196,7 +199,7 @@
         self.ack(to, round, AckOutcome::Matched(verified.min(durable)));
     }
 
-    /// Tells the leader of an earlier term that a later one began.
+    /// Reports the current term to the leader of an earlier one.
     fn reject_stale_term(&mut self, to: MemberId, outcome: AckOutcome) {
         self.ack(to, NO_ROUND, outcome);
     }
@@ -211,7 +214,8 @@
             outcome,
         };
         let message = self.message(to, self.hard_state.term, Body::Ack(ack));
-        // What the message rests on must survive a restart.
+        // The term, vote and snapshot that the message depends on must survive
+        // a restart.
         if self.durability.is_critical_state_synced() {
             self.effects.push(super::Effect::Send(message));
         } else {
--- a/crates/cleat-quorum/src/core/join.rs
+++ b/crates/cleat-quorum/src/core/join.rs
@@ -1,4 +1,5 @@
-//! How members that the settings do not list enter and leave the group.
+//! Members that join and leave at run time without being listed in the
+//! settings.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +8,7 @@
 use super::{Core, State};
 
 impl Core {
-    /// Asks the seeds, and the members as far as they are known, for a place.
+    /// Sends a join request to the seeds and all known members.
     pub(super) fn request_join(&mut self) {
         if self.config.join.is_none() {
             return;
@@ -21,7 +22,8 @@
         }
     }
 
-    /// Takes a joiner in, or passes its wish on once.
+    /// Records the join request on the leader. Other members forward a request
+    /// to the leader, but only if it comes directly from the joining member.
     pub(super) fn on_join(&mut self, from: MemberId, id: MemberId) {
         if self.config.join.is_none() || !self.is_initialized() {
             return;
@@ -37,7 +39,7 @@
         }
     }
 
-    /// The members that the group should have.
+    /// Members that the group should have.
     pub(super) fn target_members(&self) -> BTreeSet<MemberId> {
         let configured = self.config.members.iter().map(|member| member.id);
         let mut target: BTreeSet<MemberId> = configured.collect();
@@ -49,13 +51,15 @@
         target
     }
 
-    /// Whether a member should vote. One that joined by itself has a disk.
+    /// Whether a member should be a voter. Every member that joins at run time
+    /// has a disk and becomes one.
     pub(super) fn should_vote(&self, id: MemberId) -> bool {
         self.config.join.is_some() || self.config.is_voter(id)
     }
 
-    /// A voter beyond the number to keep that has been silent for too long,
-    /// so that a machine replaced by another stops counting for the majority.
+    /// Finds a voter in excess of the target number that has been silent for
+    /// too long. Its removal stops a machine that was replaced from counting
+    /// towards the majority.
     pub(super) fn silent_extra_voter(&mut self, membership: &Membership) -> Option<MemberId> {
         let join = self.config.join?;
         if membership.voters().count() <= join.target_voters {
--- a/crates/cleat-quorum/src/core/leader.rs
+++ b/crates/cleat-quorum/src/core/leader.rs
@@ -1,4 +1,4 @@
-//! How a leader begins, and takes commands and reads.
+//! Leader startup, proposals and reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,8 @@
     pub(super) fn become_leader(&mut self, requested_at: Duration) {
         let next = self.log.last_index() + 1;
         let mut leader_state = LeaderState::new(next, requested_at);
-        // Members may hold leases that an earlier leader granted up to now.
+        // Members may hold leases that an earlier leader granted up to this
+        // moment.
         let until = if self.config.protections.inherited_leases {
             self.now + self.config.timing.member_lease_with_drift()
         } else {
@@ -45,7 +46,8 @@
         self.reconcile_membership();
     }
 
-    /// Appends the leader's own entries and sends them to whoever is idle.
+    /// Appends entries to the leader's log and sends them to every member that
+    /// has nothing in flight.
     pub(super) fn append_as_leader(&mut self, payloads: Vec<Payload>) {
         let term = self.hard_state.term;
         let mut entries = Vec::with_capacity(payloads.len());
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -1,4 +1,4 @@
-//! Both sides of a member's lease: the member's, and the leader's.
+//! Member leases, as tracked by the member itself and by the leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,16 +11,17 @@
 pub(crate) struct OwnLease {
     incarnation: u32,
     seq: u32,
-    /// The sends of this incarnation whose lease could still run, ascending.
+    /// Recent acknowledgements of this incarnation whose lease could still be
+    /// running, in ascending order.
     sent: VecDeque<(u32, Duration)>,
-    /// The end of the lease on this member's clock.
+    /// End of the lease on this member's clock.
     until: Duration,
-    /// The entry that must be applied before this member serves. None before
-    /// the first lease.
+    /// Entry that must be applied before this member serves; `None` before the
+    /// first lease.
     ///
-    /// Invariant: at least the commit index of the leader that last granted
-    /// a lease while none was running. While a lease runs unbroken, the
-    /// leader waits for this member, so the required_index needs no further move.
+    /// Invariant: at least the commit index of the leader that last granted a
+    /// lease while none was running. During an unbroken lease the leader waits
+    /// for this member to apply entries, so the index doesn't need to advance.
     required_index: Option<LogIndex>,
     released: bool,
 }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Stamps a send.
+    /// Creates the stamp of an acknowledgement and records its send time.
     pub(crate) fn stamp(&mut self, now: Duration, lease: Duration) -> LeaseStamp {
         self.seq += 1;
         self.sent.push_back((self.seq, now));
@@ -49,7 +50,7 @@
         self.current()
     }
 
-    /// Whether nothing was sent after the echoed stamp.
+    /// Whether `echo` is the stamp of the latest acknowledgement.
     pub(crate) fn is_latest(&self, echo: Option<LeaseStamp>) -> bool {
         echo == Some(self.current())
     }
@@ -61,7 +62,8 @@
         }
     }
 
-    /// When the echoed send left, if it was one of this incarnation.
+    /// Send time of the echoed acknowledgement, if it is a recent one of this
+    /// incarnation.
     pub(crate) fn sent_at(&self, echo: LeaseStamp) -> Option<Duration> {
         if echo.incarnation != self.incarnation {
             return None;
@@ -73,7 +75,8 @@
         Some(self.sent[at].1)
     }
 
-    /// Runs the lease until `until`; `commit` is what its granter had committed.
+    /// Extends the lease to `until`. `commit` is the commit index of the leader
+    /// that granted it.
     pub(crate) fn extend(
         &mut self,
         until: Duration,
@@ -91,7 +94,7 @@
         self.until = self.until.max(until);
     }
 
-    /// Gives the lease up for the rest of this incarnation.
+    /// Releases the lease for the rest of this incarnation.
     pub(crate) fn release(&mut self) -> LeaseStamp {
         self.released = true;
         self.current()
@@ -101,7 +104,7 @@
         self.released.then(|| self.current())
     }
 
-    /// The end of the lease, if this member may serve at all.
+    /// End of the lease, if this member has applied the required entry.
     pub(crate) fn serves_until(&self, applied: LogIndex) -> Option<Duration> {
         let may_serve = self
             .required_index
@@ -110,20 +113,20 @@
     }
 }
 
-/// What the leader knows of another member's lease.
+/// Lease of another member, as tracked by the leader.
 #[derive(Debug)]
 pub(crate) struct PeerLease {
     stamp: Option<LeaseStamp>,
     applied: LogIndex,
-    /// Until when the member may hold a lease, on the leader's clock.
+    /// Time until which the member may hold a lease, on the leader's clock.
     lease_until: Duration,
-    /// Until when an earlier incarnation of the member, or one unknown, may hold one.
+    /// Time until which an earlier or unknown incarnation may hold a lease.
     other_incarnations_until: Duration,
     released: bool,
 }
 
 impl PeerLease {
-    /// A member that may hold a lease of an earlier leader until `until`.
+    /// A member that may hold a lease from an earlier leader until `until`.
     pub(crate) fn inherited(until: Duration) -> PeerLease {
         PeerLease {
             stamp: None,
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Notes an acknowledgement; a lease from its stamp lapses before `until`.
+    /// Records an acknowledgement. A lease granted for its stamp expires before
+    /// `until`.
     pub(crate) fn record_ack(&mut self, stamp: LeaseStamp, applied: LogIndex, until: Duration) {
         match self.stamp {
             Some(old) if old.incarnation == stamp.incarnation => {
@@ -157,8 +161,8 @@
         self.lease_until = self.lease_until.max(until);
     }
 
-    /// The member gave its lease up. Only the incarnation that is known can do so,
-    /// and leases of other lives still run out by themselves.
+    /// Records that the member released its lease. Only the known incarnation
+    /// can release its lease; leases of other incarnations must expire.
     pub(crate) fn release(&mut self, stamp: LeaseStamp) {
         if self
             .stamp
--- a/crates/cleat-quorum/src/core/log.rs
+++ b/crates/cleat-quorum/src/core/log.rs
@@ -1,25 +1,26 @@
-//! The entries in memory, the latest snapshot, and the memberships in both.
+//! In-memory log: entries, the latest snapshot, and the memberships in both.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use super::types::{Entry, LogIndex, Membership, Payload, Snapshot, Term};
 
-/// The log as this member holds it in memory.
+/// The part of the log that this member holds in memory.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// The latest snapshot; none while the member belongs to no group.
+    /// Latest snapshot; `None` while the member is uninitialized.
     snapshot: Option<Arc<Snapshot>>,
-    /// The position and term just before the first entry.
+    /// Position and term of the entry before the first one in memory.
     ///
     /// Invariant: `base_index <= snapshot.index`, and both are committed.
     base_index: LogIndex,
     base_term: Term,
     /// Invariant: consecutive from `base_index + 1`.
     entries: VecDeque<Entry>,
-    /// Memberships by the entry that made them, ascending.
+    /// Memberships with the index of the entry that created them, in ascending
+    /// order.
     ///
-    /// Invariant: the first is not after the snapshot.
+    /// Invariant: the first one is not after the snapshot.
     memberships: Vec<(LogIndex, Arc<Membership>)>,
 }
 
@@ -79,7 +80,8 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The first position of the run of entries with the term of `index`.
+    /// Returns the first index of the consecutive entries that share the term
+    /// of `index`.
     pub(crate) fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -89,7 +91,8 @@
         first
     }
 
-    /// Entries from `from` on, up to about `max_bytes` but at least one.
+    /// Returns entries from `from` on, up to about `max_bytes` but at least
+    /// one.
     pub(crate) fn batch(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -105,17 +108,17 @@
         batch
     }
 
-    /// The latest membership, committed or not.
+    /// Latest membership, committed or not.
     pub(crate) fn membership(&self) -> &Arc<Membership> {
         &self.memberships[self.memberships.len() - 1].1
     }
 
-    /// The entry that made the latest membership.
+    /// Index of the entry that created the latest membership.
     pub(crate) fn membership_index(&self) -> LogIndex {
         self.memberships[self.memberships.len() - 1].0
     }
 
-    /// The membership after the given entry.
+    /// Membership as of the given entry.
     pub(crate) fn membership_at(&self, index: LogIndex) -> Arc<Membership> {
         let found = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         found.map_or_else(Arc::default, |(_, membership)| membership.clone())
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Takes a snapshot of the leader's: the entries after it stay only if
-    /// they continue it.
+    /// Installs a snapshot from the leader. Later entries are retained only if
+    /// the log contains the snapshot's last entry.
     pub(crate) fn install(&mut self, snapshot: Arc<Snapshot>) {
         if self.term_at(snapshot.index) == Some(snapshot.term) && self.snapshot.is_some() {
             self.compact(snapshot, 0);
@@ -153,8 +156,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Replaces the snapshot by a later one and drops the entries that it
-    /// covers, but for the last `keep`.
+    /// Replaces the snapshot with a later one and drops the entries that it
+    /// covers, except for the last `keep`.
     pub(crate) fn compact(&mut self, snapshot: Arc<Snapshot>, keep: u64) {
         let base = snapshot.index.saturating_sub(keep).max(self.base_index);
         if let Some(term) = self.term_at(base) {
--- a/crates/cleat-quorum/src/core/membership.rs
+++ b/crates/cleat-quorum/src/core/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership, one at a time.
+//! Membership changes, one at a time.
 
 use super::event::Rejection;
 use super::lease::PeerLease;
@@ -6,7 +6,7 @@
 use super::types::{Member, MemberId, Membership, Payload};
 use super::{Core, Effect, State};
 
-/// How many entries a member may lag and still be made a voter.
+/// Maximum number of entries by which a member may lag to become a voter.
 const CAUGHT_UP_MAX_LAG: u64 = 256;
 
 impl Core {
@@ -24,16 +24,18 @@
         self.change_membership(next);
     }
 
-    /// A change begins only when the one before is committed, and after the
-    /// leader's first entry: otherwise two majorities might not overlap.
+    /// Whether a membership change may start. The previous change and the
+    /// leader's first entry must be committed: otherwise two majorities might
+    /// not overlap.
     fn may_change_membership(&self) -> bool {
         let committed = self.log.membership_index() <= self.commit;
         committed && self.has_committed_own_term() && self.holds_leader_lease()
     }
 
-    /// Brings the membership closer to the settings by one step: adds members
-    /// that are missing, takes the vote from a lost disk, and gives a vote to
-    /// a member that caught up.
+    /// Brings the membership one step closer to the target: adds a missing
+    /// member, demotes a voter that lost its disk, or promotes a learner that
+    /// has caught up. If none of these applies, removes an extra voter that is
+    /// silent.
     pub(super) fn reconcile_membership(&mut self) {
         if !matches!(self.state, State::Leader(_)) || !self.may_change_membership() {
             return;
@@ -50,7 +52,8 @@
         }
     }
 
-    /// The record of a member that differs from what it should be, if any.
+    /// Returns the updated record of a member whose record differs from its
+    /// target.
     fn next_member_change(&self, membership: &Membership, id: MemberId) -> Option<Member> {
         let retired = membership.retired.contains(&id) && !self.joiners.contains(&id);
         if id == self.config.id || retired {
--- a/crates/cleat-quorum/src/core/message.rs
+++ b/crates/cleat-quorum/src/core/message.rs
@@ -1,159 +1,166 @@
-//! What members say to each other; encoded with `postcard`.
+//! Messages between members, encoded with `postcard`.
 
 use serde::{Deserialize, Serialize};
 
 use super::types::{Entry, LogIndex, MemberId, Snapshot, Term};
 
-/// One message between two members. It may be lost, duplicated, delayed or
-/// reordered without harm.
+/// A message between two members. The protocol tolerates lost, duplicated,
+/// delayed and reordered messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The group of the sender; 0 while it belongs to none.
+    /// Group of the sender; 0 while the sender is uninitialized.
     #[serde(with = "postcard::fixint::le")]
     pub group: u32,
-    /// The sender.
+    /// Sender.
     pub from: MemberId,
-    /// The receiver.
+    /// Receiver.
     pub to: MemberId,
-    /// The sender's term, or the term that a pre-vote is about.
+    /// Term of the sender, or the prospective term of a pre-vote.
     pub term: Term,
-    /// What is said.
+    /// Content of the message.
     pub body: Body,
 }
 
-/// A member's stamp on its acknowledgements: which incarnation, and which send in it.
+/// Identifies one acknowledgement by the sender's incarnation and a sequence
+/// number. The leader echoes it to renew the sender's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStamp {
-    /// Drawn at random when the process started.
+    /// Incarnation of the sender, drawn at random when its process started.
     #[serde(with = "postcard::fixint::le")]
     pub incarnation: u32,
-    /// Counts the sends of this incarnation from 1.
+    /// Sequence number of the acknowledgement in this incarnation, from 1.
     pub seq: u32,
 }
 
-/// The kinds of message.
+/// Message types.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A heartbeat, with or without entries.
+    /// Heartbeat, with or without entries.
     Append(Append),
-    /// The answer to [`Append`] and [`InstallSnapshot`].
+    /// Acknowledges an [`Append`] or [`InstallSnapshot`].
     Ack(Ack),
-    /// A candidate asks for a vote or a pre-vote.
+    /// Requests a vote or a pre-vote.
     VoteRequest(VoteRequest),
-    /// The answer to [`VoteRequest`].
+    /// Answers a [`VoteRequest`].
     VoteReply(VoteReply),
-    /// A snapshot for a member whose entries are no longer in the log.
+    /// Snapshot for a member that needs entries that are no longer in the log.
     InstallSnapshot(InstallSnapshot),
-    /// An unformed voter asks the others who they are, or one of them answers.
+    /// Sent by an uninitialized voter to learn the state of the other voters,
+    /// and by those voters in reply.
     Hello(Hello),
-    /// The first state of the group.
+    /// Bootstrap snapshot of a new group.
     Bootstrap(Snapshot),
-    /// A member gives up its lease before a graceful stop.
+    /// Releases the sender's lease before a graceful stop.
     ReleaseLease(LeaseStamp),
-    /// The leader of this term hands its lead over: the receiver is to stand
-    /// for election at once.
+    /// Sent by the leader of this term to transfer leadership: the receiver
+    /// starts an election at once.
     TimeoutNow,
-    /// A member that belongs to no group, or that no leader speaks to, asks
-    /// to be taken in. Whoever gets it passes it on to its leader.
+    /// Requests that the given member be added to the group. Sent by a member
+    /// that is uninitialized or hears from no leader; receivers forward it to
+    /// their leader.
     Join(MemberId),
 }
 
-/// The entries after `prev_index`, the commit index, and the lease.
+/// Entries after `prev_index`, the commit index and a lease renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// Counts the leader's sends; the acknowledgement repeats it.
+    /// Sequence number of the leader's sends, repeated in the acknowledgement.
     pub round: u64,
-    /// The entry before the first of `entries`.
+    /// Index of the entry before the first of `entries`.
     pub prev_index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub prev_term: Term,
-    /// The leader's commit index.
+    /// Commit index of the leader.
     pub commit: LogIndex,
-    /// The highest stamp the leader got from the receiver; renews its lease.
+    /// Highest stamp that the leader received from the receiver; renews its
+    /// lease.
     pub echo: Option<LeaseStamp>,
     /// Consecutive entries; empty for a plain heartbeat.
     pub entries: Vec<Entry>,
 }
 
-/// The round of an acknowledgement that answers nothing. From a learner it
-/// asks the leader to renew the lease at once.
+/// Round of an unsolicited acknowledgement. From a learner, it requests an
+/// immediate lease renewal.
 pub(crate) const NO_ROUND: u64 = 0;
 
-/// What a member holds.
+/// Reports the state of a member's log to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// The round that is acknowledged; 0 if none is.
+    /// Round that is acknowledged; 0 if the acknowledgement is unsolicited.
     pub round: u64,
-    /// The identity of the sender's disk.
+    /// Disk identity of the sender.
     #[serde(with = "postcard::fixint::le")]
     pub identity: u64,
-    /// The sender's stamp for its lease.
+    /// Stamp that the leader echoes to renew the sender's lease.
     pub stamp: LeaseStamp,
-    /// The last entry that the sender applied.
+    /// Last entry that the sender has applied.
     pub applied: LogIndex,
-    /// Whether its log agrees with the leader's.
+    /// Whether the sender's log matches the leader's.
     pub outcome: AckOutcome,
 }
 
-/// Whether the receiver's log agrees with the leader's.
+/// Whether the log of the acknowledging member matches the leader's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AckOutcome {
-    /// All entries up to this one agree and are synced.
+    /// All entries up to this index match and are synced.
     Matched(LogIndex),
-    /// The entry before the sent ones is missing or differs; try from here.
+    /// The entry at `prev_index` is missing or differs; retry from this index.
     Mismatch(LogIndex),
     /// The sender belongs to no group yet and needs a snapshot.
     Uninitialized,
 }
 
-/// A request for a vote.
+/// Request for a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// Only asks whether a vote would be granted; binds nobody.
+    /// Whether this is a pre-vote, which changes no state on the receiver.
     pub pre: bool,
-    /// The leader of the term before gave its lead up for this candidate, so
-    /// no live leader relies on the receiver to refuse.
+    /// Whether the leader of the previous term transferred leadership to this
+    /// candidate. That leader then no longer relies on the receiver to reject
+    /// votes.
     pub transfer: bool,
-    /// The candidate's last entry.
+    /// Last entry in the candidate's log.
     pub last_index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub last_term: Term,
-    /// The receiver's identity in the candidate's membership.
+    /// Receiver's disk identity according to the candidate's membership.
     pub voter_identity: u64,
 }
 
-/// The answer to a request for a vote.
+/// Reply to a vote request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// Whether it answers a pre-vote.
+    /// Whether this answers a pre-vote.
     pub pre: bool,
-    /// Whether the vote is granted; the message's term is then the candidate's.
+    /// Whether the vote is granted; if so, the message carries the candidate's
+    /// term.
     pub granted: bool,
-    /// The identity of the voter's disk.
+    /// Disk identity of the voter.
     pub identity: u64,
 }
 
-/// A whole snapshot.
+/// A complete snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstallSnapshot {
-    /// As in [`Append`].
+    /// See [`Append::round`].
     pub round: u64,
-    /// As in [`Append`].
+    /// See [`Append::commit`].
     pub commit: LogIndex,
-    /// As in [`Append`].
+    /// See [`Append::echo`].
     pub echo: Option<LeaseStamp>,
-    /// The state up to some committed entry.
+    /// State as of some committed entry.
     pub snapshot: Snapshot,
 }
 
-/// Who a voter is, for the bootstrap of a group.
+/// State of a voter, exchanged while bootstrapping a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The identity of the sender's disk.
+    /// Disk identity of the sender.
     pub identity: u64,
     /// Whether the sender belongs to no group yet.
     pub uninitialized: bool,
-    /// The identity that asked. An answer to an earlier identity is void, so
-    /// a delayed answer can't found a second group.
+    /// In a reply, the disk identity that sent the request. A reply to an
+    /// earlier identity is ignored, so that a delayed reply can't bootstrap a
+    /// second group.
     pub in_reply_to: Option<u64>,
 }
--- a/crates/cleat-quorum/src/core/mod.rs
+++ b/crates/cleat-quorum/src/core/mod.rs
@@ -1,7 +1,9 @@
-//! The pure consensus core: `(state, event, now) -> effects`.
+//! The consensus core: a deterministic function of state, event and time that
+//! returns effects.
 //!
-//! No clock, socket, thread or global random source is used inside. `now` is
-//! a monotonic duration since any fixed point of this member's incarnation.
+//! The core uses no clock, socket, thread or global random source. `now` is a
+//! monotonic duration whose origin is fixed for one incarnation (one run of the
+//! process) of this member.
 
 mod apply;
 mod bootstrap;
@@ -50,23 +52,25 @@
 use log::Log;
 use progress::LeaderState;
 
-/// How much longer the longest wait for another election is than the shortest.
+/// Ratio of the longest delay before an election retry to the shortest.
 const ELECTION_RETRY_SPREAD: u32 = 4;
 
-/// What a member finds on its disk when it starts.
+/// State that a member reads from its disk at startup.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    /// The identity of the disk; drawn anew for a member without one.
+    /// Identity of the disk. A member without a disk draws a new one at each
+    /// start.
     pub identity: u64,
-    /// The term and vote.
+    /// Current term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot; none while the member belongs to no group.
+    /// Latest snapshot; `None` if the member is uninitialized (belongs to no
+    /// group).
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The entries after the snapshot.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// The part that a member plays in the current term.
+/// Role-specific state in the current term.
 #[derive(Debug)]
 enum State {
     Follower,
@@ -80,7 +84,7 @@
     Leader(Box<LeaderState>),
 }
 
-/// One member's consensus state.
+/// Consensus state of one member.
 #[derive(Debug)]
 pub struct Core {
     config: CoreConfig,
@@ -88,35 +92,37 @@
     rng: StdRng,
     now: Duration,
     hard_state: HardState,
-    /// The group, or 0 while the member belongs to none.
+    /// Identifier of the group, or 0 while the member is uninitialized.
     group: u32,
     log: Log,
     commit: LogIndex,
-    /// Invariant: `applied == commit` after each step.
+    /// Invariant: equal to `commit` after each step.
     applied: LogIndex,
     state: State,
     leader: Option<MemberId>,
-    /// Until when votes are refused because a leader may be live.
+    /// Time until which vote requests are rejected because a leader may be
+    /// live.
     ///
-    /// Invariant: at least `election_timeout_min` after the start of this incarnation, since
-    /// the member can't know which leader it heard before.
+    /// Invariant: at least `election_timeout_min` after this incarnation
+    /// started. A restarted member doesn't know when it last heard from a
+    /// leader, so it assumes the latest possible time.
     reject_votes_until: Duration,
     election_deadline: Duration,
     durability: Durability,
     lease: OwnLease,
-    /// When a learner asks for its lease anew.
+    /// When this learner next requests a renewal of its lease.
     renewal_due: Duration,
     bootstrap: BootstrapState,
-    /// Members that asked this leader to take them in.
+    /// Members that asked this leader to add them to the group.
     joiners: BTreeSet<MemberId>,
-    /// The last entry for which a snapshot was asked for.
+    /// Index at which the last snapshot was requested from the state machine.
     requested_snapshot_index: LogIndex,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// Starts a member from what its disk holds. The caller restores the state
-    /// machine from the snapshot's data, unless the snapshot is the genesis.
+    /// Creates a member from its recovered state. The caller restores the state
+    /// machine from the snapshot, unless that is the bootstrap snapshot.
     pub fn new(config: CoreConfig, recovery: Recovery, now: Duration) -> Core {
         let mut rng = StdRng::seed_from_u64(config.seed);
         let incarnation = rng.random();
@@ -151,7 +157,8 @@
         core
     }
 
-    /// Takes one event and gives what has to be done, in order.
+    /// Processes one event and returns the resulting effects in execution
+    /// order.
     pub fn step(&mut self, event: Event, now: Duration) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -172,7 +179,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn deadline(&self) -> Duration {
         match &self.state {
             State::Leader(leader_state) => leader_state.heartbeat_due,
@@ -238,7 +245,8 @@
         }
     }
 
-    /// A member of no group only learns from a leader; it never votes.
+    /// Handles messages while this member is uninitialized. It accepts entries
+    /// and snapshots from a leader, but never votes.
     fn receive_uninitialized(&mut self, group: u32, from: MemberId, term: Term, body: Body) {
         if term < self.hard_state.term {
             return;
@@ -285,7 +293,8 @@
         self.advance_commit();
     }
 
-    /// Takes over a higher term; votes and roles of earlier ones are void.
+    /// Adopts `term` if it is higher than the current one, and becomes a
+    /// follower.
     fn observe_term(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.set_hard_state(HardState {
@@ -328,7 +337,7 @@
         let timeout = self
             .rng
             .random_range(election_timeout_min..=election_timeout_max.max(election_timeout_min));
-        // A learner elects nobody, and hears the leader less often.
+        // A learner starts no election and receives heartbeats less often.
         let learner = !self.is_voter();
         let learner_delay = if learner {
             lease_renewal
@@ -338,8 +347,9 @@
         self.election_deadline = self.now + timeout + learner_delay;
     }
 
-    /// Sets when to try again if the election under way fails. The leader is
-    /// gone by then, so the members' leases leave no time for a full wait.
+    /// Schedules a retry in case the current election fails. The leader is
+    /// presumed dead by then, and waiting a full election timeout would let the
+    /// member leases expire.
     fn schedule_election_retry(&mut self) {
         let longest = self.config.timing.election_timeout_min;
         let wait = self
@@ -358,7 +368,7 @@
         self.effects.push(Effect::Send(message));
     }
 
-    /// Sends once everything written so far is on the disk.
+    /// Sends a message once all writes so far are synced.
     fn send_durable(&mut self, message: Message) {
         if self.durability.is_fully_synced() || !self.config.protections.sync_before_send {
             self.effects.push(Effect::Send(message));
@@ -392,7 +402,8 @@
         membership.is_voter(self.config.id, self.identity)
     }
 
-    /// A group of one elects itself at once: no other leader can be live.
+    /// Whether this member is the only voter. A sole voter elects itself
+    /// without waiting, because no other leader can be live.
     fn is_sole_voter(&self) -> bool {
         if self.is_initialized() {
             return self.is_voter() && self.log.membership().voters().count() == 1;
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the other members.
+//! Replication state that a leader tracks for each member.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 use super::message::{Ack, AckOutcome};
 use super::types::{LogIndex, MemberId};
 
-/// Entries or a snapshot under way to a member.
+/// Entries or a snapshot that were sent to a member and not yet acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Inflight {
     pub(crate) round: u64,
-    /// Where to begin again if it is lost.
+    /// First index to resend if the message is lost.
     pub(crate) first_index: LogIndex,
     pub(crate) last_index: LogIndex,
-    /// When to send again.
+    /// Time after which the message counts as lost.
     pub(crate) expires: Duration,
 }
 
-/// The replication to one member.
+/// Replication state of one member.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// The identity that the member last stated; 0 while unknown.
+    /// Disk identity that the member last reported; 0 if none.
     pub(crate) identity: u64,
-    /// The last entry that this identity has synced.
+    /// Last entry that is synced under this identity.
     pub(crate) matched: LogIndex,
-    /// The next entry to send. Invariant: greater than `matched`.
+    /// Next entry to send. Invariant: greater than `matched`.
     pub(crate) next: LogIndex,
-    /// Whether the member asked for a snapshot.
+    /// Whether the member requested a snapshot.
     pub(crate) needs_snapshot: bool,
     pub(crate) inflight: Option<Inflight>,
-    /// The highest round that this identity acknowledged.
+    /// Highest round that was acknowledged under this identity.
     pub(crate) round: u64,
-    /// When that round left.
+    /// When that round was sent.
     pub(crate) round_sent_at: Option<Duration>,
-    /// When anything was last sent to the member.
+    /// When the leader last sent a message to the member.
     pub(crate) sent_at: Duration,
     pub(crate) peer_lease: PeerLease,
 }
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Forgets what another identity of the member held.
+    /// Sets the disk identity; if it changed, resets the state of the previous
+    /// one.
     pub(crate) fn set_identity(&mut self, identity: u64) {
         if self.identity == identity {
             return;
@@ -67,8 +68,8 @@
         self.round_sent_at = None;
     }
 
-    /// Whether the member lacks entries or is not known to have applied all
-    /// that is committed.
+    /// Whether the member lacks entries or has not reported all committed
+    /// entries as applied.
     pub(crate) fn is_behind(&self, last: LogIndex, commit: LogIndex) -> bool {
         let sending = self.inflight.is_some() || self.needs_snapshot;
         sending || self.next <= last || self.peer_lease.applied_index() < commit
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Takes what an acknowledgement of the current identity says of the log.
+    /// Updates the replication state from an acknowledgement of the current
+    /// identity. A stale one can only confirm matching entries.
     pub(crate) fn apply_outcome(&mut self, ack: &Ack, stale: bool) {
         if let AckOutcome::Matched(index) = ack.outcome {
             self.matched = self.matched.max(index);
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Ends what is under way if this acknowledgement answers it.
+    /// Clears the in-flight message if this acknowledgement covers it.
     fn complete_inflight(&mut self, round: u64) {
         let answered =
             |inflight: Inflight| inflight.round == round || inflight.last_index <= self.matched;
@@ -117,43 +119,45 @@
     }
 }
 
-/// A read that waits for a majority to confirm the leader.
+/// A read that waits for a majority to confirm this leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
     pub(crate) id: u64,
     pub(crate) round: u64,
 }
 
-/// A lead that is being handed over.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
-    /// The first round whose acknowledgement makes a voter the successor.
+    /// First round whose acknowledgement qualifies a voter as the successor.
     pub(crate) round: u64,
-    /// Whether a voter was notified to stand for election since the last heartbeat.
+    /// Whether a voter was told to start an election since the last heartbeat.
     pub(crate) notified: bool,
-    /// When the leader steps down if nobody took over.
+    /// When the leader steps down if no successor was elected.
     pub(crate) deadline: Duration,
 }
 
-/// The state that only a leader has.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// The other members, and retired ones for their leases.
+    /// State of the other members, including removed members that may hold
+    /// leases.
     pub(crate) progress: IndexMap<MemberId, Progress>,
-    /// The leader's first entry. Invariant: the commit index covers every
-    /// earlier term only once this entry is committed.
+    /// First entry of this leader. Invariant: the commit index covers all
+    /// entries of earlier terms only once this entry is committed.
     pub(crate) first_index: LogIndex,
-    /// When the votes were asked for: the first contact with a majority.
+    /// When this leader requested votes, which counts as its first contact with
+    /// a majority.
     pub(crate) requested_at: Duration,
     pub(crate) heartbeat_due: Duration,
     pub(crate) reads: Vec<PendingRead>,
-    /// Set for the rest of the term once the lead is handed over.
+    /// Set from the start of a leadership transfer until the end of the term.
     ///
-    /// Invariant: while set, the leader's lease counts as lapsed, since voters
-    /// grant the successor their vote at any time.
+    /// Invariant: while set, the leader lease counts as expired, since voters
+    /// may elect the successor at any time.
     pub(crate) transfer: Option<Transfer>,
     round: u64,
-    /// When the recent rounds left, ascending and without gaps.
+    /// Send times of the recent rounds, in ascending order without gaps.
     rounds: VecDeque<(u64, Duration)>,
 }
 
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Starts a round; forgets those that left more than `horizon` ago.
+    /// Starts a round and discards rounds sent more than `horizon` ago.
     pub(crate) fn next_round(&mut self, now: Duration, horizon: Duration) -> u64 {
         self.round += 1;
         self.rounds.push_back((self.round, now));
@@ -183,7 +187,7 @@
         self.round
     }
 
-    /// The number that the next round will have.
+    /// Number of the next round.
     pub(crate) fn upcoming_round(&self) -> u64 {
         self.round + 1
     }
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -1,4 +1,5 @@
-//! What a majority of the voters confirms: entries, reads and the lead itself.
+//! Decisions that need a majority of the voters: commits, reads and the leader
+//! lease.
 
 use std::time::Duration;
 
@@ -6,9 +7,10 @@
 use super::{Core, Effect, State};
 
 impl Core {
-    /// Commits what a majority of the voters holds on disk. Entries of earlier
-    /// terms are committed only through one of the leader's own: a majority
-    /// that holds an old entry may still be overruled.
+    /// Commits entries that a majority of the voters has synced. Entries of
+    /// earlier terms are committed only together with an entry of the leader's
+    /// own term: until then, a later leader may still overwrite them, even on a
+    /// majority.
     pub(super) fn advance_commit(&mut self) {
         if !matches!(self.state, State::Leader(_)) {
             return;
@@ -55,9 +57,9 @@
         }
     }
 
-    /// The highest value that a majority of the voters reaches. The leader
-    /// itself has no progress; a voter whose disk is not the recorded one
-    /// counts as `missing`.
+    /// Returns the highest value that a majority of the voters has reached.
+    /// `value` gets `None` for the leader itself. A voter with an unrecorded
+    /// disk identity counts as `missing`.
     fn quorum_value<T: Ord + Copy>(
         &self,
         missing: T,
@@ -83,7 +85,7 @@
         values.get(membership.quorum() - 1).copied()
     }
 
-    /// When the latest round left that a majority acknowledged.
+    /// Returns when the latest round that a majority acknowledged was sent.
     fn quorum_round_sent_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_value(None, |_, progress| match progress {
             Some(progress) => progress.round_sent_at,
@@ -104,14 +106,14 @@
         self.holds_leader_lease_at(self.now)
     }
 
-    /// Whether this member leads and no other leader can have been elected by
-    /// `now`.
+    /// Whether this member is the leader and no other leader can have been
+    /// elected by `now`.
     pub fn holds_leader_lease_at(&self, now: Duration) -> bool {
         self.leader_lease_start(now)
             .is_some_and(|sent| now < sent + self.config.timing.leader_lease())
     }
 
-    /// When the leader's lease began; none if it may not be trusted.
+    /// Start of the leader lease; `None` if there is no lease to rely on.
     fn leader_lease_start(&self, now: Duration) -> Option<Duration> {
         let ended =
             self.is_transferring_leadership() && self.config.protections.transfer_ends_lease;
@@ -125,7 +127,7 @@
         sent.map(|sent| sent + self.config.timing.leader_lease())
     }
 
-    /// Whether this leader's commit index covers all earlier terms.
+    /// Whether this leader's commit index covers all entries of earlier terms.
     pub(super) fn has_committed_own_term(&self) -> bool {
         match &self.state {
             State::Leader(leader_state) => self.commit >= leader_state.first_index,
@@ -133,7 +135,8 @@
         }
     }
 
-    /// A leader grants_leases itself a member's lease as it does to the others.
+    /// Renews the leader's own member lease, under the conditions for granting
+    /// leases to other members.
     pub(super) fn renew_own_lease(&mut self) {
         if self.has_committed_own_term() && self.holds_leader_lease() {
             let until = self.now + self.config.timing.member_lease;
--- a/crates/cleat-quorum/src/core/replicate.rs
+++ b/crates/cleat-quorum/src/core/replicate.rs
@@ -1,17 +1,19 @@
-//! How a leader sends entries and snapshots, and takes their acknowledgements.
+//! Replication of entries and snapshots from the leader, and its handling of
+//! acknowledgements.
 
 use super::message::{Ack, AckOutcome, Append, Body, InstallSnapshot, LeaseStamp, NO_ROUND};
 use super::progress::{Inflight, Progress};
 use super::types::{MemberId, Term};
 use super::{Core, State};
 
-/// After how many heartbeats unanswered entries are sent again.
+/// Number of heartbeat intervals after which unacknowledged entries are resent.
 const RESEND_AFTER_HEARTBEATS: u32 = 2;
-/// How many heartbeats apart a learner hears from the leader unasked.
+/// Number of heartbeat intervals between unsolicited heartbeats to a learner.
 const LEARNER_HEARTBEAT_INTERVALS: u32 = 4;
 
 impl Core {
-    /// Sends a heartbeat to every member, with entries for those that lack some.
+    /// Sends a heartbeat to every member, with entries for members that lack
+    /// some.
     pub(super) fn broadcast(&mut self) {
         let members = self.other_members();
         self.send_round(&members);
@@ -40,16 +42,17 @@
         }
     }
 
-    /// Echoes the stamp of a learner that asks; the heartbeats stay due as
-    /// they are.
+    /// Echoes the stamp of a learner that requested a renewal. The heartbeat
+    /// schedule doesn't change.
     fn send_lease_renewal(&mut self, id: MemberId) {
         if let Some(round) = self.next_round() {
             self.send_to(id, round);
         }
     }
 
-    /// Whether a member needs every heartbeat. A learner that serves and lacks
-    /// nothing asks by itself; it gets a few in case it does not know whom.
+    /// Whether a member needs this heartbeat. A learner that is up to date and
+    /// may hold a lease requests renewals itself; it still gets an occasional
+    /// heartbeat in case it doesn't know the leader.
     fn needs_heartbeat(&self, id: MemberId) -> bool {
         let State::Leader(leader_state) = &self.state else {
             return false;
@@ -65,7 +68,8 @@
         votes || !up_to_date || self.now >= next_due
     }
 
-    /// Sends what a member lacks, unless something is under way to it.
+    /// Sends the entries that a member lacks, unless some are already in flight
+    /// to it.
     pub(super) fn send_pending(&mut self, id: MemberId) {
         let last = self.log.last_index();
         let State::Leader(leader_state) = &self.state else {
@@ -104,8 +108,8 @@
         if idle && (progress.needs_snapshot || compacted) {
             return self.send_snapshot(id, round, echo);
         }
-        // What is under way arrives first, as a rule; if not, the member
-        // answers that it differs, and that is ignored until the resend.
+        // Messages in flight usually arrive first. If they don't, the member
+        // reports a mismatch, which is ignored until the resend.
         let prev_index = progress.next - 1;
         let entries = if idle {
             self.log
@@ -125,7 +129,7 @@
         let append = Append {
             round,
             prev_index,
-            // A member that is_behind behind the log just answers that it differs.
+            // A member that lags behind the retained log reports a mismatch.
             prev_term: self.log.term_at(prev_index).unwrap_or_default(),
             commit: self.commit,
             echo,
@@ -138,7 +142,7 @@
         let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
         };
-        // A snapshot takes longer on the way than entries do.
+        // A snapshot takes longer to transmit than entries.
         let expires = self.now + self.config.timing.election_timeout_max;
         if let State::Leader(leader_state) = &mut self.state
             && let Some(progress) = leader_state.progress.get_mut(&id)
@@ -168,8 +172,8 @@
         if term < self.hard_state.term {
             return;
         }
-        // A removed member that still asks gets no lease, so nobody waits for
-        // more than those that it had.
+        // Ignore a removed member. It gets no new lease, so the leader waits
+        // only for the leases that it held at its removal.
         if self.log.membership().get(from).is_none() {
             return;
         }
@@ -184,14 +188,15 @@
         progress
             .peer_lease
             .record_ack(ack.stamp, ack.applied, until);
-        // An acknowledgement that was stale still tells what its disk
-        // holds, unless another disk has spoken since.
+        // A stale acknowledgement still shows which entries its disk has
+        // synced, unless the member has since reported another disk identity.
         let stale = ack.round < progress.round;
         if stale && ack.identity != progress.identity {
             return;
         }
         progress.set_identity(ack.identity);
-        // A member of no group yet may vote soon; no lease can rest on it.
+        // An uninitialized member may vote as soon as it is initialized, so its
+        // acknowledgements must not extend the leader lease.
         if ack.outcome != AckOutcome::Uninitialized {
             progress.round = progress.round.max(ack.round);
             progress.round_sent_at = progress.round_sent_at.max(sent_at);
--- a/crates/cleat-quorum/src/core/status.rs
+++ b/crates/cleat-quorum/src/core/status.rs
@@ -1,62 +1,63 @@
-//! What a core shows of itself.
+//! Status of a core.
 
 use std::time::Duration;
 
 use super::types::{Entry, HardState, LogIndex, MemberId, Membership, Term};
 use super::{Core, State};
 
-/// The part that a member plays.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It belongs to no group yet.
+    /// Belongs to no group yet.
     Uninitialized,
-    /// It receives the log without a vote.
+    /// Receives the log but doesn't vote.
     Learner,
-    /// It votes and follows.
+    /// Votes and follows a leader.
     Follower,
-    /// It tries to be elected.
+    /// Is a candidate in a pre-vote or an election.
     Candidate,
-    /// It leads.
+    /// Leads the group.
     Leader,
 }
 
-/// What the leader knows of one member.
+/// What the leader knows about one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The member.
+    /// Identifier of the member.
     pub id: MemberId,
-    /// Whether it votes.
+    /// Whether the member is a voter.
     pub votes: bool,
-    /// The last entry that it reported as applied.
+    /// Last entry that the member reported as applied.
     pub applied: LogIndex,
-    /// Whether it may hold a lease.
+    /// Whether the member may hold a lease.
     pub may_hold_lease: bool,
 }
 
-/// The state of a member at one moment.
+/// State of a member at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoreStatus {
-    /// Its part.
+    /// Role of the member.
     pub role: Role,
-    /// The current term.
+    /// Current term.
     pub term: Term,
-    /// The leader of the term as far as it is known.
+    /// Leader of the current term, if known.
     pub leader: Option<MemberId>,
-    /// The last entry known to be committed.
+    /// Last entry known to be committed.
     pub commit: LogIndex,
-    /// The last entry applied.
+    /// Last entry applied.
     pub applied: LogIndex,
-    /// Until when this member may serve, on its own clock; none if it may not.
+    /// Time until which this member may serve, on its own clock; `None` if it
+    /// may not.
     pub serves_until: Option<Duration>,
-    /// Until when it is certain to be the only leader, on its own clock; none
-    /// if it is not.
+    /// Time until which this member is certain to be the only leader, on its
+    /// own clock; `None` if it is not certain.
     pub leader_lease_until: Option<Duration>,
-    /// All members, itself included; only on the leader.
+    /// All members including this one; empty unless this member is the leader.
     pub members: Vec<MemberStatus>,
 }
 
 impl Core {
-    /// The state of this member now.
+    /// Returns the current state of this member.
     pub fn status(&self) -> CoreStatus {
         CoreStatus {
             role: self.role(),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The part that this member plays.
+    /// Returns the current role of this member.
     pub fn role(&self) -> Role {
         match &self.state {
             _ if !self.is_initialized() => Role::Uninitialized,
@@ -81,16 +82,16 @@
         }
     }
 
-    /// Whether this member may serve at `now`: its lease runs, and it has
-    /// applied what was committed when the lease began.
+    /// Whether this member may serve at `now`: it holds a lease and has applied
+    /// all entries that were committed when the lease started.
     pub fn in_service(&self, now: Duration) -> bool {
         self.lease
             .serves_until(self.applied)
             .is_some_and(|until| now < until)
     }
 
-    /// Whether the entry is applied on every member that may hold a lease.
-    /// Only a leader that is certain of being the only one can say so.
+    /// Whether the entry is applied on every member that may hold a lease. True
+    /// only on a leader that holds the leader lease.
     pub fn in_force(&self, index: LogIndex, now: Duration) -> bool {
         let confirmed = self.has_committed_own_term()
             && self.holds_leader_lease_at(now)
@@ -98,64 +99,67 @@
         confirmed && self.members_behind(index, now).is_empty()
     }
 
-    /// The members that may hold a lease and have not reported the entry.
+    /// Members that may hold a lease and have not reported the entry as
+    /// applied.
     pub fn members_behind(&self, index: LogIndex, now: Duration) -> Vec<MemberId> {
         self.lease_holders_behind(index, now)
     }
 
-    /// The identity of this member's disk.
+    /// Identity of this member's disk.
     pub fn identity(&self) -> u64 {
         self.identity
     }
 
-    /// The last entry known to be committed.
+    /// Last entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// The last entry applied.
+    /// Last entry applied.
     pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
-    /// The term and vote.
+    /// Current term and vote.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The latest membership, committed or not.
+    /// Latest membership, committed or not.
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// An entry, if it is still in memory.
+    /// Returns an entry, if it is still in memory.
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         self.log.entry(index)
     }
 
-    /// The term of an entry, if it is still in memory.
+    /// Returns the term of an entry, if it is still in memory.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term_at(index)
     }
 
-    /// Whether another group of commands may be proposed; a follower answers
-    /// at once, so it always has room.
+    /// Whether to submit further proposals. False on a leader with too many
+    /// uncommitted entries. Other members reject proposals at once, so they can
+    /// always take more.
     pub fn can_accept_proposals(&self) -> bool {
         let uncommitted = self.log.last_index() - self.commit;
         self.role() != Role::Leader || uncommitted < self.config.limits.max_uncommitted_entries
     }
 
-    /// The largest command in bytes.
+    /// Maximum size of a command.
     pub fn max_command_bytes(&self) -> usize {
         self.config.limits.max_command_bytes
     }
 
-    /// The largest snapshot of the state machine in bytes.
+    /// Maximum size of a state machine snapshot.
     pub fn max_snapshot_bytes(&self) -> usize {
         self.config.limits.max_snapshot_bytes
     }
 
-    /// The entry before the first in memory, and the last entry of the log.
+    /// Returns the index before the first entry in memory, and the last index
+    /// of the log.
     pub fn log_bounds(&self) -> (LogIndex, LogIndex) {
         (self.log.base_index(), self.log.last_index())
     }
--- a/crates/cleat-quorum/src/core/timing.rs
+++ b/crates/cleat-quorum/src/core/timing.rs
@@ -1,24 +1,26 @@
-//! Time-outs and leases, all as durations on monotonic clocks.
+//! Timeouts and leases, as durations on monotonic clocks.
 
 use std::time::Duration;
 
 const PERCENT: u32 = 100;
 
-/// The durations of the protocol; equal on every member.
+/// Durations used by the protocol. They must be equal on all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The pause between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// The shortest silence of a leader after which a member may elect another.
+    /// Minimum time without contact to a leader before a member may elect
+    /// another.
     pub election_timeout_min: Duration,
-    /// The longest silence before a voter tries to be elected.
+    /// Maximum time without contact to a leader before a voter starts an
+    /// election.
     pub election_timeout_max: Duration,
-    /// How long a member serves after a send that the leader confirmed.
+    /// How long a member may serve, counted from an acknowledgement that the
+    /// leader echoed.
     pub member_lease: Duration,
-    /// How old a learner's lease may become before the learner asks the leader
-    /// to renew it.
+    /// Age of its lease at which a learner requests a renewal.
     pub lease_renewal: Duration,
-    /// By how many percent two clocks may run apart.
+    /// Maximum difference between the rates of two clocks, in percent.
     pub clock_drift_percent: u32,
 }
 
@@ -36,12 +38,13 @@
 }
 
 impl Timing {
-    /// For a group whose work stands still while nobody leads, and whose members
-    /// are few: half the default's silence for twice its heartbeats.
+    /// Timing for a small group whose clients are blocked while there is no
+    /// leader: half the default election timeout at twice the heartbeat rate.
     ///
-    /// A change of leader then takes 0.3 to 0.6 s rather than 0.6 to 1.1 s. The
-    /// silence has to stay above the pauses of a busy or capped processor, some
-    /// 0.1 s, and two heartbeats.
+    /// A change of leader takes 0.3 to 0.6 s instead of 0.6 to 1.1 s. The
+    /// election timeout must stay above two heartbeat intervals, and above the
+    /// scheduling delays on a busy or CPU-limited machine, which are about 0.1
+    /// s.
     pub fn fast_failover() -> Timing {
         Timing {
             heartbeat_interval: Duration::from_millis(100),
@@ -51,12 +54,13 @@
         }
     }
 
-    /// How long after a confirmed round the leader may rely on being the only one.
+    /// How long after sending a round that a majority acknowledged the leader
+    /// can rely on being the only leader.
     pub fn leader_lease(&self) -> Duration {
         self.election_timeout_min * (PERCENT - self.clock_drift_percent.min(PERCENT)) / PERCENT
     }
 
-    /// How long the leader waits before it takes a member's lease as lapsed.
+    /// How long the leader waits before it treats a member's lease as expired.
     pub fn member_lease_with_drift(&self) -> Duration {
         self.member_lease * (PERCENT + self.clock_drift_percent) / PERCENT
     }
--- a/crates/cleat-quorum/src/core/transfer.rs
+++ b/crates/cleat-quorum/src/core/transfer.rs
@@ -1,10 +1,11 @@
-//! How a leader that is about to stop hands its lead over.
+//! Leadership transfer by a leader that is about to stop.
 //!
-//! It takes no more commands and trusts its own lease no longer. Once all it
-//! appended is committed, the first voter that acknowledges a later round and
-//! holds the whole log is notified to stand for election at once; the others vote
-//! for it without waiting for the old leader's silence. If nobody takes over,
-//! the leader steps down and an ordinary election follows.
+//! The leader rejects further proposals and stops relying on its lease. Once
+//! all its entries are committed, it picks the first voter that acknowledges a
+//! later round and has the whole log, and tells that voter to start an election
+//! at once. The other voters grant their votes without waiting for an election
+//! timeout. If no successor is elected, the leader steps down and a regular
+//! election follows.
 
 use super::message::Body;
 use super::progress::Transfer;
@@ -20,8 +21,8 @@
         let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        // Only rounds that begin after the lease was given up count: the
-        // driver shows the end of the lease before anyone is notified to stand.
+        // Only rounds sent after the lease ended count: the driver publishes
+        // the end of the lease before a voter is told to start an election.
         leader_state.transfer = Some(Transfer {
             round: leader_state.upcoming_round(),
             notified: false,
@@ -35,7 +36,7 @@
         voters.any(|voter| voter.id != self.config.id)
     }
 
-    /// Whether this member leads and is handing its lead over.
+    /// Whether this member is the leader and is transferring leadership.
     pub fn is_transferring_leadership(&self) -> bool {
         self.transfer().is_some()
     }
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Tells the voter to stand for election if it is the first, since the
-    /// last heartbeat, that could replace this leader.
+    /// Tells the voter to start an election if it is the first one since the
+    /// last heartbeat that qualifies as the successor.
     pub(super) fn try_transfer_to(&mut self, to: MemberId, round: u64) {
         let last = self.log.last_index();
         let committed = self.commit == last;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Gives up this member's lease before it stops.
+    /// Releases this member's lease before it stops.
     pub(super) fn release(&mut self) {
         let stamp = self.lease.release();
         if let Some(leader) = self.leader.filter(|leader| *leader != self.config.id) {
--- a/crates/cleat-quorum/src/core/types.rs
+++ b/crates/cleat-quorum/src/core/types.rs
@@ -1,71 +1,72 @@
-//! The data that members agree on: members, entries and snapshot images.
+//! Data types that members replicate: members, entries and snapshots.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The key of a member, the same on every instance: derived from its name, or
-/// from its address where the settings do not list the members.
+/// Identifier of a member. All instances derive the same value from the
+/// member's name, or from its address if the settings don't list the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
-/// A position in the replicated log, counted from 1.
+/// Position in the replicated log, counted from 1.
 pub type LogIndex = u64;
 
-/// The position that the genesis takes; the first entry follows it.
+/// Log index of the bootstrap snapshot; the first entry follows it.
 pub const BOOTSTRAP_INDEX: LogIndex = 1;
 
-/// An election term; 0 before the first election.
+/// Election term; 0 before the first election.
 pub type Term = u64;
 
-/// One member as the log records it.
+/// A member as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The key of the member.
+    /// Identifier of the member.
     pub id: MemberId,
-    /// The identity of the disk that holds the member's votes.
+    /// Identity of the disk that stores the member's votes.
     ///
-    /// Invariant: an identity is never reused, so a member whose own identity
-    /// differs has lost its memory of its votes and must not vote. It is 0
-    /// for a learner that was never heard from.
+    /// Invariant: an identity is never reused. A member whose own identity
+    /// differs from the recorded one has lost the record of its votes and must
+    /// not vote. The identity is 0 for a learner that has never sent an
+    /// acknowledgement.
     pub identity: u64,
-    /// Whether the member votes; otherwise it is a learner.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub votes: bool,
 }
 
-/// The members of the group at some point of the log.
+/// The members of the group as of some log index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Voters and learners. Invariant: ids are unique.
     pub members: Vec<Member>,
-    /// Members that were removed. A new leader still waits for the leases
-    /// that they may hold.
+    /// Removed members. A new leader still waits for any leases that they may
+    /// hold.
     pub retired: Vec<MemberId>,
 }
 
 impl Membership {
-    /// The record of a member.
+    /// Returns the record of a member.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// All members that vote.
+    /// Iterates over the voters.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.votes)
     }
 
-    /// How many voters make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether the member with this identity votes.
+    /// Whether the member is a voter under this disk identity.
     pub fn is_voter(&self, id: MemberId, identity: u64) -> bool {
         self.get(id)
             .is_some_and(|member| member.votes && member.identity == identity)
     }
 
-    /// This membership with one member added or replaced.
+    /// Returns this membership with one member added or replaced.
     pub(crate) fn with(&self, member: Member) -> Membership {
         let mut next = self.clone();
         next.retired.retain(|id| *id != member.id);
@@ -76,7 +77,7 @@
         next
     }
 
-    /// This membership with one member removed.
+    /// Returns this membership with one member removed.
     pub(crate) fn without(&self, id: MemberId) -> Membership {
         let mut next = self.clone();
         next.members.retain(|member| member.id != id);
@@ -85,48 +86,49 @@
     }
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader, which commits those before it.
+    /// No content. A new leader appends it to commit the entries of earlier
+    /// terms.
     Noop,
-    /// An opaque command for the state machine.
+    /// Opaque command for the state machine.
     Command(Arc<[u8]>),
-    /// A new membership; it counts from the moment it is appended.
+    /// New membership. It takes effect as soon as it is appended.
     Membership(Membership),
 }
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The position of the entry.
+    /// Position of the entry.
     pub index: LogIndex,
-    /// The term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// The state of the group after one entry; it replaces the log up to there.
+/// State of the group as of one entry. It replaces the log up to that entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that the snapshot contains; [`BOOTSTRAP_INDEX`] for the genesis.
+    /// Last entry included; [`BOOTSTRAP_INDEX`] for the bootstrap snapshot.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The group that was formed by the genesis; never 0.
+    /// Identifier of the group, drawn when the group was bootstrapped; never 0.
     pub group: u32,
-    /// The membership after that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
-    /// The state machine after that entry; empty for the genesis.
+    /// State machine as of that entry; empty for the bootstrap snapshot.
     pub data: Arc<[u8]>,
 }
 
-/// The term and the vote, which must survive a restart.
+/// Term and vote, which must survive a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// The latest term seen.
+    /// Highest term seen.
     pub term: Term,
-    /// The candidate that got this member's vote in that term.
+    /// Candidate that received this member's vote in that term.
     pub voted_for: Option<MemberId>,
 }
--- a/crates/cleat-quorum/src/driver/clock.rs
+++ b/crates/cleat-quorum/src/driver/clock.rs
@@ -1,20 +1,21 @@
-//! The clock that leases are counted on.
+//! Clock for leases.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A moment, counted from the start of the machine, suspensions included.
+/// A point in time, measured from the boot of the machine and including time
+/// suspended.
 ///
-/// The ordinary monotonic clock stands still while a machine is suspended: a
-/// leader that wakes up would take its lease for younger than it is, while
-/// another has been elected.
+/// The usual monotonic clock stops while a machine is suspended. A leader that
+/// resumes would consider its lease younger than it is, although another leader
+/// may have been elected meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootTime(Duration);
 
 impl BootTime {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now() -> BootTime {
         let time = clock_gettime(ClockId::Boottime);
         let secs = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -22,7 +23,7 @@
         BootTime(Duration::new(secs, nanos))
     }
 
-    /// The time since the start of the machine.
+    /// Returns the time since the machine booted.
     pub fn since_boot(self) -> Duration {
         self.0
     }
@@ -39,7 +40,7 @@
 impl Sub for BootTime {
     type Output = Duration;
 
-    /// The time between two moments; nothing if `earlier` is the later one.
+    /// Time between two points; zero if `earlier` is in fact later.
     fn sub(self, earlier: BootTime) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/cleat-quorum/src/driver/disk.rs
+++ b/crates/cleat-quorum/src/driver/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that writes and syncs, so that a slow disk delays no heartbeat.
+//! Disk thread. It writes and syncs outside the task, so that a slow disk
+//! doesn't delay heartbeats.
 
 use std::io;
 use std::sync::mpsc;
@@ -9,19 +10,20 @@
 use crate::core::{SyncId, Write};
 use crate::store::{Store, StoreError};
 
-/// The writes of one step.
+/// Writes of one step.
 pub(crate) struct Batch {
     pub(crate) writes: Vec<Write>,
     pub(crate) sync_id: SyncId,
 }
 
-/// Starts the thread. It ends when the sender is dropped or the disk fails.
+/// Starts the disk thread. It exits when the sender is dropped or the disk
+/// fails.
 pub(crate) fn spawn(
     store: impl Store,
     synced: UnboundedSender<Result<SyncId, StoreError>>,
 ) -> io::Result<mpsc::Sender<Batch>> {
-    // The leader holds a bounded number of uncommitted entries, so the queue
-    // is bounded as well.
+    // This queue is bounded as well, because a leader limits its uncommitted
+    // entries.
     let (tx, rx) = mpsc::channel();
     thread::Builder::new()
         .name("quorum-disk".into())
@@ -44,7 +46,7 @@
     }
 }
 
-/// Writes all that waits and syncs it at once.
+/// Writes all pending batches and makes them durable with one sync.
 fn write_and_sync(
     store: &mut impl Store,
     pending_batches: impl Iterator<Item = Batch>,
--- a/crates/cleat-quorum/src/driver/error.rs
+++ b/crates/cleat-quorum/src/driver/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between a caller and its replica.
+//! Errors of a replica.
 
 use std::io;
 
@@ -8,32 +8,36 @@
 use crate::core::{MemberId, Rejection};
 use crate::store::DecodeError;
 
-/// Why a command or a read was not confirmed.
+/// Reason why a command or a read was not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
-    /// This member does not lead; nothing was appended. Ask the leader.
-    #[snafu(display("this member does not lead the group"))]
+    /// This member is not the leader; nothing was appended. Retry on the
+    /// leader.
+    #[snafu(display("this member is not the leader"))]
     NotLeader {
-        /// The leader as far as it is known.
+        /// Leader of the current term, if known.
         leader: Option<MemberId>,
     },
-    /// The leader reaches no majority; nothing was appended. Try again later.
-    #[snafu(display("the leader reaches no majority of the voters"))]
+    /// The leader can't reach a majority, or has too many uncommitted commands;
+    /// nothing was appended. Retry later.
+    #[snafu(display(
+        "the leader can't reach a majority of the voters, or has too many uncommitted commands"
+    ))]
     NoQuorum,
-    /// The member lost its lead after the append. The command may still be
-    /// applied; ask again with the same command id.
+    /// The member lost leadership after the append. The command may still be
+    /// applied. Retry with the same command id.
     #[snafu(display("the outcome of the command is unknown"))]
     OutcomeUnknown,
-    /// The command is larger than the limit; nothing was appended.
-    #[snafu(display("the command has {size} bytes, more than the limit of {limit}"))]
+    /// The command exceeds the size limit; nothing was appended.
+    #[snafu(display("the command size of {size} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the command in bytes.
         size: usize,
-        /// The limit in bytes.
+        /// Limit in bytes.
         limit: usize,
     },
-    /// The replica stopped; nothing was appended. Ask another member.
+    /// The replica stopped; nothing was appended. Retry on another member.
     #[snafu(display("the replica stopped"))]
     Stopped,
 }
@@ -48,23 +52,23 @@
     }
 }
 
-/// Why an entry is not known to be in force. Asking again is safe.
+/// Reason why an entry is not known to be in force. Retrying is safe.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum InForceError {
-    /// This member does not lead. Ask the leader.
-    #[snafu(display("this member does not lead the group"))]
+    /// This member is not the leader. Retry on the leader.
+    #[snafu(display("this member is not the leader"))]
     NotLeader {
-        /// The leader as far as it is known.
+        /// Leader of the current term, if known.
         leader: Option<MemberId>,
     },
-    /// Some members with a live lease have not applied the entry in time.
-    #[snafu(display("{} members have not applied the entry in time", members_behind.len()))]
+    /// Some members that may hold a lease did not apply the entry in time.
+    #[snafu(display("timed out waiting for {} members to apply the entry", members_behind.len()))]
     Timeout {
-        /// Those members. Empty if the leader was not certain of its lead.
+        /// Those members. Empty if the leader did not hold the leader lease.
         members_behind: Vec<MemberId>,
     },
-    /// The replica stopped. Ask another member.
+    /// The replica stopped. Retry on another member.
     #[snafu(display("the replica stopped"))]
     Stopped,
 }
@@ -79,39 +83,39 @@
     }
 }
 
-/// Why an entry was not seen applied on this member.
+/// Reason why an entry was not observed as applied on this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum WaitError {
-    /// The entry was not applied in time. Wait again.
-    #[snafu(display("the entry was not applied in time"))]
+    /// The entry was not applied in time. Retry.
+    #[snafu(display("timed out waiting for the entry to be applied"))]
     Timeout,
-    /// The replica stopped. Ask another member.
+    /// The replica stopped. Retry on another member.
     #[snafu(display("the replica stopped"))]
     Stopped,
 }
 
-/// Why a replica could not be started.
+/// Reason why a replica could not be started.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SpawnError {
-    /// The journal's content is of another version; see [`DecodeError`].
+    /// The journal was written by another version; see [`DecodeError`].
     #[snafu(context(false), display("{source}"))]
     Decode {
-        /// What was found.
+        /// Decoding error.
         source: DecodeError,
     },
-    /// The state machine refused its snapshot; see [`RestoreError`].
+    /// The state machine can't restore its snapshot; see [`RestoreError`].
     #[snafu(context(false), display("{source}"))]
     Restore {
-        /// What was found.
+        /// Restore error.
         source: RestoreError,
     },
-    /// The thread for the disk could not be started. Raise the limit of
-    /// threads, then start again.
-    #[snafu(display("the disk thread can't be started: {source}"))]
+    /// The disk thread could not be started. Raise the limit on threads, then
+    /// start the instance again.
+    #[snafu(display("can't start the disk thread: {source}"))]
     Thread {
-        /// The system's answer.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/cleat-quorum/src/driver/mod.rs
+++ b/crates/cleat-quorum/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The thin driver: runs a core on tokio with a disk thread and a transport.
+//! Driver: runs a core on tokio, with a disk thread and a transport.
 
 mod clock;
 mod config;
--- a/crates/cleat-quorum/src/driver/replica.rs
+++ b/crates/cleat-quorum/src/driver/replica.rs
@@ -1,4 +1,4 @@
-//! The running handle of a replica.
+//! Handle of a running replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,22 +20,22 @@
 use crate::core::{BOOTSTRAP_INDEX, Core, HardState, MemberId, Message, Recovery};
 use crate::store::{JournalStore, MemoryStore, Store, recover};
 
-/// How many requests may wait for the task.
+/// Maximum number of requests queued for the task.
 const REQUEST_QUEUE: usize = 1024;
-/// How many messages may wait for the task; more are dropped.
+/// Maximum number of messages queued for the task; further ones are dropped.
 const MESSAGE_QUEUE: usize = 4096;
 
 /// A command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Its position in the log.
+    /// Position of the command in the log.
     pub index: u64,
-    /// The state state_machine's answer.
+    /// Response of the state machine.
     pub response: Box<[u8]>,
 }
 
-/// A running member of the group. Dropping it ends the member without giving
-/// up its lease; [`stop`](Replica::stop) gives it up.
+/// A running member of the group. Dropping it stops the member but doesn't
+/// release its lease; [`stop`](Replica::stop) does.
 #[derive(Debug)]
 pub struct Replica {
     requests: mpsc::Sender<Request>,
@@ -46,9 +46,9 @@
 }
 
 impl Replica {
-    /// Starts a member on the journal of its data folder.
+    /// Starts a member that stores its state in a journal.
     ///
-    /// Has to be called within a tokio runtime.
+    /// Must be called within a tokio runtime.
     ///
     /// # Errors
     /// See [`SpawnError`].
@@ -87,7 +87,7 @@
         Replica::spawn_with_store(cfg, recovery, MemoryStore, transport, state_machine)
     }
 
-    /// Starts a member on any store that holds `recovery`.
+    /// Starts a member on a store whose content is `recovery`.
     ///
     /// # Errors
     /// See [`SpawnError`].
@@ -135,11 +135,11 @@
         })
     }
 
-    /// Appends a command and waits until it is applied here.
+    /// Appends a command and waits until it is applied on this member.
     ///
     /// # Errors
-    /// See [`ProposeError`]; only `OutcomeUnknown` leaves it open whether the
-    /// command is or will be applied.
+    /// See [`ProposeError`]. After `OutcomeUnknown` the command may or may not
+    /// be applied; after any other error it is not.
     pub async fn propose(&self, command: Box<[u8]>) -> Result<Applied, ProposeError> {
         let (reply, response) = oneshot::channel();
         let proposal = Proposal {
@@ -150,8 +150,8 @@
         response.await.unwrap_or(Err(ProposeError::OutcomeUnknown))
     }
 
-    /// An index that covers all that was committed before the call, and that
-    /// is applied here.
+    /// Returns an index that covers everything committed before the call and
+    /// that is applied on this member.
     ///
     /// # Errors
     /// See [`ProposeError`].
@@ -161,7 +161,8 @@
         response.await.unwrap_or(Err(ProposeError::Stopped))
     }
 
-    /// Waits until the entry is applied on every member that may serve.
+    /// Waits until the entry is in force: applied on every member that may
+    /// serve.
     ///
     /// # Errors
     /// See [`InForceError`].
@@ -191,10 +192,10 @@
         }
     }
 
-    /// Removes a member for good; it needs another id to come back.
+    /// Removes a member permanently; it can rejoin only under another id.
     ///
     /// # Errors
-    /// See [`ProposeError`]. Success means that the change is appended.
+    /// See [`ProposeError`]. Success means that the change was appended.
     pub async fn remove_member(&self, id: MemberId) -> Result<(), ProposeError> {
         let (reply, response) = oneshot::channel();
         self.send_request(Request::RemoveMember { id, reply })
@@ -207,26 +208,27 @@
         sent.map_err(|_| ProposeError::Stopped)
     }
 
-    /// Takes a message from another member. Never waits; a message that finds
-    /// the queue full is dropped, as a network may do.
+    /// Delivers a message from another member. Never blocks; if the queue is
+    /// full, the message is dropped, as it might be on the network.
     pub fn deliver(&self, message: Message) {
         let _ = self.messages.try_send(message);
     }
 
-    /// The state after the last step; one atomic read.
+    /// Returns the state after the last step, with one atomic read.
     pub fn status(&self) -> Arc<Status> {
         self.status.load_full()
     }
 
-    /// Hands the lead over, gives up the lease and ends the member. A leader
-    /// takes a second at most to hand over.
+    /// Transfers leadership, releases the lease and stops the member. A
+    /// leadership transfer takes at most one second.
     pub async fn stop(&self) {
-        // A full queue means that a stop is under way already.
+        // A full queue means that a stop is already in progress.
         let _ = self.stop.try_send(());
         self.wait_stopped().await;
     }
 
-    /// Waits until the member has ended, by a stop or since its disk failed.
+    /// Waits until the member has stopped, on request or because its disk
+    /// failed.
     pub async fn wait_stopped(&self) {
         self.requests.closed().await;
     }
--- a/crates/cleat-quorum/src/driver/request.rs
+++ b/crates/cleat-quorum/src/driver/request.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a replica's task.
+//! Requests to a replica's task.
 
 use std::sync::Arc;
 
--- a/crates/cleat-quorum/src/driver/state_machine.rs
+++ b/crates/cleat-quorum/src/driver/state_machine.rs
@@ -1,4 +1,4 @@
-//! What the driver is connected to: the state machine and the transport.
+//! Interfaces that the driver needs: the state machine and the transport.
 
 use std::error::Error;
 
@@ -6,38 +6,38 @@
 
 use crate::core::{MemberId, Message};
 
-/// The replicated state. It must depend on nothing but the commands.
+/// The replicated state machine. Its state must depend only on the commands.
 pub trait StateMachine: Send + 'static {
-    /// Applies a committed command and gives its answer. Called in the order
-    /// of the log, once for each index in a incarnation.
+    /// Applies a committed command and returns its response. Called in log
+    /// order, once per index in an incarnation.
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]>;
 
-    /// The whole state.
+    /// Returns the complete state.
     fn snapshot(&self) -> Box<[u8]>;
 
-    /// Replaces the whole state by a snapshot.
+    /// Replaces the complete state with a snapshot.
     ///
     /// # Errors
-    /// The snapshot can't be read; the replica then stops.
+    /// The snapshot can't be decoded. The replica then stops.
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError>;
 }
 
-/// Carries messages to other members. A message may be lost.
+/// Sends messages to other members. Messages may be lost.
 pub trait Transport: Send + Sync + 'static {
-    /// Sends a message without waiting.
+    /// Sends a message without blocking.
     fn send(&self, to: MemberId, message: Message);
 }
 
-/// The state machine can't read a snapshot. Start the version that wrote it,
+/// The state machine can't decode a snapshot. Start the version that wrote it,
 /// or replace the member.
 #[derive(Debug, Snafu)]
-#[snafu(display("the snapshot can't be restored: {source}"))]
+#[snafu(display("can't restore the state machine from the snapshot: {source}"))]
 pub struct RestoreError {
     source: Box<dyn Error + Send + Sync>,
 }
 
 impl RestoreError {
-    /// Wraps the state machine's own error.
+    /// Wraps an error of the state machine.
     pub fn new(source: impl Error + Send + Sync + 'static) -> RestoreError {
         let source = Box::new(source);
         RestoreError { source }
--- a/crates/cleat-quorum/src/driver/status.rs
+++ b/crates/cleat-quorum/src/driver/status.rs
@@ -1,9 +1,9 @@
-//! The state of a replica as others see it.
+//! Published state of a replica.
 
 use super::clock::BootTime;
 use crate::core::{CoreStatus, MemberId, MemberStatus, Role, Term};
 
-/// The state of a replica after its last step.
+/// State of a replica after its last step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     core: CoreStatus,
@@ -22,7 +22,8 @@
         }
     }
 
-    /// The status of a replica that stopped: it neither leads nor serves.
+    /// Returns the status of the replica after it stopped, in which it neither
+    /// leads nor serves.
     pub(crate) fn stopped(&self) -> Status {
         let mut core = self.core.clone();
         core.leader = None;
@@ -42,48 +43,50 @@
         self.serves_until.is_some_and(|until| now < until)
     }
 
-    /// Until when it may serve without hearing from the leader again.
+    /// Time until which the member may serve without hearing from the leader
+    /// again.
     pub fn serves_until(&self) -> Option<BootTime> {
         self.serves_until
     }
 
-    /// The part that the member plays.
+    /// Role of the member.
     pub fn role(&self) -> Role {
         self.core.role
     }
 
-    /// Whether it is certain, at `now`, to be the only leader, and to know of
-    /// all that was committed.
+    /// Whether, at `now`, this member is certain to be the only leader and to
+    /// know all committed entries.
     pub fn holds_leader_lease(&self, now: BootTime) -> bool {
         self.leader_lease_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it leads, as far as it knows.
+    /// Whether the member considers itself the leader. Another leader may have
+    /// been elected since.
     pub fn is_leader(&self) -> bool {
         self.core.role == Role::Leader
     }
 
-    /// The current term.
+    /// Current term.
     pub fn term(&self) -> Term {
         self.core.term
     }
 
-    /// The leader as far as it is known.
+    /// Leader of the current term, if known.
     pub fn leader(&self) -> Option<MemberId> {
         self.core.leader
     }
 
-    /// The last entry known to be committed.
+    /// Last entry known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.core.commit
     }
 
-    /// The last entry applied.
+    /// Last entry applied.
     pub fn applied_index(&self) -> u64 {
         self.core.applied
     }
 
-    /// All members; only on the leader.
+    /// All members; empty unless this member is the leader.
     pub fn members(&self) -> &[MemberStatus] {
         &self.core.members
     }
--- a/crates/cleat-quorum/src/driver/task.rs
+++ b/crates/cleat-quorum/src/driver/task.rs
@@ -20,14 +20,14 @@
 use crate::core::{Core, Effect, Event, Message, Rejection, Role, SyncId, Write};
 use crate::store::StoreError;
 
-/// How many requests one step groups at most.
+/// Maximum number of requests handled in one step.
 const MAX_REQUESTS_PER_STEP: usize = 256;
-/// How long a stop waits for the next leader at most.
+/// Maximum time that a stop waits for the next leader.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How many messages are taken before the task looks elsewhere.
+/// Maximum number of messages handled before the task polls its other inputs.
 const MAX_MESSAGES_PER_TURN: usize = 64;
 
-/// What the task listens to.
+/// Inputs of the task.
 pub(crate) struct Inputs {
     pub(crate) requests: Receiver<Request>,
     pub(crate) messages: Receiver<Message>,
@@ -35,7 +35,7 @@
     pub(crate) synced: UnboundedReceiver<Result<SyncId, StoreError>>,
 }
 
-/// What the task acts on.
+/// Outputs of the task.
 pub(crate) struct Outputs<T, M> {
     pub(crate) transport: T,
     pub(crate) state_machine: M,
@@ -44,12 +44,12 @@
     pub(crate) applied: watch::Sender<u64>,
 }
 
-/// Why the task has to end.
+/// Reason why the task must end.
 #[derive(Debug, Snafu)]
 enum Failure {
     #[snafu(context(false), display("{source}"))]
     Disk { source: StoreError },
-    #[snafu(display("the disk thread ended"))]
+    #[snafu(display("the disk thread exited unexpectedly"))]
     DiskThreadEnded,
     #[snafu(context(false), display("{source}"))]
     Restore { source: RestoreError },
@@ -61,11 +61,11 @@
     outputs: Outputs<T, M>,
     writes: Vec<Write>,
     waiters: Waiters,
-    /// The proposals of the step under way.
+    /// Proposals of the current step.
     proposals: Vec<Proposal>,
     removal: Option<Reply<(), ProposeError>>,
     role: Role,
-    /// When a stop ends at the latest; none unless the lead is handed over.
+    /// Time by which a stop must end; `None` unless a stop is in progress.
     stop_deadline: Option<Instant>,
 }
 
@@ -86,7 +86,7 @@
 
     pub(crate) async fn run(mut self, mut inputs: Inputs) {
         if let Err(failure) = self.run_until_stopped(&mut inputs).await {
-            error!("the replica stops: {failure}");
+            error!("replica stopped after a failure: {failure}");
         }
         let last = self.outputs.status.load().stopped();
         self.outputs.status.store(Arc::new(last));
@@ -143,7 +143,7 @@
         others.into_iter().flatten().fold(core, Instant::min)
     }
 
-    /// A leader hands its lead over before it stops.
+    /// Starts a stop. A leader first transfers leadership.
     fn begin_stop(&mut self) -> Result<(), Failure> {
         self.step(Event::TransferLeadership)?;
         let now = Instant::now();
@@ -156,14 +156,15 @@
         Ok(())
     }
 
-    /// The next leader has to be known, so that it is told of the release.
+    /// Whether a stop may end. The next leader must be known, since the release
+    /// of the lease is sent to it.
     fn can_stop(&self, limit: Instant, now: Instant) -> bool {
         let replaced =
             !self.core.is_transferring_leadership() && self.core.status().leader.is_some();
         replaced || now >= limit
     }
 
-    /// Takes requests; all proposals among them become one group.
+    /// Handles requests; all proposals among them are appended as one batch.
     fn handle_requests(&mut self, requests: impl Iterator<Item = Request>) -> Result<(), Failure> {
         let limit = self.core.max_command_bytes();
         let mut proposals = Vec::new();
@@ -207,8 +208,8 @@
         while let Some(event) = next.take() {
             let now = BootTime::now() - self.clock_origin;
             for effect in self.core.step(event, now) {
-                // The effects of one step come before those of the next: the
-                // tickets of syncs must reach the disk in order.
+                // Execute all effects of one step before the next step: sync
+                // ids must reach the disk thread in order.
                 next = self.execute(effect)?.or(next);
             }
         }
@@ -216,7 +217,7 @@
         Ok(())
     }
 
-    /// Carries out an effect; gives the event that it leads to.
+    /// Executes an effect and returns the event that results from it, if any.
     fn execute(&mut self, effect: Effect) -> Result<Option<Event>, Failure> {
         match effect {
             Effect::Write(write) => self.writes.push(write),
@@ -256,7 +257,9 @@
 
     fn warn_if_snapshot_too_large(&self, index: u64, data: &[u8]) {
         if data.len() > self.core.max_snapshot_bytes() {
-            warn!("the snapshot at entry {index} is over the limit; the log is not compacted");
+            warn!(
+                "state machine snapshot at entry {index} exceeds the size limit; the log was not compacted"
+            );
         }
     }
 
@@ -273,7 +276,11 @@
         let status = Status::new(self.core.status(), self.clock_origin);
         if status.role() != self.role {
             self.role = status.role();
-            info!("now {:?} in term {}", status.role(), status.term());
+            info!(
+                "role changed to {:?} in term {}",
+                status.role(),
+                status.term()
+            );
         }
         let applied = status.applied_index();
         if **self.outputs.status.load() != status {
--- a/crates/cleat-quorum/src/driver/waiters.rs
+++ b/crates/cleat-quorum/src/driver/waiters.rs
@@ -1,4 +1,4 @@
-//! The callers who wait for their command, read or entry.
+//! Callers that wait for a command, a read or an entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,7 +19,8 @@
 
 #[derive(Default)]
 pub(crate) struct Waiters {
-    /// Invariant: ascending by index, all of the term that this member leads.
+    /// Invariant: in ascending order of index, all of the term that this member
+    /// leads.
     proposals: VecDeque<PendingProposal>,
     reads: IndexMap<u64, Reply<u64, ProposeError>>,
     next_read: u64,
@@ -46,7 +47,7 @@
         } else {
             Err(ProposeError::OutcomeUnknown)
         };
-        // The caller may have gone; the command is applied all the same.
+        // The caller may be gone; the command is applied anyway.
         let _ = pending.reply.send(result);
     }
 
@@ -72,13 +73,15 @@
         self.in_force.push(wait);
     }
 
-    /// The earliest deadline of those who wait for an entry to be in force.
+    /// Earliest deadline among the callers that wait for an entry to be in
+    /// force.
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.in_force.iter().map(|wait| wait.deadline).min()
     }
 
-    /// Answers those whose entry is in force, whose time is over, or who ask
-    /// a member that does not lead. `core_now` is the core's time.
+    /// Completes the waits whose entry is in force or whose deadline has
+    /// passed, and all waits if this member is not the leader. `core_now` is
+    /// the core's time.
     pub(crate) fn check_in_force(&mut self, core: &Core, core_now: Duration, now: Instant) {
         let leads = core.role() == Role::Leader;
         for wait in std::mem::take(&mut self.in_force) {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Answers everyone at the end of the task.
+    /// Rejects all waiting callers when the task ends.
     pub(crate) fn reject_all(&mut self) {
         self.lost_leadership();
         for (_, reply) in self.reads.drain(..) {
--- a/crates/cleat-quorum/src/store/journal.rs
+++ b/crates/cleat-quorum/src/store/journal.rs
@@ -1,4 +1,4 @@
-//! The store on the data folder's journal.
+//! Store that uses the journal in the data folder.
 
 use std::sync::Arc;
 
@@ -9,18 +9,19 @@
 use super::{Store, StoreError};
 use crate::core::{Entry, HardState, MemberId, Membership, Recovery, Snapshot, Write};
 
-/// What the journal holds can't be read as this version's data. Start the
+/// The content of the journal can't be decoded by this version. Start the
 /// version that wrote it, or replace the member.
 #[derive(Debug, Snafu)]
-#[snafu(display("entry {index} in the journal can't be decoded: {source}"))]
+#[snafu(display("can't decode journal entry {index}: {source}"))]
 pub struct DecodeError {
-    /// The entry, or the last one in the snapshot.
+    /// Index of the entry, or of the last entry in the snapshot.
     index: u64,
-    /// What the decoder found.
+    /// Error of the decoder.
     source: postcard::Error,
 }
 
-/// The part of an snapshot that the journal does not keep itself.
+/// The fields of a snapshot that the journal has no place for; encoded as its
+/// data.
 #[derive(Serialize, Deserialize)]
 struct SnapshotBody {
     group: u32,
@@ -28,7 +29,7 @@
     data: Arc<[u8]>,
 }
 
-/// Turns what the journal found into a core's recovery.
+/// Decodes the content of a journal into the recovered state of a core.
 ///
 /// # Errors
 /// See [`DecodeError`].
@@ -74,14 +75,14 @@
     })
 }
 
-/// A member's journal as its store.
+/// Stores a member's state in a journal.
 #[derive(Debug)]
 pub struct JournalStore {
     journal: Journal,
 }
 
 impl JournalStore {
-    /// Uses an open journal.
+    /// Wraps an open journal.
     pub fn new(journal: Journal) -> JournalStore {
         JournalStore { journal }
     }
--- a/crates/cleat-quorum/src/store/memory.rs
+++ b/crates/cleat-quorum/src/store/memory.rs
@@ -1,9 +1,9 @@
-//! The store of a member without a disk.
+//! Store for members without a disk.
 
 use super::{Store, StoreError};
 use crate::core::Write;
 
-/// Keeps nothing: the member starts empty in each incarnation, under a new identity.
+/// Stores nothing: each incarnation starts empty, under a new identity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemoryStore;
 
--- a/crates/cleat-quorum/src/store/mod.rs
+++ b/crates/cleat-quorum/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Where a member's term, vote, entries and snapshot are kept.
+//! Storage of a member's term, vote, entries and snapshot.
 
 mod journal;
 mod memory;
@@ -12,30 +12,33 @@
 pub use journal::{DecodeError, JournalStore, recover};
 pub use memory::MemoryStore;
 
-/// A disk, or what stands in for one. Its methods may block.
+/// A disk or a substitute for one. The methods may block.
 pub trait Store: Send + 'static {
-    /// Carries out a write; it is durable after the next [`sync`](Store::sync).
+    /// Executes a write, which becomes durable at the next
+    /// [`sync`](Store::sync).
     ///
     /// # Errors
-    /// Any error ends the replica, since what the disk holds is then unknown.
+    /// Any error stops the replica, since the state of the disk is then
+    /// unknown.
     fn write(&mut self, write: &Write) -> Result<(), StoreError>;
 
-    /// Makes all writes so far durable.
+    /// Makes all preceding writes durable.
     ///
     /// # Errors
-    /// As for [`write`](Store::write).
+    /// See [`write`](Store::write).
     fn sync(&mut self) -> Result<(), StoreError>;
 }
 
-/// The disk failed. Stop the instance, see to the disk, start again.
+/// A disk operation failed. Stop the instance, repair the disk, then start it
+/// again.
 #[derive(Debug, Snafu)]
-#[snafu(display("the disk of the replicated log failed: {source}"))]
+#[snafu(display("a disk operation of the replicated log failed: {source}"))]
 pub struct StoreError {
     source: Box<dyn Error + Send + Sync>,
 }
 
 impl StoreError {
-    /// Wraps the store's own error.
+    /// Wraps an error of the store.
     pub fn new(source: impl Error + Send + Sync + 'static) -> StoreError {
         let source = Box::new(source);
         StoreError { source }
