--- a/crates/cleat-quorum/examples/group_commit.rs
+++ b/crates/cleat-quorum/examples/group_commit.rs
@@ -1,8 +1,8 @@
-//! Measures commits a second and their latency against the number of
-//! concurrent proposers: three voters on journals, within one process.
+//! Measures the commit rate and latency for different numbers of concurrent
+//! proposers. The group has three voters with journals, all in one process.
 //!
-//! Run with `cargo run --release -p cleat-quorum --example group_commit -- FOLDER`;
-//! the folder decides which disk is measured.
+//! Run with `cargo run --release -p cleat-quorum --example group_commit --
+//! FOLDER`. The folder determines which disk is measured.
 
 use std::env;
 use std::error::Error;
@@ -85,7 +85,7 @@
     }
 }
 
-/// One proposer: the latencies of its commits.
+/// Proposes until the deadline and returns the latencies of the commits.
 async fn propose(replica: Arc<Replica>, until: Instant) -> Vec<Duration> {
     let mut latencies = Vec::new();
     while Instant::now() < until {
--- a/crates/cleat-quorum/examples/idle_traffic.rs
+++ b/crates/cleat-quorum/examples/idle_traffic.rs
@@ -1,5 +1,5 @@
-//! Measures what each member sends while nothing happens: nine members,
-//! three of them voters, within one process and without framing.
+//! Measures the traffic of each member of an idle group: nine members, three of
+//! them voters, in one process and without framing.
 //!
 //! Run with `cargo run --release -p cleat-quorum --example idle_traffic`.
 
--- a/crates/cleat-quorum/tests/core.rs
+++ b/crates/cleat-quorum/tests/core.rs
@@ -1,4 +1,5 @@
-//! Directed tests of the core: single rules, each with its counterexample.
+//! Tests of single protocol rules on the core, most of them with the situation
+//! that would violate the rule.
 
 mod group;
 
@@ -13,8 +14,8 @@
 use group::recovery::{identity, recover};
 use group::{Group, seconds};
 
-/// Figure 8 of the Raft paper: an entry of term 2 reaches a majority under
-/// the leader of term 4, while another member holds an entry of term 3.
+/// Figure 8 of the Raft paper: an entry of term 2 reaches a majority under the
+/// leader of term 4, while another member holds an entry of term 3.
 fn commit_index_with_old_term_majority(own_term_commit: bool) -> u64 {
     let mut group = Group::new(5, 0, |id, config, recovery| {
         config.protections.own_term_commit = own_term_commit;
@@ -28,7 +29,8 @@
             _ => recover(recovery, 5, 3, &[1]),
         }
     });
-    // Only member 0 can be elected, and only the old entry reaches member 2.
+    // Only member 0 can be elected, and only the entry of term 2 reaches member
+    // 2.
     group.filter_message = |message| {
         if let Body::Append(append) = &mut message.body {
             append.entries.retain(|entry| entry.term < 4);
@@ -52,7 +54,7 @@
     assert_eq!(
         commit_index_with_old_term_majority(false),
         3,
-        "the check must notice the rule's absence"
+        "the entry commits if the rule is disabled"
     );
 }
 
@@ -112,7 +114,7 @@
     group.advance(seconds(3));
     let leader = group.leader();
     assert!(group.core(3).in_service(group.now));
-    // The learner gets nothing any more: it is waited for until it lapses.
+    // The learner is cut off. The leader must wait for its lease to expire.
     group.filter_message = |message| message.to.0 != 3 && message.from.0 != 3;
     group.propose(leader, b"change");
     let index = group.core(leader).status().commit;
@@ -160,7 +162,7 @@
 fn hello_reply_to_lost_disk_does_not_bootstrap() {
     let mut group = Group::with_defaults(3, 0);
     group.step(0, Event::Tick);
-    // The answers arrive after member 0 lost its disk.
+    // Hold back the replies until member 0 has lost its disk.
     let mut answers = Vec::new();
     while let Some(message) = group.queue.pop_front() {
         if message.to.0 == 0 {
@@ -181,7 +183,7 @@
     assert_ne!(
         group.core(0).role(),
         Role::Uninitialized,
-        "the answers were good for the old disk"
+        "the replies are valid for the old disk"
     );
 }
 
@@ -218,8 +220,8 @@
     );
 }
 
-/// A learner renews its lease by asking: two messages at a time, and never
-/// less than a second of lease left.
+/// A learner renews its lease by request: this takes two messages per renewal,
+/// and more than a second of the lease always remains.
 #[test]
 fn request_lease_renewal_idle_learner() {
     static MESSAGES: AtomicU32 = AtomicU32::new(0);
@@ -238,7 +240,7 @@
     assert!(MESSAGES.load(Ordering::Relaxed) <= 2 * 9000 / 450);
 }
 
-/// A leader that is cut off may serve longer than it may be sure to lead.
+/// A leader that is cut off may serve for longer than its leader lease lasts.
 #[test]
 fn leader_lease_ends_before_service() {
     let mut group = Group::with_defaults(3, 0);
@@ -262,7 +264,10 @@
     assert!(group.core(leader).membership().get(MemberId(3)).is_none());
     group.propose(leader, b"after the removal");
     let index = group.core(leader).status().commit;
-    assert!(group.core(3).in_service(group.now), "its lease still runs");
+    assert!(
+        group.core(3).in_service(group.now),
+        "its lease is still running"
+    );
     assert!(!group.core(leader).in_force(index, group.now));
     group.advance(seconds(2));
     assert!(!group.core(3).in_service(group.now));
@@ -276,14 +281,15 @@
             recover(recovery, 3, 0, &[]);
         }
     });
-    // Member 2 hears the leader but gets neither genesis nor snapshot.
+    // Member 2 hears from the leader but receives neither a bootstrap snapshot
+    // nor any other snapshot.
     group.filter_message =
         |message| !matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
     group.advance(seconds(3));
     let leader = group.leader();
     assert!(group.core(leader).holds_leader_lease_at(group.now));
     assert_eq!(group.core(2).role(), Role::Uninitialized);
-    // From now on it is the only one that answers.
+    // From now on, only member 2 reaches the leader.
     group.filter_message = |message| {
         let state = matches!(message.body, Body::Bootstrap(_) | Body::InstallSnapshot(_));
         !state && (message.from.0 == 2 || message.to.0 == 2)
@@ -292,9 +298,10 @@
     assert!(!group.core(leader).holds_leader_lease_at(group.now));
 }
 
-/// Found by a schedule (seed 200256): two voters lose their disks between
-/// their answers and the genesis. No majority is left, so nobody may lead
-/// until an operator empties the founder's folder as well.
+/// Two voters lose their disks between their hello replies and the bootstrap
+/// snapshot (found by schedule seed 200256). No majority is left, so no member
+/// may become leader until an operator also empties the data folder of the
+/// member that created the bootstrap snapshot.
 #[test]
 fn bootstrap_two_lost_disks_elects_nobody() {
     let mut group = Group::with_defaults(3, 0);
--- a/crates/cleat-quorum/tests/group/mod.rs
+++ b/crates/cleat-quorum/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! Cores whose syncs end at once and whose messages arrive in order.
+//! Test group of cores. Syncs complete at once, and messages arrive in order.
 
 pub(crate) mod recovery;
 
@@ -15,12 +15,12 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-/// Cores whose syncs end at once and whose messages arrive in order.
+/// Cores that are stepped in turn, with their queued messages.
 pub(crate) struct Group {
     pub(crate) cores: Vec<Core>,
     pub(crate) now: Duration,
     pub(crate) queue: VecDeque<Message>,
-    /// Which messages arrive, and with what.
+    /// Decides whether a message is delivered; may modify it.
     pub(crate) filter_message: fn(&mut Message) -> bool,
     pub(crate) effects: Vec<Effect>,
 }
@@ -74,10 +74,10 @@
     }
 
     pub(crate) fn deliver_all(&mut self) {
-        // A message that is robbed of its entries is answered and sent again
-        // without end, so only so many arrive at one moment.
-        const AT_ONCE: usize = 100;
-        for _ in 0..AT_ONCE {
+        // An append whose entries were filtered out is answered and resent
+        // endlessly, so the number of messages per call is limited.
+        const MAX_MESSAGES_PER_CALL: usize = 100;
+        for _ in 0..MAX_MESSAGES_PER_CALL {
             let Some(mut message) = self.queue.pop_front() else {
                 return;
             };
--- a/crates/cleat-quorum/tests/group/recovery.rs
+++ b/crates/cleat-quorum/tests/group/recovery.rs
@@ -1,4 +1,4 @@
-//! What members of an existing group find on their disks.
+//! Recovered state for members of an existing group.
 
 use std::sync::Arc;
 
@@ -7,14 +7,15 @@
     Term,
 };
 
-/// The group that is recovered.
+/// Identifier of the recovered group.
 pub(crate) const GROUP: u32 = 7;
 
 pub(crate) fn identity(id: u32) -> u64 {
     1000 + u64::from(id)
 }
 
-/// A member of an existing group with hand-made entries after the genesis.
+/// Sets the recovered state to that of an existing group, with no-op entries of
+/// `terms` after the bootstrap snapshot.
 pub(crate) fn recover(recovery: &mut Recovery, voters: u32, term: Term, terms: &[Term]) {
     let member = |id| Member {
         id: MemberId(id),
--- a/crates/cleat-quorum/tests/join.rs
+++ b/crates/cleat-quorum/tests/join.rs
@@ -1,4 +1,4 @@
-//! Groups that grow from seeds.
+//! Groups that start from seeds and add members at run time.
 
 #[allow(dead_code)]
 mod group;
@@ -22,11 +22,12 @@
     }
 }
 
-/// Five members that are told of the three seeds only.
-fn seeded(extra: u32, founds: fn(u32) -> bool) -> Group {
+/// A group of five members plus `extra` ones. Each is configured with the three
+/// seeds only.
+fn group_from_seeds(extra: u32, may_bootstrap: fn(u32) -> bool) -> Group {
     Group::new(SEEDS, MEMBERS - SEEDS + extra, |id, config, _| {
         config.members.truncate(SEEDS as usize);
-        config.join = Some(join_config(founds(id)));
+        config.join = Some(join_config(may_bootstrap(id)));
     })
 }
 
@@ -40,27 +41,27 @@
 
 #[test]
 fn join_all_members_vote() {
-    let mut group = seeded(0, |_| true);
+    let mut group = group_from_seeds(0, |_| true);
     group.advance(seconds(4));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn join_without_may_bootstrap_elects_nobody() {
-    let mut group = seeded(0, |_| false);
+    let mut group = group_from_seeds(0, |_| false);
     group.advance(seconds(4));
     let led = group.cores.iter().any(|core| core.role() == Role::Leader);
-    assert!(!led, "empty disks that start later may be lost ones");
+    assert!(!led, "a member that must not bootstrap became leader");
 }
 
 #[test]
 fn join_replaces_a_silent_voter() {
-    // The sixth member is not there at first.
-    let mut group = seeded(1, |_| true);
+    // Member 5 is unreachable at first.
+    let mut group = group_from_seeds(1, |_| true);
     group.filter_message = |message| message.from.0 != 5 && message.to.0 != 5;
     group.advance(seconds(4));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
-    // Member 4 is gone for good, the sixth comes.
+    // Member 4 fails permanently, and member 5 becomes reachable.
     group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 5]);
@@ -68,7 +69,7 @@
 
 #[test]
 fn join_keeps_a_silent_voter_that_nobody_replaces() {
-    let mut group = seeded(0, |_| true);
+    let mut group = group_from_seeds(0, |_| true);
     group.advance(seconds(4));
     group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
@@ -77,26 +78,27 @@
 
 #[test]
 fn join_removed_member_rejoins() {
-    let mut group = seeded(1, |_| true);
+    let mut group = group_from_seeds(1, |_| true);
     group.filter_message = |message| message.from.0 != 5 && message.to.0 != 5;
     group.advance(seconds(4));
     group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
     group.advance(seconds(8));
     group.filter_message = |_| true;
     group.advance(seconds(8));
-    assert!(voters(&group).contains(&4), "it asked for its place");
+    assert!(voters(&group).contains(&4), "the removed member rejoined");
 }
 
-/// Two of five lose their disks at once, right after a commit on three.
+/// Two of five members lose their disks at the same time, right after three
+/// members committed an entry. The entry must survive.
 #[test]
 fn join_two_lost_disks_keep_what_was_committed() {
-    let mut group = seeded(0, |_| true);
+    let mut group = group_from_seeds(0, |_| true);
     group.advance(seconds(4));
     let leader = group.leader();
     group.propose(leader, b"kept");
     let kept = group.core(leader).status().commit;
     for lost in [0u32, 1] {
-        group.cores[lost as usize] = fresh(lost);
+        group.cores[lost as usize] = start_with_empty_disk(lost);
     }
     group.advance(seconds(6));
     let leader = group.core(group.leader());
@@ -104,8 +106,8 @@
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
 }
 
-/// A member that starts anew with an empty disk.
-fn fresh(id: u32) -> Core {
+/// Restarts a member with an empty disk.
+fn start_with_empty_disk(id: u32) -> Core {
     let seed = |id| cleat_quorum::MemberConfig {
         id: MemberId(id),
         votes: true,
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -1,4 +1,5 @@
-//! Replicas on real journals, connected within the process.
+//! Replicas that store their state in real journals and are connected
+//! in-process.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -14,7 +15,8 @@
 
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// Keeps all commands; the answer to a command is how many came before it.
+/// Records all commands. The response to a command is the number of commands
+/// before it.
 #[derive(Clone, Default)]
 struct Commands(Arc<Mutex<Vec<Vec<u8>>>>);
 
@@ -84,7 +86,7 @@
             .lock()
             .expect("not poisoned")
             .resize(members as usize, None);
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("temporary folder created");
         let machines = vec![Commands::default(); members as usize];
         let mut group = Group {
             dir,
@@ -131,7 +133,7 @@
             .set(id, Some(replica.expect("the replica starts")));
     }
 
-    /// Ends a member without a word to the others.
+    /// Stops a member without releasing its lease or transferring leadership.
     async fn crash(&self, id: u32) {
         let Some(replica) = self.transport.get(id) else {
             return;
@@ -141,7 +143,8 @@
     }
 
     async fn restart(&mut self, id: u32) {
-        // The disk thread of the last incarnation may still hold the folder's lock.
+        // The disk thread of the previous incarnation may still hold the
+        // folder's lock.
         let folder = self.folder(id);
         until(|| Journal::open(&folder, "e").is_ok()).await;
         self.spawn(id);
@@ -172,7 +175,7 @@
         Ok(applied.index)
     }
 
-    /// Proposes until the outcome is known.
+    /// Repeats the proposal until it is known to be applied.
     async fn propose_until_applied(&self, command: &str) -> u64 {
         loop {
             if let Ok(index) = self.propose(command).await {
@@ -196,7 +199,7 @@
     };
     timeout(LIMIT, poll)
         .await
-        .expect("the condition comes true");
+        .expect("the condition holds before the timeout");
 }
 
 #[tokio::test]
@@ -270,7 +273,7 @@
     for command in &acknowledged {
         assert!(
             expected.iter().any(|found| found == command.as_bytes()),
-            "{command} is lost"
+            "acknowledged command {command} was lost"
         );
     }
     for id in 0..group.members {
@@ -287,7 +290,7 @@
     let old = group.replica(leader);
     let term = old.status().term();
     old.stop().await;
-    // It ends only after another member leads, in a later term.
+    // The replica stops only after another member was elected in a later term.
     assert!(old.status().term() > term);
     let refused = old.propose(b"b".as_slice().into()).await;
     assert_eq!(refused, Err(ProposeError::Stopped));
@@ -310,7 +313,8 @@
     }
     let replica = group.replica(leader);
     let lost = replica.propose(b"b".as_slice().into()).await;
-    // On a busy machine the leader may notice before it appends.
+    // On a busy machine, the leader may lose contact to its majority before it
+    // appends.
     let unconfirmed = matches!(
         lost,
         Err(ProposeError::OutcomeUnknown | ProposeError::NoQuorum)
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of faults over pure cores.
+//! Simulations of groups of cores under group_from_seeds schedules of faults.
 
 mod simulation;
 
@@ -9,8 +9,8 @@
 
 const THREADS: u64 = 4;
 
-/// Runs seeds on a few threads until one breaks an invariant; gives the first
-/// of those that were reached.
+/// Runs the seeds on several threads, each of which stops at its first
+/// violation. Returns the violation with the lowest seed.
 fn first_violation(seeds: Range<u64>, plan: Plan) -> Option<(u64, Violation)> {
     let failed = run_all(seeds, move |seed| run(seed, plan).map(drop));
     failed
@@ -93,7 +93,8 @@
     assert_eq!(first_violation(seeds(150), plan), None);
 }
 
-/// The leases outlive their leader, unless the first election fails.
+/// The member leases must outlast the crash of the leader, unless the first
+/// election fails.
 #[test]
 fn schedule_leader_crashes() {
     let plan = Plan {
@@ -111,7 +112,7 @@
         .filter(|(_, lapsed)| *lapsed != Ok(0))
         .count();
     println!(
-        "leases lapsed after {lapsed} of {} deaths of a leader",
+        "member leases expired after {lapsed} of {} leader crashes",
         results.len()
     );
     assert!(
@@ -121,8 +122,8 @@
     );
 }
 
-/// A lead that is handed over is missing for some round trips and a sync,
-/// not for an election time-out.
+/// A leadership transfer must leave the group without a leader only for a few
+/// round trips and a sync, not for an election timeout.
 #[test]
 fn schedule_leadership_transfer() {
     let plan = Plan {
@@ -139,18 +140,22 @@
         .map(|(_, times)| times.expect("no fault"));
     let mut times: Vec<_> = times.flatten().collect();
     times.sort_unstable();
-    assert!(times.len() >= 190, "{} of 200 handed over", times.len());
+    assert!(
+        times.len() >= 190,
+        "{} of 200 transfers completed",
+        times.len()
+    );
     let at = |percent| times[(times.len() - 1) * percent / 100];
     let (median, late, last) = (at(50), at(95), at(100));
     println!(
-        "{} leads handed over: none for {median} us at p50, {late} at p95, {last} at most",
+        "{} leadership transfers, time without a leader: {median} us at p50, {late} us at p95, {last} us at maximum",
         times.len()
     );
     assert!(late < SECOND / 10, "{late} us");
 }
 
-/// Every fault at every step: the schedule must trigger_targeted_fault the step, and the group
-/// must hold its invariants and recover.
+/// Injects every fault at every step. Each step must be reached, and the group
+/// must preserve its invariants and recover.
 #[test]
 fn every_fault_at_every_step() {
     const SEEDS: u64 = 8;
@@ -182,11 +187,11 @@
             table += &format!("{targeted_injections:>12}");
         }
     }
-    println!("schedules that passed with the fault at the step, of {SEEDS}\n{table}");
+    println!("schedules that passed with the fault injected at the step, of {SEEDS}\n{table}");
 }
 
-/// Many faults on slow disks, with one protection off.
-fn without(faults: &'static [Fault], change: impl FnOnce(&mut Protections)) -> Plan {
+/// A plan with many faults on slow disks and one protection disabled.
+fn plan_without(faults: &'static [Fault], change: impl FnOnce(&mut Protections)) -> Plan {
     let mut protections = Protections::default();
     change(&mut protections);
     let slow_sync = (0.3, SECOND);
@@ -210,15 +215,19 @@
     Fault::CutOutbound,
 ];
 
-/// Shows that the checks notice a protection that is switched off.
+/// Asserts that the checks detect a disabled protection.
 fn assert_detects(name: &str, plan: Plan, expected: fn(&Violation) -> bool) {
     let failed = first_violation(seeds(4000), plan);
-    println!("{name} off: {failed:?}");
-    let (_, violation) = failed.unwrap_or_else(|| panic!("nothing noticed {name} off"));
-    assert!(expected(&violation), "{name} off gave {violation:?}");
+    println!("{name} disabled: {failed:?}");
+    let (_, violation) =
+        failed.unwrap_or_else(|| panic!("no check detected that {name} was disabled"));
+    assert!(
+        expected(&violation),
+        "{name} disabled: unexpected violation {violation:?}"
+    );
 }
 
-fn loses_entries(violation: &Violation) -> bool {
+fn is_log_violation(violation: &Violation) -> bool {
     use Violation::{CommittedChanged, CommittedLost, LogsDiffer, StateDiffers, TwoLeadersInTerm};
     matches!(
         violation,
@@ -230,31 +239,31 @@
     )
 }
 
-fn serves_behind(violation: &Violation) -> bool {
+fn is_stale_service(violation: &Violation) -> bool {
     matches!(violation, Violation::ServesBehind(..))
 }
 
 #[test]
 fn protection_sync_before_send() {
-    let plan = without(CRASHES, |p| p.sync_before_send = false);
-    assert_detects("sync before send", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.sync_before_send = false);
+    assert_detects("sync before send", plan, is_log_violation);
 }
 
 #[test]
 fn protection_commit_after_own_sync() {
-    let plan = without(CRASHES, |p| p.commit_after_own_sync = false);
-    assert_detects("own sync counts", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.commit_after_own_sync = false);
+    assert_detects("commit after own sync", plan, is_log_violation);
 }
 
 #[test]
 fn protection_log_check() {
-    let plan = without(CRASHES, |p| p.log_check = false);
-    assert_detects("log check", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.log_check = false);
+    assert_detects("log check", plan, is_log_violation);
 }
 
 #[test]
 fn protection_identity_check() {
-    let plan = without(&[Fault::LoseDisk], |p| p.identity_check = false);
+    let plan = plan_without(&[Fault::LoseDisk], |p| p.identity_check = false);
     assert_detects("identity check", plan, |v| {
         matches!(v, Violation::LostDiskVotes(..))
     });
@@ -262,21 +271,22 @@
 
 #[test]
 fn protection_leader_stickiness() {
-    // Without proposals a cut-off member stays up to date and can be elected.
-    let plan = without(CUTS, |p| p.leader_stickiness = false);
+    // Without proposals, a member that is cut off stays up to date and can be
+    // elected.
+    let plan = plan_without(CUTS, |p| p.leader_stickiness = false);
     let plan = Plan {
-        client_pause: 5 * SECOND,
+        max_client_pause: 5 * SECOND,
         learners: 0,
         ..plan
     };
-    assert_detects("leader_stickiness", plan, |v| {
+    assert_detects("leader stickiness", plan, |v| {
         matches!(v, Violation::TwoLeaderLeases)
     });
 }
 
 #[test]
 fn protection_transfer_ends_lease() {
-    let plan = without(PAUSES, |p| p.transfer_ends_lease = false);
+    let plan = plan_without(PAUSES, |p| p.transfer_ends_lease = false);
     let plan = Plan {
         targeted_fault: Some((Step::TimeoutNow, Fault::CutBoth)),
         leadership_transfers: 4,
@@ -291,18 +301,18 @@
 
 #[test]
 fn protection_lease_from_send() {
-    let plan = without(PAUSES, |p| p.lease_from_send = false);
-    assert_detects("lease from send", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.lease_from_send = false);
+    assert_detects("lease from send", plan, is_stale_service);
 }
 
 #[test]
 fn protection_apply_before_lease_resumes() {
-    let plan = without(PAUSES, |p| p.apply_before_lease_resumes = false);
-    assert_detects("renewal gate", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.apply_before_lease_resumes = false);
+    assert_detects("apply before lease resumes", plan, is_stale_service);
 }
 
 #[test]
 fn protection_inherited_leases() {
-    let plan = without(PAUSES, |p| p.inherited_leases = false);
-    assert_detects("inherited leases", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.inherited_leases = false);
+    assert_detects("inherited leases", plan, is_stale_service);
 }
--- a/crates/cleat-quorum/tests/simulation/actions.rs
+++ b/crates/cleat-quorum/tests/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What happens to the group besides random faults.
+//! Scheduled actions other than faults, and the client.
 
 use std::sync::Arc;
 
@@ -10,7 +10,9 @@
 
 impl World {
     pub(super) fn client(&mut self) -> Result<(), Violation> {
-        let pause = self.rng.random_range(10 * MILLI..self.plan.client_pause);
+        let pause = self
+            .rng
+            .random_range(10 * MILLI..self.plan.max_client_pause);
         self.after(pause, Occurrence::Client);
         let at = self.rng.random_range(0..self.nodes.len());
         let count = self.rng.random_range(1..4);
@@ -42,7 +44,7 @@
         let serves = |node: &Node| {
             node.core
                 .as_ref()
-                .is_some_and(|c| c.in_service(node.local(now)))
+                .is_some_and(|c| c.in_service(node.local_time(now)))
         };
         let leads = |node: &Node| node.core.as_ref().is_some_and(|c| c.role() == Role::Leader);
         let Some(leader) = self.nodes.iter().position(leads) else {
@@ -62,14 +64,14 @@
         self.step(leader, Event::TransferLeadership)
     }
 
-    /// The leader that may be sure of its lead, and of all that is committed.
+    /// The leader that holds the leader lease and knows all committed entries.
     fn confirmed_leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
             let until = node
                 .core
                 .as_ref()
                 .and_then(|c| c.status().leader_lease_until);
-            !node.paused && until.is_some_and(|until| node.local(self.now) < until)
+            !node.paused && until.is_some_and(|until| node.local_time(self.now) < until)
         })
     }
 
@@ -86,7 +88,7 @@
         for at in &self.serving_at_crash {
             let node = &self.nodes[*at];
             let core = node.core.as_ref();
-            if core.is_some_and(|core| !core.in_service(node.local(self.now))) {
+            if core.is_some_and(|core| !core.in_service(node.local_time(self.now))) {
                 self.lapsed.insert(*at);
             }
         }
@@ -113,7 +115,7 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let recovery = node.start(identity);
-        node.core = Some(Core::new(config, recovery, node.local(now)));
+        node.core = Some(Core::new(config, recovery, node.local_time(now)));
         self.step(at, Event::Tick)
     }
 
--- a/crates/cleat-quorum/tests/simulation/check.rs
+++ b/crates/cleat-quorum/tests/simulation/check.rs
@@ -1,4 +1,4 @@
-//! The invariants.
+//! Checks of the invariants.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -10,7 +10,7 @@
 use super::node::Node;
 use super::{Micros, is_vote};
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     TwoLeadersInTerm(Term),
@@ -20,9 +20,10 @@
     CommittedLost(LogIndex, MemberId),
     StateDiffers(LogIndex),
     AppliedTwice(LogIndex),
-    /// The entry that was read, and the one that was committed before.
+    /// The index that was read, and the index that was committed before the
+    /// read.
     StaleRead(LogIndex, LogIndex),
-    /// The member, what it applied, and what was in force.
+    /// The member, the index that it applied, and the index that was in force.
     ServesBehind(MemberId, LogIndex, LogIndex),
     LostDiskVotes(MemberId),
     NoRecovery,
@@ -42,19 +43,21 @@
     }
 }
 
-/// The position after the genesis.
+/// Index of the first entry after the bootstrap snapshot.
 const FIRST_INDEX: LogIndex = BOOTSTRAP_INDEX + 1;
 
 #[derive(Default)]
 pub(super) struct Checker {
     leaders: HashMap<Term, MemberId>,
-    /// Every entry ever written: its digest and the term before it.
+    /// Every entry ever written, with its digest and the term of the entry
+    /// before it.
     entries: HashMap<(LogIndex, Term), (u64, Option<Term>)>,
     committed: Vec<Term>,
-    /// The membership by the committed entries and the genesis.
+    /// Membership according to the bootstrap snapshot and the committed
+    /// entries.
     membership: Option<Membership>,
     states: HashMap<LogIndex, u64>,
-    /// The committed entries at the start of each read.
+    /// The index committed at the start of each read.
     reads: Vec<LogIndex>,
     in_force: LogIndex,
     pub(super) committed_at_faults_end: Option<LogIndex>,
@@ -65,24 +68,26 @@
         self.committed.len() as u64 + 1
     }
 
-    /// Whether the group records another identity of this member.
-    pub(super) fn is_unrecorded(&self, id: MemberId, identity: u64) -> bool {
+    /// Whether the group has recorded another identity for this member.
+    pub(super) fn has_unrecorded_identity(&self, id: MemberId, identity: u64) -> bool {
         let recorded = self.membership.as_ref().and_then(|m| m.get(id));
         recorded.is_some_and(|member| member.identity != identity)
     }
 
-    /// Whether a genesis was made.
-    pub(super) fn knows_group(&self) -> bool {
+    /// Whether a bootstrap snapshot was created.
+    pub(super) fn is_bootstrapped(&self) -> bool {
         self.membership.is_some()
     }
 
-    /// Whether the group records no vote for this identity of the member.
-    pub(super) fn lacks_vote(&self, id: MemberId, identity: u64) -> bool {
+    /// Whether the group does not record the member as a voter under this
+    /// identity.
+    pub(super) fn is_not_voter(&self, id: MemberId, identity: u64) -> bool {
         let membership = self.membership.as_ref();
         membership.is_some_and(|membership| !membership.is_voter(id, identity))
     }
 
-    /// Election safety, log matching and that nothing committed changes.
+    /// Checks election safety, log matching, and that no committed entry
+    /// changes.
     pub(super) fn check_node(&mut self, node: &mut Node) -> Result<(), Violation> {
         let Some(core) = &node.core else {
             return Ok(());
@@ -113,7 +118,7 @@
         Ok(())
     }
 
-    /// A leader of the latest term holds everything that is committed.
+    /// Checks that a leader of the latest term has every committed entry.
     fn check_leader(&self, node: &Node) -> Result<(), Violation> {
         let Some(core) = &node.core else {
             return Ok(());
@@ -154,7 +159,7 @@
 
     pub(super) fn check_send(&self, node: &Node, message: &Message) -> Result<(), Violation> {
         let identity = node.core.as_ref().map_or(0, |core| core.identity());
-        let unrecorded = self.is_unrecorded(node.id, identity);
+        let unrecorded = self.has_unrecorded_identity(node.id, identity);
         if is_vote(&message.body) && unrecorded {
             return Err(Violation::LostDiskVotes(node.id));
         }
@@ -191,14 +196,15 @@
         Ok(())
     }
 
-    /// No member serves, paused or not, behind what was called in force.
+    /// Checks that no member, paused or not, serves a state that lacks an entry
+    /// reported as in force.
     pub(super) fn check_leases(&mut self, nodes: &[Node], now: Micros) -> Result<(), Violation> {
         let mut confirmed = 0;
         for node in nodes.iter().filter(|node| !node.paused) {
             let Some(core) = &node.core else {
                 continue;
             };
-            let local = node.local(now);
+            let local = node.local_time(now);
             let commit = core.commit_index();
             confirmed += u32::from(core.holds_leader_lease_at(local));
             if commit > self.in_force && core.in_force(commit, local) {
@@ -213,7 +219,7 @@
                 continue;
             };
             let applied = core.applied_index();
-            if applied < self.in_force && core.in_service(node.local(now)) {
+            if applied < self.in_force && core.in_service(node.local_time(now)) {
                 return Err(Violation::ServesBehind(node.id, applied, self.in_force));
             }
         }
--- a/crates/cleat-quorum/tests/simulation/effects.rs
+++ b/crates/cleat-quorum/tests/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! The fake network and disks: where a core's effects go.
+//! Executes the effects of a core on the simulated network and disks.
 
 use cleat_quorum::{Effect, Event, Message, Payload, SyncId, Write};
 use rand::RngExt;
@@ -48,8 +48,8 @@
         };
         let took = self.rng.random_range(100..longest);
         let node = &mut self.nodes[at];
-        node.disk.mark_sync(sync_id);
-        let delay = node.disk.sync_ends(self.now, took) - self.now;
+        node.disk.record_sync(sync_id);
+        let delay = node.disk.sync_end(self.now, took) - self.now;
         let incarnation = node.incarnation;
         self.after(delay, Occurrence::SyncDone(at, incarnation, sync_id));
     }
@@ -78,7 +78,7 @@
         if !self.nodes[at].blocked_outbound.contains(&message.to) && !lost {
             let copies = 1 + u32::from(self.rng.random_bool(0.01 + conditions.duplicate));
             for _ in 0..copies {
-                let delay = self.travel_time();
+                let delay = self.network_latency();
                 self.after(delay, Occurrence::Deliver(message.clone()));
             }
         }
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    pub(super) fn travel_time(&mut self) -> Micros {
+    pub(super) fn network_latency(&mut self) -> Micros {
         if self.rng.random_bool(0.003 + self.conditions.delay) {
             return self.rng.random_range(MILLI..3 * SECOND);
         }
@@ -96,7 +96,8 @@
         self.rng.random_range(300..3 * MILLI)
     }
 
-    /// Strikes the targeted_fault's fault when its step is reached, on either side.
+    /// Schedules the targeted fault if its step is reached, on one of the two
+    /// members involved.
     pub(super) fn trigger_targeted_fault(&mut self, step: Step, from: usize, to: usize) {
         let Some((targeted_fault, fault)) = self.plan.targeted_fault else {
             return;
--- a/crates/cleat-quorum/tests/simulation/fault.rs
+++ b/crates/cleat-quorum/tests/simulation/fault.rs
@@ -1,4 +1,4 @@
-//! The faults, and the named steps of the protocol at which they inject.
+//! Faults, and the protocol steps at which they are injected.
 
 use cleat_quorum::{Body, Message, Payload};
 use rand::RngExt;
@@ -16,7 +16,8 @@
     Duplicate,
     Delay,
     Reorder,
-    /// A kill, and another fault elsewhere while the first recovers.
+    /// A crash, and another fault on a random member soon after the first one
+    /// restarts.
     Compound,
 }
 
@@ -39,7 +40,7 @@
     };
 }
 
-/// The steps of the protocol.
+/// Steps of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Hello,
@@ -112,13 +113,14 @@
 };
 
 impl World {
-    /// Lets a fault inject; false if it is beyond what may happen.
+    /// Injects a fault. Returns false if the fault is not possible, or is more
+    /// than the protocol tolerates.
     pub(super) fn inject(&mut self, at: usize, fault: Fault) -> bool {
         let lasts = self.rng.random_range(50 * MILLI..4 * SECOND);
         match fault {
             Fault::Crash => self.crash(at, lasts),
             Fault::LoseDisk => {
-                if !self.may_lose_disk(at) {
+                if !self.can_lose_disk(at) {
                     return false;
                 }
                 self.crash(at, lasts);
@@ -156,7 +158,7 @@
     }
 
     fn cut(&mut self, at: usize, blocked_inbound: bool, blocked_outbound: bool, lasts: Micros) {
-        // Half of the cuts hit only some of the links.
+        // Half of the partitions affect only some of the links.
         let partly = self.rng.random_bool(0.5);
         for other in 0..self.nodes.len() {
             if partly && self.rng.random_bool(0.5) {
@@ -178,16 +180,17 @@
         self.after(lasts, Occurrence::RestoreNetwork);
     }
 
-    /// One voter at a time may lose its disk, and the next only once the
-    /// first votes again: more is beyond what the group can survive. Before
-    /// the genesis is made, one may; a genesis that names two lost disks has
-    /// no majority.
-    fn may_lose_disk(&self, at: usize) -> bool {
+    /// Whether this node may lose its disk. The group tolerates the loss of one
+    /// voter's disk at a time, and the next one only after the first voter
+    /// votes again. Before the bootstrap snapshot is created, only one voter
+    /// may lose its disk: a bootstrap snapshot that names two lost disks has no
+    /// majority.
+    fn can_lose_disk(&self, at: usize) -> bool {
         let lost = |node: &&super::node::Node| {
             let identity = node.disk.identity.unwrap_or_default();
-            node.votes && self.checker.lacks_vote(node.id, identity)
+            node.votes && self.checker.is_not_voter(node.id, identity)
         };
-        let sound = self.checker.knows_group() || self.voter_disks_lost == 0;
+        let sound = self.checker.is_bootstrapped() || self.voter_disks_lost == 0;
         !self.nodes[at].votes || (sound && self.nodes.iter().filter(lost).count() == 0)
     }
 }
--- a/crates/cleat-quorum/tests/simulation/mod.rs
+++ b/crates/cleat-quorum/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A seeded schedule over pure cores: fake network, disks and clocks, faults,
-//! and the invariants that are checked after every step.
+//! Simulation of a group of cores, driven by a group_from_seeds schedule. Network, disks
+//! and clocks are simulated, faults are injected, and the invariants are
+//! checked after every step.
 
 mod actions;
 mod check;
@@ -20,36 +21,40 @@
 pub(crate) use fault::{Fault, Step};
 use node::Node;
 
-/// Microseconds of real time.
+/// Microseconds of simulated real time.
 type Micros = u64;
 
 pub(crate) const SECOND: Micros = 1_000_000;
 const MILLI: Micros = 1_000;
 
-/// What a schedule is made of.
+/// Parameters of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
     pub(crate) voters: u32,
     pub(crate) learners: u32,
-    /// How many faults inject at random times.
+    /// Number of faults injected at random times.
     pub(crate) random_faults: u32,
-    /// The faults to choose from.
+    /// Faults to choose from.
     pub(crate) faults: &'static [Fault],
-    /// How often a sync is slow, and how long it then takes at most.
+    /// Probability that a sync is slow, and the maximum duration of a slow
+    /// sync.
     pub(crate) slow_sync: (f64, Micros),
-    /// One fault at the first occurrence of a step after a random time.
+    /// A fault that is injected once, when the step first occurs after a random
+    /// time.
     pub(crate) targeted_fault: Option<(Step, Fault)>,
-    /// A lost disk and a graceful stop, so that their steps occur.
+    /// Whether a voter loses its disk and another member stops gracefully, so
+    /// that the steps of both occur.
     pub(crate) disk_loss_and_stop: bool,
-    /// The longest pause between two proposals.
-    pub(crate) client_pause: Micros,
-    /// Kills the leader four seconds after the start, until the heal.
+    /// Maximum delay between two proposals.
+    pub(crate) max_client_pause: Micros,
+    /// Whether the leader crashes four seconds after the start, until all
+    /// faults end.
     pub(crate) crash_leader: bool,
-    /// How often the leader hands its lead over, at random times.
+    /// Number of leadership transfers at random times.
     pub(crate) leadership_transfers: u32,
     /// When all faults end.
     pub(crate) faults_end: Micros,
-    /// Whether the group must recover after that.
+    /// Whether the group must recover after the faults end.
     pub(crate) liveness: bool,
     pub(crate) protections: Protections,
 }
@@ -64,7 +69,7 @@
             slow_sync: (0.02, 400 * MILLI),
             targeted_fault: None,
             disk_loss_and_stop: false,
-            client_pause: 120 * MILLI,
+            max_client_pause: 120 * MILLI,
             crash_leader: false,
             leadership_transfers: 2,
             faults_end: 7 * SECOND,
@@ -116,15 +121,16 @@
     nodes: Vec<Node>,
     conditions: NetworkConditions,
     targeted_fault_after: Micros,
-    /// The members that served when the leader was killed and lapsed later.
+    /// Members that were in service when the leader crashed and whose lease
+    /// expired later.
     pub(crate) lapsed: BTreeSet<usize>,
-    /// When a lead was last handed over, by whom, and how long until another
-    /// member led.
+    /// Start time of the current leadership transfer and the leader that
+    /// started it.
     transfer_started: Option<(Micros, usize)>,
     pub(crate) leaderless_periods: Vec<Micros>,
     serving_at_crash: Vec<usize>,
     voter_disks_lost: u32,
-    /// How often the targeted_fault's fault was injected at its step.
+    /// How often the targeted fault was injected at its step.
     pub(crate) targeted_injections: u32,
     checker: Checker,
 }
@@ -139,7 +145,8 @@
 impl World {
     fn new(seed: u64, plan: Plan) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
-        // Half of the schedules inject while the group is being formed.
+        // Half of the schedules inject the fault while the group is being
+        // bootstrapped.
         let latest = if rng.random_bool(0.5) {
             SECOND
         } else {
@@ -233,7 +240,8 @@
         }
     }
 
-    /// Whether everyone serves, every voter votes, and all state is in force.
+    /// Whether all members serve, every voter votes, and all committed entries
+    /// are in force.
     fn recovered(&self) -> bool {
         let Some(goal) = self.checker.committed_at_faults_end else {
             return false;
@@ -242,7 +250,7 @@
         let serving = self.nodes.iter().all(|node| {
             node.core
                 .as_ref()
-                .is_some_and(|core| core.in_service(node.local(now)))
+                .is_some_and(|core| core.in_service(node.local_time(now)))
         });
         let leads = |node: &&Node| {
             let core = node.core.as_ref();
@@ -250,7 +258,7 @@
                 let status = core.status();
                 let voters = core.membership().voters().count();
                 status.commit > goal
-                    && core.in_force(status.commit, node.local(now))
+                    && core.in_force(status.commit, node.local_time(now))
                     && voters == self.plan.voters as usize
             })
         };
@@ -296,7 +304,7 @@
         self.step(to, Event::Receive(message))
     }
 
-    /// Steps a core, or keeps the event for a paused one.
+    /// Steps a core. A paused node queues the event instead.
     fn step(&mut self, at: usize, event: Event) -> Result<(), Violation> {
         let now = self.now;
         let node = &mut self.nodes[at];
@@ -304,7 +312,7 @@
             node.backlog.push(event);
             return Ok(());
         }
-        let local = node.local(now);
+        let local = node.local_time(now);
         let Some(core) = &mut node.core else {
             return Ok(());
         };
@@ -322,7 +330,7 @@
         };
         node.timer += 1;
         let generation = node.timer;
-        let due = node.real(core.deadline()).max(self.now + 1);
+        let due = node.real_time(core.deadline()).max(self.now + 1);
         self.after(due - self.now, Occurrence::Timer(at, generation));
     }
 }
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A core with its clock, its disk and its state machine.
+//! A simulated member: core, clock, disk and state machine.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,34 +22,35 @@
     pub(super) hard_state: HardState,
     pub(super) snapshot: Option<Arc<Snapshot>>,
     pub(super) entries: Vec<Entry>,
-    /// Writes that are not synced.
+    /// Writes that are not yet synced.
     pub(super) pending: VecDeque<Write>,
-    /// How many pending writes each sync under way covers.
+    /// Pending syncs, each with the number of writes that it covers.
     syncs: VecDeque<(SyncId, usize)>,
-    /// When the sync under way ends, and when the one after it.
+    /// When the running sync ends, and when the one after it ends.
     busy_until: Micros,
-    next_ends: Micros,
+    next_sync_end: Micros,
 }
 
 impl Disk {
-    pub(super) fn mark_sync(&mut self, sync_id: SyncId) {
+    pub(super) fn record_sync(&mut self, sync_id: SyncId) {
         let earlier: usize = self.syncs.iter().map(|(_, count)| count).sum();
         self.syncs
             .push_back((sync_id, self.pending.len() - earlier));
     }
 
-    /// When a sync asked for now ends: all that wait for the disk share one.
-    pub(super) fn sync_ends(&mut self, now: Micros, took: Micros) -> Micros {
-        if now >= self.next_ends {
+    /// Returns when a sync requested now ends. All requests that arrive during
+    /// a sync share the next one.
+    pub(super) fn sync_end(&mut self, now: Micros, took: Micros) -> Micros {
+        if now >= self.next_sync_end {
             self.busy_until = now + took;
-            self.next_ends = self.busy_until;
+            self.next_sync_end = self.busy_until;
         } else if now >= self.busy_until {
-            self.busy_until = self.next_ends;
-            self.next_ends += took;
-        } else if self.next_ends == self.busy_until {
-            self.next_ends += took;
+            self.busy_until = self.next_sync_end;
+            self.next_sync_end += took;
+        } else if self.next_sync_end == self.busy_until {
+            self.next_sync_end += took;
         }
-        self.next_ends
+        self.next_sync_end
     }
 
     pub(super) fn finish_sync(&mut self, sync_id: SyncId) {
@@ -88,12 +89,13 @@
     pub(super) timer: u64,
     pub(super) paused: bool,
     pub(super) backlog: Vec<Event>,
-    /// The members whose messages do not arrive here.
+    /// Members whose messages don't reach this node.
     pub(super) blocked_inbound: BTreeSet<MemberId>,
-    /// The members that messages from here do not trigger_targeted_fault.
+    /// Members that messages from this node don't reach.
     pub(super) blocked_outbound: BTreeSet<MemberId>,
     pub(super) seen_commit: LogIndex,
-    /// The state machine: a hash over all commands, and the last of them.
+    /// The state machine: a hash over all commands, and the index of the last
+    /// one.
     pub(super) machine: (u64, LogIndex),
     rate: u64,
     offset: Micros,
@@ -114,24 +116,26 @@
             blocked_outbound: BTreeSet::new(),
             seen_commit: 0,
             machine: (0, 0),
-            // Two clocks differ by less than the bound of five percent.
+            // Any two clocks drift apart by less than the bound of five
+            // percent.
             rate: rng.random_range(RATE_UNIT - 23..=RATE_UNIT + 23),
             offset: rng.random_range(0..1000 * super::SECOND),
         }
     }
 
-    /// This node's clock at a moment of real time.
-    pub(super) fn local(&self, now: Micros) -> Duration {
+    /// Returns this node's clock reading at a point in real time.
+    pub(super) fn local_time(&self, now: Micros) -> Duration {
         duration(self.offset + now * self.rate / RATE_UNIT)
     }
 
-    /// The first moment of real time at which the clock shows `local`.
-    pub(super) fn real(&self, local: Duration) -> Micros {
+    /// Returns the first point in real time at which the clock reads `local`.
+    pub(super) fn real_time(&self, local: Duration) -> Micros {
         let micros = u64::try_from(local.as_micros()).expect("small");
         micros.saturating_sub(self.offset) * RATE_UNIT / self.rate + 1
     }
 
-    /// Begins a incarnation with what is on the disk; a learner has none.
+    /// Starts an incarnation from the content of the disk; a learner has no
+    /// disk.
     pub(super) fn start(&mut self, new_identity: u64) -> Recovery {
         if !self.votes {
             self.disk = Disk::default();
@@ -160,7 +164,8 @@
         }
     }
 
-    /// Ends the incarnation; some of the unsynced writes may be on the disk.
+    /// Ends the incarnation. Some of the unsynced writes may have reached the
+    /// disk.
     pub(super) fn crash(&mut self, rng: &mut StdRng) {
         if self.core.take().is_some() {
             let kept = rng.random_range(0..=self.disk.pending.len());
@@ -169,7 +174,7 @@
         self.disk.pending.clear();
         self.disk.syncs.clear();
         self.disk.busy_until = 0;
-        self.disk.next_ends = 0;
+        self.disk.next_sync_end = 0;
         self.paused = false;
         self.backlog.clear();
     }
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -1,4 +1,4 @@
-//! A replica whose disk is slow, driven by messages alone.
+//! A replica with a slow disk, driven only by messages.
 
 #[path = "group/recovery.rs"]
 mod recovery;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Each sync waits until the test allows it.
+/// Each sync blocks until the test permits it.
 struct GatedStore(mpsc::Receiver<()>);
 
 impl Store for GatedStore {
@@ -86,7 +86,7 @@
     }
 }
 
-/// An append of one entry after `index`; what is before it is committed.
+/// An append of one entry after `index`, which is committed.
 fn append(index: u64) -> Message {
     let entry = Entry {
         index: index + 1,
@@ -104,8 +104,9 @@
     message(0, TERM, Body::Append(append))
 }
 
-/// A snapshot falls due in the step that writes an entry, while the disk is
-/// busy: both must count as synced, or the member never votes again.
+/// A snapshot becomes due in the step that writes an entry, while the disk is
+/// busy. The member must count both as synced; otherwise it would never vote
+/// again.
 #[tokio::test]
 async fn step_snapshot_during_slow_sync() {
     let (cfg, recovery) = follower(1);
@@ -146,5 +147,5 @@
     };
     timeout(LIMIT, voted)
         .await
-        .expect("it votes once the leader is silent");
+        .expect("the member votes once it hears from no leader");
 }
