--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(super) fn snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
+    pub(super) fn on_snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
         let outdated = index <= self.log.snapshot_index() || index > self.applied;
         if outdated || data.len() > self.config.limits.max_snapshot_bytes {
             return;
--- a/crates/cleat-quorum/src/core/durability.rs
+++ b/crates/cleat-quorum/src/core/durability.rs
@@ -86,7 +86,8 @@
         Some(self.last_issued)
     }
 
-    /// Excludes entries from `index` on from the pending syncs.
+    /// Excludes the entries from `index` on, which were truncated, from the
+    /// durable entries and from the pending syncs.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let last = index.saturating_sub(1);
         self.durable_index = self.durable_index.min(last);
--- a/crates/cleat-quorum/src/core/election.rs
+++ b/crates/cleat-quorum/src/core/election.rs
@@ -91,8 +91,8 @@
         // After a leadership transfer, the old leader no longer relies on its
         // lease, so there is no need to reject. A transfer request from an
         // earlier term is rejected as stale below.
-        let handed_over = req.transfer && !req.pre;
-        if !self.matches_identity(req) || (self.must_reject_votes() && !handed_over) {
+        let leader_transferred = req.transfer && !req.pre;
+        if !self.matches_identity(req) || (self.must_reject_votes() && !leader_transferred) {
             return;
         }
         if term < self.hard_state.term {
--- a/crates/cleat-quorum/src/core/follower.rs
+++ b/crates/cleat-quorum/src/core/follower.rs
@@ -93,8 +93,8 @@
 
     /// Whether this member renews its lease by request. Learners don't detect
     /// leader failures and so need fewer heartbeats than voters. The leader
-    /// answers a request at once, so the lease starts later, and lasts longer,
-    /// than with an echo in the next heartbeat.
+    /// answers a request at once, so more of the lease remains when the echo
+    /// arrives than with an echo in the next heartbeat.
     pub(super) fn requests_lease_renewal(&self) -> bool {
         let is_follower = matches!(self.state, State::Follower) && self.leader.is_some();
         is_follower
--- a/crates/cleat-quorum/src/core/leader.rs
+++ b/crates/cleat-quorum/src/core/leader.rs
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    pub(super) fn read(&mut self, id: u64) {
+    pub(super) fn start_read(&mut self, id: u64) {
         let confirmed = self.holds_leader_lease() && self.has_committed_own_term();
         let commit = self.commit;
         let State::Leader(leader_state) = &mut self.state else {
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -82,13 +82,13 @@
         until: Duration,
         commit: LogIndex,
         now: Duration,
-        recheck_after_lapse: bool,
+        recheck_after_expiry: bool,
     ) {
         if until <= now || self.released {
             return;
         }
-        let lapsed = self.until <= now;
-        if self.required_index.is_none() || (lapsed && recheck_after_lapse) {
+        let expired = self.until <= now;
+        if self.required_index.is_none() || (expired && recheck_after_expiry) {
             self.required_index = Some(commit);
         }
         self.until = self.until.max(until);
--- a/crates/cleat-quorum/src/core/membership.rs
+++ b/crates/cleat-quorum/src/core/membership.rs
@@ -10,7 +10,7 @@
 const CAUGHT_UP_MAX_LAG: u64 = 256;
 
 impl Core {
-    pub(super) fn remove(&mut self, id: MemberId) {
+    pub(super) fn remove_member(&mut self, id: MemberId) {
         if !matches!(self.state, State::Leader(_)) {
             let rejection = Rejection::NotLeader {
                 leader: self.leader,
--- a/crates/cleat-quorum/src/core/mod.rs
+++ b/crates/cleat-quorum/src/core/mod.rs
@@ -164,13 +164,13 @@
         match event {
             Event::Tick => self.tick(),
             Event::Receive(message) => self.receive(message),
-            Event::Synced(sync_id) => self.synced(sync_id),
+            Event::Synced(sync_id) => self.on_synced(sync_id),
             Event::Propose(commands) => self.propose(&commands),
-            Event::Read(id) => self.read(id),
-            Event::SnapshotTaken { index, data } => self.snapshot_taken(index, data),
-            Event::RemoveMember(id) => self.remove(id),
+            Event::Read(id) => self.start_read(id),
+            Event::SnapshotTaken { index, data } => self.on_snapshot_taken(index, data),
+            Event::RemoveMember(id) => self.remove_member(id),
             Event::TransferLeadership => self.transfer_leadership(),
-            Event::ReleaseLease => self.release(),
+            Event::ReleaseLease => self.release_lease(),
         }
         self.renew_own_lease();
         if let Some(sync_id) = self.durability.finish_step(self.log.last_index()) {
@@ -269,7 +269,7 @@
         }
     }
 
-    fn synced(&mut self, sync_id: SyncId) {
+    fn on_synced(&mut self, sync_id: SyncId) {
         for deferred in self.durability.complete_sync(sync_id) {
             match deferred {
                 Deferred::Send(message) => self.effects.push(Effect::Send(message)),
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -32,9 +32,9 @@
     /// Whether the member requested a snapshot.
     pub(crate) needs_snapshot: bool,
     pub(crate) inflight: Option<Inflight>,
-    /// Highest round that was acknowledged under this identity.
+    /// Highest round that the member acknowledged while it was initialized.
     pub(crate) round: u64,
-    /// When that round was sent.
+    /// When the latest round acknowledged under this identity was sent.
     pub(crate) round_sent_at: Option<Duration>,
     /// When the leader last sent a message to the member.
     pub(crate) sent_at: Duration,
--- a/crates/cleat-quorum/src/core/timing.rs
+++ b/crates/cleat-quorum/src/core/timing.rs
@@ -42,9 +42,9 @@
     /// leader: half the default election timeout at twice the heartbeat rate.
     ///
     /// A change of leader takes 0.3 to 0.6 s instead of 0.6 to 1.1 s. The
-    /// election timeout must stay above two heartbeat intervals, and above the
-    /// scheduling delays on a busy or CPU-limited machine, which are about 0.1
-    /// s.
+    /// election timeout must stay above two heartbeat intervals and above
+    /// scheduling delays of about 0.1 s, which occur on a busy or CPU-limited
+    /// machine.
     pub fn fast_failover() -> Timing {
         Timing {
             heartbeat_interval: Duration::from_millis(100),
--- a/crates/cleat-quorum/src/core/transfer.rs
+++ b/crates/cleat-quorum/src/core/transfer.rs
@@ -89,7 +89,7 @@
     }
 
     /// Releases this member's lease before it stops.
-    pub(super) fn release(&mut self) {
+    pub(super) fn release_lease(&mut self) {
         let stamp = self.lease.release();
         if let Some(leader) = self.leader.filter(|leader| *leader != self.config.id) {
             self.send(leader, Body::ReleaseLease(stamp));
--- a/crates/cleat-quorum/src/driver/error.rs
+++ b/crates/cleat-quorum/src/driver/error.rs
@@ -19,10 +19,10 @@
         /// Leader of the current term, if known.
         leader: Option<MemberId>,
     },
-    /// The leader can't reach a majority, or has too many uncommitted commands;
+    /// The leader can't reach a majority, or has too many uncommitted entries;
     /// nothing was appended. Retry later.
     #[snafu(display(
-        "the leader can't reach a majority of the voters, or has too many uncommitted commands"
+        "the leader can't reach a majority of the voters, or has too many uncommitted entries"
     ))]
     NoQuorum,
     /// The member lost leadership after the append. The command may still be
--- a/crates/cleat-quorum/src/driver/task.rs
+++ b/crates/cleat-quorum/src/driver/task.rs
@@ -233,7 +233,7 @@
                 command,
             } => {
                 let response = self.outputs.state_machine.apply(index, &command);
-                self.waiters.applied(index, term, response);
+                self.waiters.complete_proposal(index, term, response);
             }
             Effect::Restore(snapshot) => self.outputs.state_machine.restore(&snapshot.data)?,
             Effect::TakeSnapshot(index) => {
@@ -243,14 +243,14 @@
             }
             Effect::Accepted { first, term } => {
                 let proposals = std::mem::take(&mut self.proposals);
-                self.waiters.accepted(first, term, proposals);
+                self.waiters.add_proposals(first, term, proposals);
             }
             Effect::Rejected(rejection) => self.reject_pending(rejection),
             Effect::ReadReady { id, index } => self.waiters.finish_read(id, Ok(index)),
             Effect::ReadRejected { id, rejection } => {
                 self.waiters.finish_read(id, Err(rejection.into()));
             }
-            Effect::LostLeadership => self.waiters.lost_leadership(),
+            Effect::LostLeadership => self.waiters.fail_proposals(),
         }
         Ok(None)
     }
--- a/crates/cleat-quorum/src/driver/waiters.rs
+++ b/crates/cleat-quorum/src/driver/waiters.rs
@@ -23,12 +23,12 @@
     /// leads.
     proposals: VecDeque<PendingProposal>,
     reads: IndexMap<u64, Reply<u64, ProposeError>>,
-    next_read: u64,
+    last_read_id: u64,
     in_force: Vec<InForceWait>,
 }
 
 impl Waiters {
-    pub(crate) fn accepted(&mut self, first: LogIndex, term: Term, proposals: Vec<Proposal>) {
+    pub(crate) fn add_proposals(&mut self, first: LogIndex, term: Term, proposals: Vec<Proposal>) {
         for (index, proposal) in (first..).zip(proposals) {
             let reply = proposal.reply;
             self.proposals
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(crate) fn applied(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
+    pub(crate) fn complete_proposal(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
         let due = |pending: &mut PendingProposal| pending.index <= index;
         let Some(pending) = self.proposals.pop_front_if(due) else {
             return;
@@ -51,16 +51,16 @@
         let _ = pending.reply.send(result);
     }
 
-    pub(crate) fn lost_leadership(&mut self) {
+    pub(crate) fn fail_proposals(&mut self) {
         for pending in self.proposals.drain(..) {
             let _ = pending.reply.send(Err(ProposeError::OutcomeUnknown));
         }
     }
 
     pub(crate) fn add_read(&mut self, reply: Reply<u64, ProposeError>) -> u64 {
-        self.next_read += 1;
-        self.reads.insert(self.next_read, reply);
-        self.next_read
+        self.last_read_id += 1;
+        self.reads.insert(self.last_read_id, reply);
+        self.last_read_id
     }
 
     pub(crate) fn finish_read(&mut self, id: u64, result: Result<u64, ProposeError>) {
@@ -103,7 +103,7 @@
 
     /// Rejects all waiting callers when the task ends.
     pub(crate) fn reject_all(&mut self) {
-        self.lost_leadership();
+        self.fail_proposals();
         for (_, reply) in self.reads.drain(..) {
             let _ = reply.send(Err(ProposeError::Stopped));
         }
--- a/crates/cleat-quorum/tests/core.rs
+++ b/crates/cleat-quorum/tests/core.rs
@@ -1,5 +1,5 @@
-//! Tests of single protocol rules on the core, most of them with the situation
-//! that would violate the rule.
+//! Directed tests of the core. Each test covers one protocol rule and sets up a
+//! case that a core without the rule would get wrong.
 
 mod group;
 
@@ -43,7 +43,7 @@
     assert_eq!(
         group.core(2).log_bounds().1,
         3,
-        "the old entry reached a majority"
+        "the entry of term 2 did not reach a majority"
     );
     group.core(0).status().commit
 }
@@ -54,7 +54,7 @@
     assert_eq!(
         commit_index_with_old_term_majority(false),
         3,
-        "the entry commits if the rule is disabled"
+        "the test does not detect that the rule is disabled"
     );
 }
 
@@ -147,8 +147,12 @@
     let mut group = Group::with_defaults(3, 0);
     group.advance(seconds(3));
     let lost = (group.leader() + 1) % 3;
-    let fresh = Group::new(3, 0, |_, _, recovery| recovery.identity += 7777);
-    group.cores[lost as usize] = fresh.cores.into_iter().nth(lost as usize).expect("a core");
+    let restarted = Group::new(3, 0, |_, _, recovery| recovery.identity += 7777);
+    group.cores[lost as usize] = restarted
+        .cores
+        .into_iter()
+        .nth(lost as usize)
+        .expect("a core");
     group.step(lost, Event::Tick);
     assert_eq!(group.core(lost).role(), Role::Uninitialized);
     group.advance(seconds(3));
@@ -163,27 +167,27 @@
     let mut group = Group::with_defaults(3, 0);
     group.step(0, Event::Tick);
     // Hold back the replies until member 0 has lost its disk.
-    let mut answers = Vec::new();
+    let mut replies = Vec::new();
     while let Some(message) = group.queue.pop_front() {
         if message.to.0 == 0 {
-            answers.push(message);
+            replies.push(message);
         } else {
             group.step(message.to.0, Event::Receive(message));
         }
     }
-    assert_eq!(answers.len(), 2);
+    assert_eq!(replies.len(), 2);
     let mut replaced = Group::new(3, 0, |_, _, recovery| recovery.identity += 7777);
-    for answer in answers.clone() {
-        replaced.step(0, Event::Receive(answer));
+    for reply in replies.clone() {
+        replaced.step(0, Event::Receive(reply));
     }
     assert_eq!(replaced.core(0).role(), Role::Uninitialized);
-    for answer in answers {
-        group.step(0, Event::Receive(answer));
+    for reply in replies {
+        group.step(0, Event::Receive(reply));
     }
     assert_ne!(
         group.core(0).role(),
         Role::Uninitialized,
-        "the replies are valid for the old disk"
+        "the replies should be valid for the old disk"
     );
 }
 
@@ -216,7 +220,7 @@
     assert_ne!(
         group.core(leader).role(),
         Role::Leader,
-        "a leader without a majority steps down"
+        "the leader did not step down without a majority"
     );
 }
 
@@ -266,7 +270,7 @@
     let index = group.core(leader).status().commit;
     assert!(
         group.core(3).in_service(group.now),
-        "its lease is still running"
+        "the lease ended too early"
     );
     assert!(!group.core(leader).in_force(index, group.now));
     group.advance(seconds(2));
--- a/crates/cleat-quorum/tests/group/mod.rs
+++ b/crates/cleat-quorum/tests/group/mod.rs
@@ -116,11 +116,11 @@
     }
 
     pub(crate) fn rejections(&self) -> Vec<Rejection> {
-        let refused = |effect: &Effect| match effect {
+        let rejection = |effect: &Effect| match effect {
             Effect::Rejected(rejection) => Some(*rejection),
             _ => None,
         };
-        self.effects.iter().filter_map(refused).collect()
+        self.effects.iter().filter_map(rejection).collect()
     }
 }
 
--- a/crates/cleat-quorum/tests/join.rs
+++ b/crates/cleat-quorum/tests/join.rs
@@ -12,13 +12,13 @@
 
 const SEEDS: u32 = 3;
 const MEMBERS: u32 = 5;
-const SILENCE: Duration = Duration::from_secs(3);
+const EXTRA_VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn join_config(may_bootstrap: bool) -> JoinConfig {
     JoinConfig {
         may_bootstrap,
         target_voters: MEMBERS as usize,
-        extra_voter_timeout: SILENCE,
+        extra_voter_timeout: EXTRA_VOTER_TIMEOUT,
     }
 }
 
@@ -46,6 +46,8 @@
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
 }
 
+/// A member that starts later must not bootstrap a group: its disk may be empty
+/// because it was lost.
 #[test]
 fn join_without_may_bootstrap_elects_nobody() {
     let mut group = group_from_seeds(0, |_| false);
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn join_replaces_a_silent_voter() {
+fn join_replaces_silent_voter() {
     // Member 5 is unreachable at first.
     let mut group = group_from_seeds(1, |_| true);
     group.filter_message = |message| message.from.0 != 5 && message.to.0 != 5;
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn join_keeps_a_silent_voter_that_nobody_replaces() {
+fn join_retains_silent_voter_without_replacement() {
     let mut group = group_from_seeds(0, |_| true);
     group.advance(seconds(4));
     group.filter_message = |message| message.from.0 != 4 && message.to.0 != 4;
@@ -85,28 +87,31 @@
     group.advance(seconds(8));
     group.filter_message = |_| true;
     group.advance(seconds(8));
-    assert!(voters(&group).contains(&4), "the removed member rejoined");
+    assert!(
+        voters(&group).contains(&4),
+        "the removed member did not rejoin"
+    );
 }
 
 /// Two of five members lose their disks at the same time, right after three
 /// members committed an entry. The entry must survive.
 #[test]
-fn join_two_lost_disks_keep_what_was_committed() {
+fn join_two_lost_disks_preserve_committed_entries() {
     let mut group = group_from_seeds(0, |_| true);
     group.advance(seconds(4));
     let leader = group.leader();
     group.propose(leader, b"kept");
-    let kept = group.core(leader).status().commit;
+    let committed = group.core(leader).status().commit;
     for lost in [0u32, 1] {
         group.cores[lost as usize] = start_with_empty_disk(lost);
     }
     group.advance(seconds(6));
     let leader = group.core(group.leader());
-    assert!(leader.status().commit >= kept);
+    assert!(leader.status().commit >= committed);
     assert_eq!(voters(&group), vec![0, 1, 2, 3, 4]);
 }
 
-/// Restarts a member with an empty disk.
+/// Starts a member again after it lost its disk.
 fn start_with_empty_disk(id: u32) -> Core {
     let seed = |id| cleat_quorum::MemberConfig {
         id: MemberId(id),
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -120,14 +120,14 @@
     }
 
     fn spawn(&mut self, id: u32) {
-        let machine = Commands::default();
-        self.machines[id as usize] = machine.clone();
+        let state_machine = Commands::default();
+        self.machines[id as usize] = state_machine.clone();
         let (cfg, transport) = (self.config(id), self.transport.clone());
         let replica = if id < self.voters {
             let disk = Journal::open(&self.folder(id), "e").expect("the journal opens");
-            Replica::spawn(cfg, disk, transport, machine)
+            Replica::spawn(cfg, disk, transport, state_machine)
         } else {
-            Replica::spawn_in_memory(cfg, transport, machine)
+            Replica::spawn_in_memory(cfg, transport, state_machine)
         };
         self.transport
             .set(id, Some(replica.expect("the replica starts")));
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Simulations of groups of cores under group_from_seeds schedules of faults.
+//! Simulations of groups of cores under seeded schedules of faults.
 
 mod simulation;
 
@@ -104,20 +104,20 @@
         ..Plan::default()
     };
     let results = run_all(seeds(200), move |seed| {
-        run(seed, plan).map(|world| world.lapsed.len())
+        run(seed, plan).map(|world| world.expired.len())
     });
     assert!(results.iter().all(|(_, result)| result.is_ok()));
-    let lapsed = results
+    let expired = results
         .iter()
-        .filter(|(_, lapsed)| *lapsed != Ok(0))
+        .filter(|(_, expired)| *expired != Ok(0))
         .count();
     println!(
-        "member leases expired after {lapsed} of {} leader crashes",
+        "member leases expired after {expired} of {} leader crashes",
         results.len()
     );
     assert!(
-        lapsed * 20 <= results.len(),
-        "{lapsed} of {}",
+        expired * 20 <= results.len(),
+        "{expired} of {}",
         results.len()
     );
 }
--- a/crates/cleat-quorum/tests/simulation/actions.rs
+++ b/crates/cleat-quorum/tests/simulation/actions.rs
@@ -84,12 +84,12 @@
         }
     }
 
-    pub(super) fn record_lapsed_leases(&mut self) {
+    pub(super) fn record_expired_leases(&mut self) {
         for at in &self.serving_at_crash {
             let node = &self.nodes[*at];
             let core = node.core.as_ref();
             if core.is_some_and(|core| !core.in_service(node.local_time(self.now))) {
-                self.lapsed.insert(*at);
+                self.expired.insert(*at);
             }
         }
     }
--- a/crates/cleat-quorum/tests/simulation/check.rs
+++ b/crates/cleat-quorum/tests/simulation/check.rs
@@ -172,11 +172,11 @@
         index: LogIndex,
         command: &[u8],
     ) -> Result<(), Violation> {
-        if index <= node.machine.1 {
+        if index <= node.state_machine.1 {
             return Err(Violation::AppliedTwice(index));
         }
         node.apply(index, command);
-        let state = node.machine.0;
+        let state = node.state_machine.0;
         if *self.states.entry(index).or_insert(state) != state {
             return Err(Violation::StateDiffers(index));
         }
--- a/crates/cleat-quorum/tests/simulation/effects.rs
+++ b/crates/cleat-quorum/tests/simulation/effects.rs
@@ -40,16 +40,16 @@
     }
 
     pub(super) fn start_sync(&mut self, at: usize, sync_id: SyncId) {
-        let (often, slowest) = self.plan.slow_sync;
-        let longest = if self.rng.random_bool(often) {
-            slowest
+        let (slow_probability, max_slow_duration) = self.plan.slow_sync;
+        let max_duration = if self.rng.random_bool(slow_probability) {
+            max_slow_duration
         } else {
             4 * MILLI
         };
-        let took = self.rng.random_range(100..longest);
+        let sync_duration = self.rng.random_range(100..max_duration);
         let node = &mut self.nodes[at];
         node.disk.record_sync(sync_id);
-        let delay = node.disk.sync_end(self.now, took) - self.now;
+        let delay = node.disk.sync_end(self.now, sync_duration) - self.now;
         let incarnation = node.incarnation;
         self.after(delay, Occurrence::SyncDone(at, incarnation, sync_id));
     }
@@ -99,16 +99,16 @@
     /// Schedules the targeted fault if its step is reached, on one of the two
     /// members involved.
     pub(super) fn trigger_targeted_fault(&mut self, step: Step, from: usize, to: usize) {
-        let Some((targeted_fault, fault)) = self.plan.targeted_fault else {
+        let Some((target_step, fault)) = self.plan.targeted_fault else {
             return;
         };
         let due = self.targeted_injections == 0
-            && targeted_fault == step
+            && target_step == step
             && self.now >= SECOND + self.targeted_fault_after;
         if due && self.now < self.plan.faults_end {
             let node = if self.rng.random_bool(0.5) { from } else { to };
-            let soon = self.rng.random_range(0..4 * MILLI);
-            self.after(soon, Occurrence::InjectTargeted(node, fault));
+            let delay = self.rng.random_range(0..4 * MILLI);
+            self.after(delay, Occurrence::InjectTargeted(node, fault));
         }
     }
 }
--- a/crates/cleat-quorum/tests/simulation/fault.rs
+++ b/crates/cleat-quorum/tests/simulation/fault.rs
@@ -116,68 +116,68 @@
     /// Injects a fault. Returns false if the fault is not possible, or is more
     /// than the protocol tolerates.
     pub(super) fn inject(&mut self, at: usize, fault: Fault) -> bool {
-        let lasts = self.rng.random_range(50 * MILLI..4 * SECOND);
+        let fault_duration = self.rng.random_range(50 * MILLI..4 * SECOND);
         match fault {
-            Fault::Crash => self.crash(at, lasts),
+            Fault::Crash => self.crash(at, fault_duration),
             Fault::LoseDisk => {
                 if !self.can_lose_disk(at) {
                     return false;
                 }
-                self.crash(at, lasts);
+                self.crash(at, fault_duration);
                 self.voter_disks_lost += u32::from(self.nodes[at].votes);
                 self.nodes[at].disk = super::node::Disk::default();
             }
-            Fault::CutInbound => self.cut(at, true, false, lasts),
-            Fault::CutOutbound => self.cut(at, false, true, lasts),
-            Fault::CutBoth => self.cut(at, true, true, lasts),
+            Fault::CutInbound => self.cut(at, true, false, fault_duration),
+            Fault::CutOutbound => self.cut(at, false, true, fault_duration),
+            Fault::CutBoth => self.cut(at, true, true, fault_duration),
             Fault::Pause => {
                 if self.nodes[at].core.is_none() {
                     return false;
                 }
                 self.nodes[at].paused = true;
-                self.after(lasts, Occurrence::Resume(at));
+                self.after(fault_duration, Occurrence::Resume(at));
             }
-            Fault::Duplicate => self.set_conditions(DUPLICATING, lasts),
-            Fault::Delay => self.set_conditions(DELAYING, lasts),
-            Fault::Reorder => self.set_conditions(REORDERING, lasts),
+            Fault::Duplicate => self.set_conditions(DUPLICATING, fault_duration),
+            Fault::Delay => self.set_conditions(DELAYING, fault_duration),
+            Fault::Reorder => self.set_conditions(REORDERING, fault_duration),
             Fault::Compound => {
-                self.crash(at, lasts);
+                self.crash(at, fault_duration);
                 let node = self.rng.random_range(0..self.nodes.len());
                 let fault = Fault::ALL[self.rng.random_range(0..Fault::ALL.len() - 1)];
-                let soon = lasts + self.rng.random_range(0..SECOND);
-                self.after(soon, Occurrence::Inject(node, fault));
+                let delay = fault_duration + self.rng.random_range(0..SECOND);
+                self.after(delay, Occurrence::Inject(node, fault));
             }
         }
         true
     }
 
-    fn crash(&mut self, at: usize, lasts: Micros) {
+    fn crash(&mut self, at: usize, fault_duration: Micros) {
         let World { nodes, rng, .. } = self;
         nodes[at].crash(rng);
-        self.after(lasts, Occurrence::Restart(at));
+        self.after(fault_duration, Occurrence::Restart(at));
     }
 
-    fn cut(&mut self, at: usize, blocked_inbound: bool, blocked_outbound: bool, lasts: Micros) {
+    fn cut(&mut self, at: usize, inbound: bool, outbound: bool, fault_duration: Micros) {
         // Half of the partitions affect only some of the links.
-        let partly = self.rng.random_bool(0.5);
+        let partial = self.rng.random_bool(0.5);
         for other in 0..self.nodes.len() {
-            if partly && self.rng.random_bool(0.5) {
+            if partial && self.rng.random_bool(0.5) {
                 continue;
             }
             let id = self.nodes[other].id;
-            if blocked_inbound {
+            if inbound {
                 self.nodes[at].blocked_inbound.insert(id);
             }
-            if blocked_outbound {
+            if outbound {
                 self.nodes[at].blocked_outbound.insert(id);
             }
         }
-        self.after(lasts, Occurrence::RestoreLinks(at));
+        self.after(fault_duration, Occurrence::RestoreLinks(at));
     }
 
-    fn set_conditions(&mut self, conditions: NetworkConditions, lasts: Micros) {
+    fn set_conditions(&mut self, conditions: NetworkConditions, fault_duration: Micros) {
         self.conditions = conditions;
-        self.after(lasts, Occurrence::RestoreNetwork);
+        self.after(fault_duration, Occurrence::RestoreNetwork);
     }
 
     /// Whether this node may lose its disk. The group tolerates the loss of one
@@ -190,7 +190,7 @@
             let identity = node.disk.identity.unwrap_or_default();
             node.votes && self.checker.is_not_voter(node.id, identity)
         };
-        let sound = self.checker.is_bootstrapped() || self.voter_disks_lost == 0;
-        !self.nodes[at].votes || (sound && self.nodes.iter().filter(lost).count() == 0)
+        let tolerated = self.checker.is_bootstrapped() || self.voter_disks_lost == 0;
+        !self.nodes[at].votes || (tolerated && self.nodes.iter().filter(lost).count() == 0)
     }
 }
--- a/crates/cleat-quorum/tests/simulation/mod.rs
+++ b/crates/cleat-quorum/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of a group of cores, driven by a group_from_seeds schedule. Network, disks
+//! Simulation of a group of cores, driven by a seeded schedule. Network, disks
 //! and clocks are simulated, faults are injected, and the invariants are
 //! checked after every step.
 
@@ -123,7 +123,7 @@
     targeted_fault_after: Micros,
     /// Members that were in service when the leader crashed and whose lease
     /// expired later.
-    pub(crate) lapsed: BTreeSet<usize>,
+    pub(crate) expired: BTreeSet<usize>,
     /// Start time of the current leadership transfer and the leader that
     /// started it.
     transfer_started: Option<(Micros, usize)>,
@@ -167,7 +167,7 @@
             nodes,
             conditions: FAULT_FREE,
             targeted_fault_after,
-            lapsed: BTreeSet::new(),
+            expired: BTreeSet::new(),
             transfer_started: None,
             leaderless_periods: Vec::new(),
             serving_at_crash: Vec::new(),
@@ -180,11 +180,11 @@
     }
 
     fn prepare(&mut self) {
-        let ease = 2 * SECOND;
+        let margin = 2 * SECOND;
         for _ in 0..self.plan.random_faults {
             let at = self
                 .rng
-                .random_range(0..self.plan.faults_end.saturating_sub(ease).max(1));
+                .random_range(0..self.plan.faults_end.saturating_sub(margin).max(1));
             let node = self.rng.random_range(0..self.nodes.len());
             let fault = self.plan.faults[self.rng.random_range(0..self.plan.faults.len())];
             self.after(at, Occurrence::Inject(node, fault));
@@ -225,7 +225,7 @@
             if let Some(occurrence) = self.occurrences.remove(&order) {
                 self.handle(occurrence)?;
                 self.checker.check_leases(&self.nodes, self.now)?;
-                self.record_lapsed_leases();
+                self.record_expired_leases();
                 self.record_transfer();
             }
             let settled = self.now > self.plan.faults_end + SECOND;
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -40,15 +40,15 @@
 
     /// Returns when a sync requested now ends. All requests that arrive during
     /// a sync share the next one.
-    pub(super) fn sync_end(&mut self, now: Micros, took: Micros) -> Micros {
+    pub(super) fn sync_end(&mut self, now: Micros, sync_duration: Micros) -> Micros {
         if now >= self.next_sync_end {
-            self.busy_until = now + took;
+            self.busy_until = now + sync_duration;
             self.next_sync_end = self.busy_until;
         } else if now >= self.busy_until {
             self.busy_until = self.next_sync_end;
-            self.next_sync_end += took;
+            self.next_sync_end += sync_duration;
         } else if self.next_sync_end == self.busy_until {
-            self.next_sync_end += took;
+            self.next_sync_end += sync_duration;
         }
         self.next_sync_end
     }
@@ -96,7 +96,7 @@
     pub(super) seen_commit: LogIndex,
     /// The state machine: a hash over all commands, and the index of the last
     /// one.
-    pub(super) machine: (u64, LogIndex),
+    pub(super) state_machine: (u64, LogIndex),
     rate: u64,
     offset: Micros,
 }
@@ -115,7 +115,7 @@
             blocked_inbound: BTreeSet::new(),
             blocked_outbound: BTreeSet::new(),
             seen_commit: 0,
-            machine: (0, 0),
+            state_machine: (0, 0),
             // Any two clocks drift apart by less than the bound of five
             // percent.
             rate: rng.random_range(RATE_UNIT - 23..=RATE_UNIT + 23),
@@ -141,7 +141,7 @@
             self.disk = Disk::default();
         }
         self.incarnation += 1;
-        self.machine = (0, 0);
+        self.state_machine = (0, 0);
         let identity = *self.disk.identity.get_or_insert(new_identity);
         if let Some(snapshot) = self
             .disk
@@ -168,8 +168,8 @@
     /// disk.
     pub(super) fn crash(&mut self, rng: &mut StdRng) {
         if self.core.take().is_some() {
-            let kept = rng.random_range(0..=self.disk.pending.len());
-            self.disk.persist(kept);
+            let committed = rng.random_range(0..=self.disk.pending.len());
+            self.disk.persist(committed);
         }
         self.disk.pending.clear();
         self.disk.syncs.clear();
@@ -181,18 +181,18 @@
 
     pub(super) fn apply(&mut self, index: LogIndex, command: &[u8]) {
         let mut hasher = DefaultHasher::new();
-        (self.machine, index, command).hash(&mut hasher);
-        self.machine = (hasher.finish(), index);
+        (self.state_machine, index, command).hash(&mut hasher);
+        self.state_machine = (hasher.finish(), index);
     }
 
     pub(super) fn snapshot(&self) -> Arc<[u8]> {
-        let (hash, index) = self.machine;
+        let (hash, index) = self.state_machine;
         Arc::from([hash.to_le_bytes(), index.to_le_bytes()].concat())
     }
 
     pub(super) fn restore(&mut self, data: &[u8]) {
         let (hash, index) = data.split_at(size_of::<u64>());
         let number = |bytes: &[u8]| u64::from_le_bytes(bytes.try_into().expect("small"));
-        self.machine = (number(hash), number(index));
+        self.state_machine = (number(hash), number(index));
     }
 }
