--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -56,11 +56,12 @@
     /// false for a member that starts later: its disk may be empty because it
     /// was lost.
     pub may_bootstrap: bool,
-    /// Number of voters to keep. Further members become voters as well, but are
-    /// removed after `extra_voter_timeout` without contact.
-    pub target_voters: usize,
-    /// How long a voter beyond `target_voters` may be silent before it is
+    /// Number of voters to keep. Every member becomes a voter; while there are
+    /// more voters than this, one that is silent for `extra_voter_timeout` is
     /// removed.
+    pub target_voters: usize,
+    /// How long a voter may be silent while there are more than
+    /// `target_voters`.
     pub extra_voter_timeout: Duration,
 }
 
--- a/crates/cleat-quorum/src/core/message.rs
+++ b/crates/cleat-quorum/src/core/message.rs
@@ -64,7 +64,8 @@
 /// Entries after `prev_index`, the commit index and a lease renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// Sequence number of the leader's sends, repeated in the acknowledgement.
+    /// Number of the round, which the leader increments for each send to one or
+    /// more members. The acknowledgement repeats it.
     pub round: u64,
     /// Index of the entry before the first of `entries`.
     pub prev_index: LogIndex,
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -13,20 +13,20 @@
 use tempfile::TempDir;
 use tokio::time::{sleep, timeout};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Records all commands. The response to a command is the number of commands
 /// before it.
 #[derive(Clone, Default)]
-struct Commands(Arc<Mutex<Vec<Vec<u8>>>>);
+struct CommandRecorder(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Commands {
+impl CommandRecorder {
     fn all(&self) -> Vec<Vec<u8>> {
         self.0.lock().expect("not poisoned").clone()
     }
 }
 
-impl StateMachine for Commands {
+impl StateMachine for CommandRecorder {
     fn apply(&mut self, _: u64, command: &[u8]) -> Box<[u8]> {
         let mut commands = self.0.lock().expect("not poisoned");
         commands.push(command.to_vec());
@@ -74,7 +74,7 @@
     voters: u32,
     members: u32,
     transport: LocalTransport,
-    machines: Vec<Commands>,
+    state_machines: Vec<CommandRecorder>,
 }
 
 impl Group {
@@ -87,13 +87,13 @@
             .expect("not poisoned")
             .resize(members as usize, None);
         let dir = tempfile::tempdir().expect("temporary folder created");
-        let machines = vec![Commands::default(); members as usize];
+        let state_machines = vec![CommandRecorder::default(); members as usize];
         let mut group = Group {
             dir,
             voters,
             members,
             transport,
-            machines,
+            state_machines,
         };
         for id in 0..members {
             group.spawn(id);
@@ -120,8 +120,8 @@
     }
 
     fn spawn(&mut self, id: u32) {
-        let state_machine = Commands::default();
-        self.machines[id as usize] = state_machine.clone();
+        let state_machine = CommandRecorder::default();
+        self.state_machines[id as usize] = state_machine.clone();
         let (cfg, transport) = (self.config(id), self.transport.clone());
         let replica = if id < self.voters {
             let disk = Journal::open(&self.folder(id), "e").expect("the journal opens");
@@ -186,7 +186,7 @@
     }
 
     async fn wait_applied(&self, id: u32, index: u64) {
-        let waited = self.replica(id).wait_applied(index, LIMIT).await;
+        let waited = self.replica(id).wait_applied(index, TIMEOUT).await;
         waited.expect("the entry is applied");
     }
 }
@@ -197,7 +197,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(LIMIT, poll)
+    timeout(TIMEOUT, poll)
         .await
         .expect("the condition holds before the timeout");
 }
@@ -219,7 +219,7 @@
     assert!(read >= applied.index);
     group
         .replica(0)
-        .wait_in_force(applied.index, LIMIT)
+        .wait_in_force(applied.index, TIMEOUT)
         .await
         .expect("in force");
     group.replica(0).stop().await;
@@ -245,10 +245,10 @@
         }
         let leader = group.leader().expect("a leader");
         let other = (leader + 1) % 3;
-        let refused = group.replica(other).propose(b"x".as_slice().into()).await;
+        let rejected = group.replica(other).propose(b"x".as_slice().into()).await;
         assert!(
-            matches!(refused, Err(ProposeError::NotLeader { .. })),
-            "{refused:?}"
+            matches!(rejected, Err(ProposeError::NotLeader { .. })),
+            "{rejected:?}"
         );
         group.crash(leader).await;
         let index = group.propose_until_applied(&format!("{round}.after")).await;
@@ -265,11 +265,11 @@
     let leader = group.leader().expect("a leader");
     group
         .replica(leader)
-        .wait_in_force(index, LIMIT)
+        .wait_in_force(index, TIMEOUT)
         .await
         .expect("in force everywhere");
     until(|| (0..3).all(|id| group.replica(id).status().role() != Role::Learner)).await;
-    let expected = group.machines[leader as usize].all();
+    let expected = group.state_machines[leader as usize].all();
     for command in &acknowledged {
         assert!(
             expected.iter().any(|found| found == command.as_bytes()),
@@ -278,7 +278,11 @@
     }
     for id in 0..group.members {
         group.wait_applied(id, index).await;
-        assert_eq!(group.machines[id as usize].all(), expected, "member {id}");
+        assert_eq!(
+            group.state_machines[id as usize].all(),
+            expected,
+            "member {id}"
+        );
     }
 }
 
@@ -292,13 +296,13 @@
     old.stop().await;
     // The replica stops only after another member was elected in a later term.
     assert!(old.status().term() > term);
-    let refused = old.propose(b"b".as_slice().into()).await;
-    assert_eq!(refused, Err(ProposeError::Stopped));
+    let rejected = old.propose(b"b".as_slice().into()).await;
+    assert_eq!(rejected, Err(ProposeError::Stopped));
     group.transport.set(leader, None);
     let index = group.propose_until_applied("b").await;
     for id in (0..group.members).filter(|id| *id != leader) {
         group.wait_applied(id, index).await;
-        let commands = group.machines[id as usize].all();
+        let commands = group.state_machines[id as usize].all();
         assert_eq!(commands, [b"a", b"b"], "member {id}");
     }
 }
@@ -320,9 +324,9 @@
         Err(ProposeError::OutcomeUnknown | ProposeError::NoQuorum)
     );
     assert!(unconfirmed, "{lost:?}");
-    let refused = replica.propose(b"c".as_slice().into()).await;
-    let known = matches!(refused, Err(ProposeError::NotLeader { leader: None }));
-    assert!(known, "{refused:?}");
+    let rejected = replica.propose(b"c".as_slice().into()).await;
+    let known = matches!(rejected, Err(ProposeError::NotLeader { leader: None }));
+    assert!(known, "{rejected:?}");
     until(|| !replica.status().in_service(cleat_quorum::BootTime::now())).await;
 }
 
@@ -348,13 +352,18 @@
         entries: Vec::new(),
     };
     let (cfg, transport) = (group.config(0), LocalTransport::default());
-    let replica =
-        Replica::spawn_with_store(cfg, recovery, FailingStore, transport, Commands::default());
+    let replica = Replica::spawn_with_store(
+        cfg,
+        recovery,
+        FailingStore,
+        transport,
+        CommandRecorder::default(),
+    );
     let replica = replica.expect("the replica starts");
-    timeout(LIMIT, replica.wait_stopped())
+    timeout(TIMEOUT, replica.wait_stopped())
         .await
-        .expect("the replica ends");
+        .expect("the replica stops");
     assert!(!replica.status().in_service(cleat_quorum::BootTime::now()));
-    let refused = replica.propose(b"a".as_slice().into()).await;
-    assert_eq!(refused, Err(ProposeError::Stopped));
+    let rejected = replica.propose(b"a".as_slice().into()).await;
+    assert_eq!(rejected, Err(ProposeError::Stopped));
 }
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -239,7 +239,7 @@
     )
 }
 
-fn is_stale_service(violation: &Violation) -> bool {
+fn serves_stale_state(violation: &Violation) -> bool {
     matches!(violation, Violation::ServesBehind(..))
 }
 
@@ -302,17 +302,17 @@
 #[test]
 fn protection_lease_from_send() {
     let plan = plan_without(PAUSES, |p| p.lease_from_send = false);
-    assert_detects("lease from send", plan, is_stale_service);
+    assert_detects("lease from send", plan, serves_stale_state);
 }
 
 #[test]
 fn protection_apply_before_lease_resumes() {
     let plan = plan_without(PAUSES, |p| p.apply_before_lease_resumes = false);
-    assert_detects("apply before lease resumes", plan, is_stale_service);
+    assert_detects("apply before lease resumes", plan, serves_stale_state);
 }
 
 #[test]
 fn protection_inherited_leases() {
     let plan = plan_without(PAUSES, |p| p.inherited_leases = false);
-    assert_detects("inherited leases", plan, is_stale_service);
+    assert_detects("inherited leases", plan, serves_stale_state);
 }
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 const TERM: u64 = 1;
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct NullStateMachine;
 
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Sent(Arc<Mutex<Vec<Message>>>);
+struct RecordingTransport(Arc<Mutex<Vec<Message>>>);
 
-impl Transport for Sent {
+impl Transport for RecordingTransport {
     fn send(&self, _: MemberId, message: Message) {
         self.0.lock().expect("not poisoned").push(message);
     }
@@ -111,7 +111,7 @@
 async fn step_snapshot_during_slow_sync() {
     let (cfg, recovery) = follower(1);
     let (allow, gate) = mpsc::channel();
-    let sent = Sent::default();
+    let sent = RecordingTransport::default();
     let replica = Replica::spawn_with_store(
         cfg,
         recovery,
@@ -122,13 +122,13 @@
     let replica = replica.expect("the replica starts");
     for index in BOOTSTRAP_INDEX..BOOTSTRAP_INDEX + 3 {
         replica.deliver(append(index));
-        let applied = replica.wait_applied(index, LIMIT).await;
+        let applied = replica.wait_applied(index, TIMEOUT).await;
         applied.expect("what is committed is applied");
     }
     for _ in 0..20 {
         allow.send(()).expect("the disk waits");
     }
-    let asks = || {
+    let request_pre_vote = || {
         let req = VoteRequest {
             pre: true,
             transfer: false,
@@ -141,11 +141,11 @@
     let voted = async {
         let granted = |message: &Message| matches!(&message.body, Body::VoteReply(r) if r.granted);
         while !sent.0.lock().expect("not poisoned").iter().any(granted) {
-            asks();
+            request_pre_vote();
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(LIMIT, voted)
+    timeout(TIMEOUT, voted)
         .await
         .expect("the member votes once it hears from no leader");
 }
