--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries on their way to the state machine, and its snapshots.
+//! Application of committed entries, and state machine snapshots.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::{Core, Effect};
 
 impl Core {
-    /// Applies what is committed.
+    /// Applies all committed entries.
     pub(super) fn apply_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.entry(self.applied + 1) else {
@@ -23,18 +23,18 @@
                 self.effects.push(effect);
             }
         }
-        self.ask_for_snapshot();
+        self.request_snapshot();
     }
 
-    pub(super) fn ask_for_snapshot(&mut self) {
-        let last = self.log.snapshot_index().max(self.snapshot_asked);
+    pub(super) fn request_snapshot(&mut self) {
+        let last = self.log.snapshot_index().max(self.requested_snapshot_index);
         if self.applied >= last + self.config.limits.compact_after_entries {
-            self.snapshot_asked = self.applied;
+            self.requested_snapshot_index = self.applied;
             self.effects.push(Effect::TakeSnapshot(self.applied));
         }
     }
 
-    pub(super) fn snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
+    pub(super) fn on_snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
         let outdated = index <= self.log.snapshot_index() || index > self.applied;
         if outdated || data.len() > self.config.limits.max_snapshot_bytes {
             return;
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -1,4 +1,4 @@
-//! A replica whose disk is slow, driven by messages alone.
+//! A replica with a slow disk, driven only by messages.
 
 #[path = "group/recovery.rs"]
 mod recovery;
@@ -15,11 +15,11 @@
 use tokio::time::{sleep, timeout};
 
 const TERM: u64 = 1;
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Nothing;
+struct NullStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NullStateMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Box<[u8]> {
         Box::default()
     }
@@ -33,10 +33,10 @@
     }
 }
 
-/// Each sync waits until the test allows it.
-struct Gated(mpsc::Receiver<()>);
+/// Each sync blocks until the test permits it.
+struct GatedStore(mpsc::Receiver<()>);
 
-impl Store for Gated {
+impl Store for GatedStore {
     fn write(&mut self, _: &Write) -> Result<(), StoreError> {
         Ok(())
     }
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Sent(Arc<Mutex<Vec<Message>>>);
+struct RecordingTransport(Arc<Mutex<Vec<Message>>>);
 
-impl Transport for Sent {
+impl Transport for RecordingTransport {
     fn send(&self, _: MemberId, message: Message) {
         self.0.lock().expect("not poisoned").push(message);
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// An append of one entry after `index`; what is before it is committed.
+/// An append of one entry after `index`, which is committed.
 fn append(index: u64) -> Message {
     let entry = Entry {
         index: index + 1,
@@ -104,24 +104,31 @@
     message(0, TERM, Body::Append(append))
 }
 
-/// A snapshot falls due in the step that writes an entry, while the disk is
-/// busy: both must count as synced, or the member never votes again.
+/// A snapshot becomes due in the step that writes an entry, while the disk is
+/// busy. The member must count both as synced; otherwise it would never vote
+/// again.
 #[tokio::test]
 async fn step_snapshot_during_slow_sync() {
     let (cfg, recovery) = follower(1);
     let (allow, gate) = mpsc::channel();
-    let sent = Sent::default();
-    let replica = Replica::spawn_with_store(cfg, recovery, Gated(gate), sent.clone(), Nothing);
+    let sent = RecordingTransport::default();
+    let replica = Replica::spawn_with_store(
+        cfg,
+        recovery,
+        GatedStore(gate),
+        sent.clone(),
+        NullStateMachine,
+    );
     let replica = replica.expect("the replica starts");
     for index in BOOTSTRAP_INDEX..BOOTSTRAP_INDEX + 3 {
         replica.deliver(append(index));
-        let applied = replica.wait_applied(index, LIMIT).await;
+        let applied = replica.wait_applied(index, TIMEOUT).await;
         applied.expect("what is committed is applied");
     }
     for _ in 0..20 {
         allow.send(()).expect("the disk waits");
     }
-    let asks = || {
+    let request_pre_vote = || {
         let req = VoteRequest {
             pre: true,
             transfer: false,
@@ -134,11 +141,11 @@
     let voted = async {
         let granted = |message: &Message| matches!(&message.body, Body::VoteReply(r) if r.granted);
         while !sent.0.lock().expect("not poisoned").iter().any(granted) {
-            asks();
+            request_pre_vote();
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(LIMIT, voted)
+    timeout(TIMEOUT, voted)
         .await
-        .expect("it votes once the leader is silent");
+        .expect("the member votes once it hears from no leader");
 }
