--- a/crates/cleat-jobs/src/schedule/account/keep.rs
+++ b/crates/cleat-jobs/src/schedule/account/keep.rs
@@ -5,7 +5,7 @@
 use super::{Charge, CustomerKey, Stray};
 use crate::schedule::Scheduler;
 use crate::schedule::attempt::Attempt;
-use crate::schedule::ready::Unsettled;
+use crate::schedule::ready::DirtyPools;
 use crate::schedule::worker::WorkerKey;
 use crate::state::{Command, ControlState, Job};
 use crate::{JobId, Run, Size, StepSpec, TaskId};
@@ -82,7 +82,7 @@
             };
             self.workers[key].used_by_strays -= stray.footprint;
             self.release_charge(stray.charge);
-            self.unsettle_pool_of(key);
+            self.mark_worker_pool_dirty(key);
         }
     }
 
@@ -90,7 +90,7 @@
     /// looked at again.
     pub(in crate::schedule) fn release_charge(&mut self, charge: Charge) {
         for pool in self.accounts.release(charge) {
-            self.unsettle(&pool);
+            self.mark_pool_dirty(&pool);
         }
     }
 
@@ -100,14 +100,21 @@
         if let Some(catalogue) = &state.catalogue
             && self.accounts.configure(catalogue)
         {
-            self.unsettled = Unsettled::All;
+            self.dirty_pools = DirtyPools::All;
         }
-        let hidden = self.hidden_runs && self.accounts.any_capped();
-        let unknown = hidden && self.workers.iter().any(|(_, worker)| !worker.is_known());
+        let hidden = self.may_have_hidden_runs && self.accounts.any_capped();
+        let unknown = hidden
+            && self
+                .workers
+                .iter()
+                .any(|(_, worker)| !worker.runs_are_known());
         if unknown {
             self.count_hidden(state);
-        } else if self.hidden_runs {
-            self.hidden_runs = self.workers.iter().any(|(_, worker)| !worker.is_known());
+        } else if self.may_have_hidden_runs {
+            self.may_have_hidden_runs = self
+                .workers
+                .iter()
+                .any(|(_, worker)| !worker.runs_are_known());
             for account in &mut self.accounts.arena {
                 account.hidden = Size::default();
             }
@@ -144,19 +151,19 @@
     /// Has it noted of which jobs that ended before their time nothing can run
     /// any more: the next owner need not count them.
     pub(in crate::schedule) fn settle_stopped(&mut self, state: &ControlState) {
-        if state.stopping.is_empty() || self.hidden_runs {
+        if state.stopping.is_empty() || self.may_have_hidden_runs {
             return;
         }
         let strays: IndexSet<JobId> = self.strays.keys().map(|(_, task, _)| task.job()).collect();
         let over = |id: &&JobId| {
-            !self.settling.contains(*id)
-                && !self.live.contains(*id)
+            !self.settled_proposed.contains(*id)
+                && !self.active_jobs.contains(*id)
                 && !self.job_tasks.contains_key(*id)
                 && !strays.contains(*id)
         };
         let ids: Vec<JobId> = state.stopping.keys().filter(over).copied().collect();
         if !ids.is_empty() {
-            self.settling.extend(&ids);
+            self.settled_proposed.extend(&ids);
             self.propose(Command::Settled { ids });
         }
     }
@@ -165,7 +172,7 @@
     /// with those that are kept.
     #[doc(hidden)]
     pub fn recounted(&self) -> Vec<(Box<str>, Size, Size)> {
-        let attempts = self.attempts.values().filter(|a| a.holds_room());
+        let attempts = self.attempts.values().filter(|a| a.uses_capacity());
         let attempts = attempts.map(|attempt: &Attempt| attempt.charge);
         let strays = self.strays.values().map(|stray| stray.charge);
         let mut counted: IndexMap<CustomerKey, Size> = IndexMap::new();
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -14,7 +14,7 @@
 
 pub use tell::CustomerView;
 
-use super::shares::{Sent, Standing};
+use super::shares::{RecentJobs, ShareStatus};
 use crate::{Cap, Catalogue, Size};
 
 /// A customer of the arena. Keys are never reused.
@@ -39,7 +39,7 @@
     /// Its share, in jobs a second, by the configuration in force.
     weight: f64,
     /// The jobs that it sent lately within that.
-    sent: Sent,
+    recent_jobs: RecentJobs,
     /// What its runs take up that this owner knows of.
     ///
     /// Invariant: the sum of the charges of its attempts that hold room and of
@@ -174,13 +174,13 @@
     }
 
     /// Where a job stands that a customer sent at `at`.
-    pub(crate) fn take_job(&mut self, key: CustomerKey, at: Duration) -> Standing {
+    pub(crate) fn take_job(&mut self, key: CustomerKey, at: Duration) -> ShareStatus {
         let account = self.get_mut(key);
-        account.sent.take(at, account.weight)
+        account.recent_jobs.admit(at, account.weight)
     }
 
     /// Whether a customer holds more of what all hold than its part of all shares.
-    pub(crate) fn standing_by_room(&self, key: CustomerKey) -> Standing {
+    pub(crate) fn standing_by_room(&self, key: CustomerKey) -> ShareStatus {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
             all += account.held;
@@ -193,9 +193,9 @@
         let memory = part(own.held.memory_mb, all.memory_mb);
         let share = own.weight / f64::max(weights, f64::MIN_POSITIVE);
         if cpu.max(memory) > share {
-            Standing::Beyond
+            ShareStatus::Exceeded
         } else {
-            Standing::Within
+            ShareStatus::Within
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -11,16 +11,16 @@
 
 /// How many workers one call names at most. Each makes the call longer; a
 /// step's objective allows for a call about 30.
-const MOST_WORKERS: usize = 30;
+const MAX_WORKERS_PER_CALL: usize = 30;
 /// How many workers one call names at least, where there are as many.
-const FEW_WORKERS: usize = 6;
+const MIN_WORKERS_PER_CALL: usize = 6;
 /// How many calls may be under way. The adviser takes one at a time and
 /// refuses more than 32 that wait.
-const CALLS_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_CALLS: usize = 8;
 /// How long after a call without an answer another is sent.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// What is kept of a permission's time for the start to arrive.
-const MARGIN: Duration = Duration::from_millis(100);
+const START_MARGIN: Duration = Duration::from_millis(100);
 
 /// What the adviser said of a step. Which workers may run it never changes;
 /// the tickets run out.
@@ -29,7 +29,7 @@
     tickets: IndexMap<WorkerKey, Ticket>,
     /// Workers that may not run the step.
     refused: IndexSet<WorkerKey>,
-    asking: bool,
+    call_pending: bool,
     /// When the adviser may be asked again.
     due: Duration,
 }
@@ -44,7 +44,7 @@
     /// The permission for a step on a worker, while it is valid.
     pub(super) fn ticket(&self, id: StepId, key: WorkerKey) -> Option<Box<str>> {
         let ticket = self.advice.get(&id)?.tickets.get(&key)?;
-        (self.now + MARGIN < ticket.until).then(|| ticket.text.clone())
+        (self.now + START_MARGIN < ticket.until).then(|| ticket.text.clone())
     }
 
     /// The workers of `keys` that may run a step now.
@@ -55,15 +55,19 @@
 
     /// Asks for permissions for a step that has tasks without a place.
     pub(super) fn ask_adviser(&mut self, id: StepId, pending: usize, keys: &[WorkerKey]) {
-        let under_way = self.advice.values().filter(|advice| advice.asking).count();
+        let under_way = self
+            .advice
+            .values()
+            .filter(|advice| advice.call_pending)
+            .count();
         let advice = self.advice.entry(id).or_default();
-        if advice.asking || self.now < advice.due || under_way >= CALLS_AT_ONCE {
+        if advice.call_pending || self.now < advice.due || under_way >= MAX_CONCURRENT_CALLS {
             return;
         }
         let (now, tickets, refused) = (self.now, &advice.tickets, &advice.refused);
         let valid = |key: &WorkerKey| {
             let ticket = tickets.get(key);
-            ticket.is_some_and(|ticket| now + MARGIN < ticket.until)
+            ticket.is_some_and(|ticket| now + START_MARGIN < ticket.until)
         };
         let mut unknown: Vec<WorkerKey> = keys
             .iter()
@@ -71,19 +75,19 @@
             .copied()
             .collect();
         // Those with the most room help most.
-        unknown.sort_by_key(|key| std::cmp::Reverse(self.workers[*key].room().cpu_milli));
-        unknown.truncate((2 * pending).clamp(FEW_WORKERS, MOST_WORKERS));
+        unknown.sort_by_key(|key| std::cmp::Reverse(self.workers[*key].free_capacity().cpu_milli));
+        unknown.truncate((2 * pending).clamp(MIN_WORKERS_PER_CALL, MAX_WORKERS_PER_CALL));
         if unknown.is_empty() {
             return;
         }
-        advice.asking = true;
+        advice.call_pending = true;
         let workers = unknown.into_iter().map(|key| self.worker_name(key));
         let workers = workers.collect();
         self.effects.push(Effect::Advise { step: id, workers });
     }
 
     /// Takes the adviser's answer; none if there was none.
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
         state: &ControlState,
         id: StepId,
@@ -99,9 +103,9 @@
         let Some(Advice { validity_ms, .. }) = policy else {
             return;
         };
-        advice.asking = false;
+        advice.call_pending = false;
         match good {
-            None => advice.due = self.now + RETRY,
+            None => advice.due = self.now + RETRY_DELAY,
             Some(good) => {
                 let until = sent_at + Duration::from_millis(validity_ms);
                 for name in asked {
@@ -116,7 +120,7 @@
                         None => drop(advice.refused.insert(key)),
                     }
                 }
-                self.tell(super::Decision::Advised {
+                self.log(super::Decision::Advised {
                     step: id.to_string().into(),
                     asked: asked.len(),
                     good: good.len(),
@@ -131,7 +135,7 @@
     }
 
     /// Forgets a permission that a worker did not accept.
-    pub(super) fn drop_ticket(&mut self, id: StepId, key: WorkerKey) {
+    pub(super) fn forget_ticket(&mut self, id: StepId, key: WorkerKey) {
         if let Some(advice) = self.advice.get_mut(&id) {
             advice.tickets.swap_remove(&key);
         }
--- a/crates/cleat-jobs/src/schedule/attempt.rs
+++ b/crates/cleat-jobs/src/schedule/attempt.rs
@@ -32,7 +32,7 @@
     },
     /// The worker answered the stop. A list that was asked for later tells
     /// whether the run had come to an end before.
-    Closed {
+    StopAnswered {
         /// When the answer came.
         at: Duration,
     },
@@ -58,11 +58,11 @@
     /// phase is `Ended`.
     pub(crate) charge: Charge,
     /// Whether it goes on until its job is cancelled.
-    pub(crate) lasts: bool,
+    pub(crate) long_running: bool,
     /// When the start was sent, or when the run was adopted.
-    pub(crate) began: Duration,
+    pub(crate) started_at: Duration,
     /// Whether its worker lists it as working at its full pace.
-    pub(crate) at_work: bool,
+    pub(crate) at_full_speed: bool,
     /// What crashes of workers lay on its task when it began.
     pub(crate) suspicion: Suspicion,
     /// The latest checkpoint seen.
@@ -71,7 +71,7 @@
 
 impl Attempt {
     /// Whether the run still takes up room.
-    pub(crate) fn holds_room(&self) -> bool {
+    pub(crate) fn uses_capacity(&self) -> bool {
         self.phase != Phase::Ended
     }
 }
@@ -79,13 +79,13 @@
 impl Scheduler {
     /// Adds a run that takes up room on its worker.
     pub(super) fn add_attempt(&mut self, task: TaskId, attempt: Attempt) {
-        if attempt.holds_room() {
+        if attempt.uses_capacity() {
             self.accounts.hold(attempt.charge);
         }
         let worker = &mut self.workers[attempt.worker];
         worker.used += attempt.footprint;
-        worker.lasting += usize::from(attempt.lasts);
-        worker.crashes += attempt.suspicion.crashes;
+        worker.long_running += usize::from(attempt.long_running);
+        worker.task_crashes += attempt.suspicion.crashes;
         worker.tasks.insert(task);
         self.job_tasks.entry(task.job()).or_default().insert(task);
         self.attempts.insert(task, attempt);
@@ -94,7 +94,7 @@
     /// Takes a run as ended and frees its room. Its task waits for a commit.
     pub(super) fn end_attempt(&mut self, task: TaskId) -> Option<&Attempt> {
         let attempt = self.attempts.get_mut(&task)?;
-        if !attempt.holds_room() {
+        if !attempt.uses_capacity() {
             return None;
         }
         attempt.phase = Phase::Ended;
@@ -109,15 +109,15 @@
         let attempt = self.attempts.swap_remove(&task)?;
         let worker = &mut self.workers[attempt.worker];
         worker.tasks.swap_remove(&task);
-        worker.lasting -= usize::from(attempt.lasts);
-        worker.crashes -= attempt.suspicion.crashes;
+        worker.long_running -= usize::from(attempt.long_running);
+        worker.task_crashes -= attempt.suspicion.crashes;
         if let Some(tasks) = self.job_tasks.get_mut(&task.job()) {
             tasks.swap_remove(&task);
             if tasks.is_empty() {
                 self.job_tasks.swap_remove(&task.job());
             }
         }
-        if attempt.holds_room() {
+        if attempt.uses_capacity() {
             worker.used -= attempt.footprint;
             self.release_charge(attempt.charge);
         }
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -21,64 +21,69 @@
 
 /// How long a run has to be listed for its worker's crash to say nothing of its task:
 /// tasks that last see many crashes of machines over the months.
-const SOUND_AFTER: Duration = Duration::from_secs(10);
+const PROVEN_AFTER: Duration = Duration::from_secs(10);
 /// How soon after the start of a run its worker crashes where that speaks against it:
 /// what crashes a worker mostly does so as it begins.
-const SUDDEN: Duration = Duration::from_millis(100);
+const STARTUP_CRASH_WINDOW: Duration = Duration::from_millis(100);
 /// How long a machine on which a worker crashed is the last choice for a task that
 /// may have been the cause.
-const MACHINE_DOUBTED_FOR: Duration = Duration::from_secs(30);
+const MACHINE_SUSPECT_FOR: Duration = Duration::from_secs(30);
 /// How old the last sign of life of a worker may be on which a task starts that has to
 /// have it to itself.
 /// A renewal is answered after a second where nothing ends, so one turns up soon.
-const SIGN_AGE: Duration = Duration::from_millis(100);
+const MAX_ANSWER_AGE: Duration = Duration::from_millis(100);
 
 /// When a worker crashed last on each machine.
 #[derive(Debug, Default)]
 pub(crate) struct CrashedMachines(IndexMap<Box<str>, Duration>);
 
 impl CrashedMachines {
-    fn note(&mut self, machine: &str, now: Duration) {
+    fn record(&mut self, machine: &str, now: Duration) {
         self.0.insert(machine.into(), now);
     }
 
-    fn has(&self, worker: &Worker) -> bool {
+    fn contains_machine_of(&self, worker: &Worker) -> bool {
         let machine = worker.record.machine.as_deref();
         machine.is_some_and(|machine| self.0.contains_key(machine))
     }
 
     /// Forgets what was long ago.
-    pub(super) fn forget(&mut self, now: Duration) {
-        self.0.retain(|_, at| now < *at + MACHINE_DOUBTED_FOR);
+    pub(super) fn remove_expired(&mut self, now: Duration) {
+        self.0.retain(|_, at| now < *at + MACHINE_SUSPECT_FOR);
     }
 }
 
 /// Where a task goes under which workers have crashed; lower goes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Apart {
+pub(super) struct IsolationRank {
     /// How many crashes the tasks there have seen.
     crashes: usize,
-    machine_doubted: bool,
+    machine_suspect: bool,
     /// What the next crash would cost.
-    lasting: usize,
+    long_running: usize,
     runs: usize,
 }
 
 impl Scheduler {
     /// How well a worker keeps a task of the step apart from those that may crash it;
     /// for a task under which no worker has crashed, no more than that counts.
-    pub(super) fn apart(&self, step: &ActiveStep, index: u32, worker: &Worker) -> Apart {
-        let crashes = worker.crashes;
+    pub(super) fn isolation_rank(
+        &self,
+        step: &ActiveStep,
+        index: u32,
+        worker: &Worker,
+    ) -> IsolationRank {
+        let crashes = worker.task_crashes;
         if step.suspicion(index).crashes == 0 {
-            return Apart {
+            return IsolationRank {
                 crashes,
-                ..Apart::default()
+                ..IsolationRank::default()
             };
         }
-        Apart {
+        IsolationRank {
             crashes,
-            machine_doubted: self.crashed_machines.has(worker),
-            lasting: worker.lasting,
+            machine_suspect: self.crashed_machines.contains_machine_of(worker),
+            long_running: worker.long_running,
             runs: worker.tasks.len(),
         }
     }
@@ -86,10 +91,10 @@
     /// Whether a worker is certain enough to be there for a task of the step: one that
     /// crashed a moment ago would leave the start in doubt and count against the task.
     /// A gang would wait for many such signs at once.
-    pub(super) fn is_certain(&self, step: &ActiveStep, index: u32, worker: &Worker) -> bool {
-        let heard_at = worker.heard_at.unwrap_or_default();
+    pub(super) fn answered_recently(&self, step: &ActiveStep, index: u32, worker: &Worker) -> bool {
+        let answered_at = worker.answered_at.unwrap_or_default();
         let asked = !step.gang && step.suspicion(index).alone;
-        !asked || self.now <= heard_at + SIGN_AGE
+        !asked || self.now <= answered_at + MAX_ANSWER_AGE
     }
 
     /// Whether a worker whose life is over crashed: nobody meant it to end.
@@ -100,22 +105,22 @@
 
     /// Has the runs counted that a worker took along if it crashed. Their tasks wait
     /// until that is committed.
-    pub(super) fn note_crash(&mut self, key: WorkerKey, how: LifeOver) {
+    pub(super) fn record_crash(&mut self, key: WorkerKey, how: LifeOver) {
         if !self.has_crashed(key, how) {
             return;
         }
         if let Some(machine) = &self.workers[key].record.machine {
-            self.crashed_machines.note(machine, self.now);
+            self.crashed_machines.record(machine, self.now);
         }
         let mut runs = std::mem::take(&mut self.workers[key].lapsed_runs);
-        runs.extend(self.lose_suspects(key, LossReason::Crashed));
+        runs.extend(self.end_suspect_runs(key, LossReason::Crashed));
         self.propose_crashed(runs);
     }
 
     /// Has the runs counted of a worker whose lease is over: it may be cut off, but if
     /// it crashed that may never be known.
-    pub(super) fn note_lapse(&mut self, key: WorkerKey) {
-        let lapsed = self.lose_suspects(key, LossReason::Lapsed);
+    pub(super) fn record_lapse(&mut self, key: WorkerKey) {
+        let lapsed = self.end_suspect_runs(key, LossReason::Lapsed);
         self.workers[key].lapsed_runs = lapsed.clone();
         let lapsed = lapsed.into_iter().map(|run| CrashedRun {
             part: Part::Lapsed,
@@ -131,18 +136,18 @@
     }
 
     /// Takes the runs of a worker as over that are about to be counted.
-    fn lose_suspects(&mut self, key: WorkerKey, reason: LossReason) -> Vec<CrashedRun> {
+    fn end_suspect_runs(&mut self, key: WorkerKey, reason: LossReason) -> Vec<CrashedRun> {
         let suspects = self.suspects(key);
         let worker = &self.workers[key];
         let alone = suspects.len() == 1 && !worker.has_strays;
-        let crashed_at = worker.doubted_since.unwrap_or(self.now);
+        let crashed_at = worker.unanswered_since.unwrap_or(self.now);
         let mut runs = Vec::new();
         for task in suspects {
             let Some(attempt) = self.attempts.get(&task) else {
                 continue;
             };
-            let sudden = crashed_at <= attempt.began + SUDDEN;
-            let part = match (has_begun(attempt.phase), alone, sudden) {
+            let sudden = crashed_at <= attempt.started_at + STARTUP_CRASH_WINDOW;
+            let part = match (has_started(attempt.phase), alone, sudden) {
                 (false, ..) => Part::InDoubt,
                 (true, false, false) => Part::Begun,
                 (true, false, true) => Part::Sudden,
@@ -151,7 +156,7 @@
             };
             let run = attempt.run;
             runs.push(CrashedRun { task, run, part });
-            self.end_uncommitted(task, reason);
+            self.end_lost_run(task, reason);
         }
         runs
     }
@@ -169,25 +174,25 @@
         let Some(attempt) = self.attempts.get(&task) else {
             return false;
         };
-        let may_run = !matches!(attempt.phase, Phase::Closed { .. } | Phase::Ended);
-        may_run && self.steps.contains_key(&task.step) && !self.is_sound(attempt)
+        let may_run = !matches!(attempt.phase, Phase::StopAnswered { .. } | Phase::Ended);
+        may_run && self.steps.contains_key(&task.step) && !self.is_proven(attempt)
     }
 
     /// Whether a run was at work for long.
-    pub(super) fn is_sound(&self, attempt: &Attempt) -> bool {
-        let heard_at = self.workers[attempt.worker].heard_at.unwrap_or_default();
+    pub(super) fn is_proven(&self, attempt: &Attempt) -> bool {
+        let answered_at = self.workers[attempt.worker].answered_at.unwrap_or_default();
         let running = matches!(attempt.phase, Phase::Running { .. });
-        running && heard_at >= attempt.began + SOUND_AFTER
+        running && answered_at >= attempt.started_at + PROVEN_AFTER
     }
 
     /// Frees the room of a run that is lost. Its task waits for a commit.
-    fn end_uncommitted(&mut self, task: TaskId, reason: LossReason) {
+    fn end_lost_run(&mut self, task: TaskId, reason: LossReason) {
         let Some(attempt) = self.end_attempt(task) else {
             return;
         };
         let (key, run, crashes) = (attempt.worker, attempt.run, attempt.suspicion.crashes + 1);
         let worker = self.worker_name(key);
-        self.tell(Decision::Lost {
+        self.log(Decision::Lost {
             task: task.to_string().into(),
             run: run.0,
             worker,
@@ -198,11 +203,11 @@
 
     /// Crashes are in the replicated state: their tasks may start again, but for those
     /// that were given up.
-    pub(super) fn crashes_applied(&mut self, state: &ControlState, runs: &[CrashedRun]) {
+    pub(super) fn handle_crashes_applied(&mut self, state: &ControlState, runs: &[CrashedRun]) {
         let mut jobs: IndexSet<JobId> = IndexSet::new();
         for CrashedRun { task, run, .. } in runs {
             jobs.insert(task.job());
-            self.note_suspects(state, task.step);
+            self.update_suspicions(state, task.step);
             let known = self.attempts.get(task);
             let waits = known.is_some_and(|a| a.run == *run && a.phase == Phase::Ended);
             if waits && let Some(attempt) = self.remove_attempt(*task) {
@@ -210,12 +215,12 @@
             }
         }
         for id in jobs {
-            self.go_on(state, id);
+            self.advance_job(state, id);
         }
     }
 }
 
 /// Whether a worker said that the run is at work.
-fn has_begun(phase: Phase) -> bool {
+fn has_started(phase: Phase) -> bool {
     matches!(phase, Phase::Running { .. } | Phase::Stopping { .. })
 }
--- a/crates/cleat-jobs/src/schedule/durations.rs
+++ b/crates/cleat-jobs/src/schedule/durations.rs
@@ -11,14 +11,14 @@
 
 /// The weight of one task once many are known: some 50 tasks, which a queue has
 /// within seconds, make the figures.
-const WEIGHT: f64 = 0.02;
+const MIN_WEIGHT: f64 = 0.02;
 /// How strongly estimates are trusted before tasks tell otherwise, as a
 /// variance of their logarithms: that of estimates a quarter off. Tasks of one
 /// job share an estimate, so the first few say nothing of its worth.
-const TRUST: f64 = 0.05;
+const PRIOR_VARIANCE: f64 = 0.05;
 /// A task that takes a thousandth or a thousand times its estimate says no more
 /// than that it is far off.
-const FARTHEST: f64 = 6.9;
+const MAX_LOG_RATIO: f64 = 6.9;
 
 /// What is known of the durations of one queue's tasks.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,9 +41,9 @@
         }
         let estimate = logarithm(estimate_ms);
         let ran = (ran.as_secs_f64() * 1_000.0).max(1.0).ln();
-        let ran = ran.clamp(estimate - FARTHEST, estimate + FARTHEST);
+        let ran = ran.clamp(estimate - MAX_LOG_RATIO, estimate + MAX_LOG_RATIO);
         self.tasks = self.tasks.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.tasks));
+        let weight = MIN_WEIGHT.max(1.0 / f64::from(self.tasks));
         let (x, y) = (estimate - self.estimate, ran - self.ran);
         self.estimate += weight * x;
         self.ran += weight * y;
@@ -68,7 +68,7 @@
     /// By how much longer a task takes whose estimate is longer, both as
     /// logarithms: 1 where estimates are good, 0 where they say nothing.
     fn slope(&self) -> f64 {
-        let slope = (self.covariance + TRUST) / (self.estimate_variance + TRUST);
+        let slope = (self.covariance + PRIOR_VARIANCE) / (self.estimate_variance + PRIOR_VARIANCE);
         slope.clamp(0.0, 1.0)
     }
 }
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -27,7 +27,7 @@
         // How the life of a worker would be over that the list leaves out.
         let absent = |worker: &Worker| {
             let known_before = worker.known_since <= sent_at;
-            if !known_before || !worker.is_out_of_reach() || named.contains(&*worker.record.name) {
+            if !known_before || !worker.is_unreachable() || named.contains(&*worker.record.name) {
                 return None;
             }
             let view = by_machine.get(worker.record.machine.as_deref()?)?;
@@ -46,7 +46,7 @@
             }
         }
         for (key, how) in over {
-            self.life_over(key, how);
+            self.end_life(key, how);
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -8,7 +8,7 @@
 use crate::Size;
 use crate::schedule::account::CustomerKey;
 use crate::schedule::step::ActiveStep;
-use crate::schedule::timing::Prospect;
+use crate::schedule::timing::Timeliness;
 use crate::schedule::{Decision, Scheduler};
 use crate::state::ControlState;
 
@@ -159,7 +159,7 @@
         for (pool, balance) in &mut pools {
             // What waits is behind what is coming: a pool that holds no more than
             // what comes would never catch up.
-            let flow = self.times.forecast(pool, self.now) + self.lasting(pool);
+            let flow = self.workload.forecast(pool, self.now) + self.lasting(pool);
             balance.needed = balance.used.max_of_each(flow) + balance.pending;
             balance.count_workers();
         }
@@ -168,14 +168,16 @@
 
     /// Writes the balances to the log, once a second.
     pub(super) fn tell_balances(&mut self, balances: &IndexMap<Box<str>, Balance>) {
-        if self.now < self.balances_told + TELL_INTERVAL {
+        if self.now < self.balances_logged_at + TELL_INTERVAL {
             return;
         }
-        self.balances_told = self.now;
+        self.balances_logged_at = self.now;
         for (pool, balance) in balances.iter().filter(|(_, b)| b.needed.cpu_milli > 0) {
             let taking = self.candidates(pool);
-            let free = taking.iter().map(|key| self.workers[*key].room().cpu_milli);
-            self.tell(Decision::Pool {
+            let free = taking
+                .iter()
+                .map(|key| self.workers[*key].free_capacity().cpu_milli);
+            self.log(Decision::Pool {
                 pool: pool.clone(),
                 needed_cpu_milli: balance.needed.cpu_milli,
                 needed_memory_mb: balance.needed.memory_mb,
@@ -199,17 +201,17 @@
             let Some(balance) = pools.get_mut(&step.pool) else {
                 continue;
             };
-            balance.least_workers = balance.least_workers.max(step.least_workers);
+            balance.least_workers = balance.least_workers.max(step.min_workers);
             let mut count = step.pending.len() as u64;
             balance.waiting += count;
             balance.apart += step
-                .waiting_suspects()
+                .pending_suspects()
                 .filter(|(_, suspicion)| suspicion.alone)
                 .count();
-            let percent = match step.prospect(self.now) {
-                Prospect::InTime => 100,
-                Prospect::Late => LATE_PERCENT,
-                Prospect::TooLate => TOO_LATE_PERCENT,
+            let percent = match step.timeliness(self.now) {
+                Timeliness::InTime => 100,
+                Timeliness::Late => LATE_PERCENT,
+                Timeliness::TooLate => TOO_LATE_PERCENT,
             };
             count = (count * percent).div_ceil(100);
             if let Some(key) = step.charge.customer {
@@ -231,14 +233,14 @@
                 continue;
             };
             balance.used += worker.used;
-            balance.apart += usize::from(self.is_taken_alone(key));
+            balance.apart += usize::from(self.is_isolated(key));
             if worker.answers() && !worker.draining && !worker.cordoned {
                 // What a task leaves free that is alone there is nobody's.
-                balance.offer(match self.is_taken_alone(key) {
+                balance.offer(match self.is_isolated(key) {
                     true => worker.used,
                     false => record.capacity,
                 });
-                balance.add_present(record.capacity, worker.room());
+                balance.add_present(record.capacity, worker.free_capacity());
                 at_work.extend(record.machine.as_deref());
             } else if worker.answers() {
                 leaving.extend(record.machine.as_deref());
@@ -266,13 +268,13 @@
         if step.pending.is_empty() || !step.footprint.fits(room) {
             return 0;
         }
-        if step.most_on_one.is_none() {
+        if step.max_per_worker.is_none() {
             return u64::MAX;
         }
         let workers = self.workers.in_pool(&step.pool);
         let takes = workers.filter(|(key, worker)| {
-            worker.takes_work(self.now)
-                && step.footprint.fits(worker.room())
+            worker.accepts_work(self.now)
+                && step.footprint.fits(worker.free_capacity())
                 && !step.is_full_on(*key)
         });
         takes.count() as u64
@@ -281,7 +283,7 @@
     /// What the tasks of a pool take up that run until they are cancelled.
     fn lasting(&self, pool: &str) -> Size {
         let steps = self.steps.values();
-        let lasting = steps.filter(|step| *step.pool == *pool && !step.order.ends);
+        let lasting = steps.filter(|step| *step.pool == *pool && !step.order.finite);
         lasting.fold(Size::default(), |sum, step| {
             let placed: u32 = step.placed.values().sum();
             sum + step.footprint.times(u64::from(placed))
--- a/crates/cleat-jobs/src/schedule/fleet/evacuate.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/evacuate.rs
@@ -54,7 +54,7 @@
         let attempt = self.attempts.get(&task);
         attempt.is_some_and(|attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
-            running && attempt.at_work && self.workers[attempt.worker].answers()
+            running && attempt.at_full_speed && self.workers[attempt.worker].answers()
         })
     }
 
@@ -64,7 +64,7 @@
             return false;
         };
         let candidates = self.candidates(&step.pool);
-        self.choose(task.step, task.index, spec, &candidates)
+        self.choose_worker(task.step, task.index, spec, &candidates)
             .is_some()
     }
 }
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -131,7 +131,7 @@
     /// Before, a pool between two turns looks as one that needs nothing, and what
     /// is given away may be missing a second later.
     fn knows_demand(&self) -> bool {
-        self.now >= self.taken_over_at + forecast::MEMORY
+        self.now >= self.taken_over_at + forecast::ARRIVAL_WINDOW
     }
 
     /// Whether a machine is idle and free to go.
@@ -158,7 +158,7 @@
         let worker = &self.workers[key];
         worker.tasks.is_empty()
             && worker.answers()
-            && worker.proposed == worker.confirmed
+            && worker.proposed_ends == worker.acknowledged_ends
             && !worker.has_strays
     }
 
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -80,7 +80,7 @@
         let mut machines = self.machines.by_name.values();
         let mut workers = self.workers.iter();
         machines.any(|machine| machine.ordered.is_some())
-            || workers.any(|(_, worker)| worker.is_out_of_reach())
+            || workers.any(|(_, worker)| worker.is_unreachable())
     }
 
     fn take_view(&mut self, view: MachineView, sent_at: Duration) {
@@ -164,7 +164,7 @@
             accepted: None,
         });
         let decision = Decision::machine(name, &machine.view.pool, &order);
-        self.tell(decision);
+        self.log(decision);
         self.effects.push(Effect::OrderMachine {
             machine: name.into(),
             token: self.owner.token,
@@ -249,7 +249,7 @@
     /// A machine has gone down for an order: its worker's life is over.
     fn machine_left(&mut self, name: &str, order: &MachineOrder) {
         if let Some(worker) = self.listed_worker(name) {
-            self.life_over(worker, LifeOver::MachineOrdered);
+            self.end_life(worker, LifeOver::MachineOrdered);
         }
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
--- a/crates/cleat-jobs/src/schedule/fleet/reserve.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/reserve.rs
@@ -46,7 +46,7 @@
             let fair = rest.workers > 0
                 && rest.met_milli() > lacking.with(view.capacity).met_milli()
                 && *view.pool != *pool;
-            let ends = self.workers[worker].lasting == 0;
+            let ends = self.workers[worker].long_running == 0;
             let free = fair && ends && self.may_share(machine, worker, pool);
             free.then(|| {
                 (
--- a/crates/cleat-jobs/src/schedule/forecast.rs
+++ b/crates/cleat-jobs/src/schedule/forecast.rs
@@ -18,15 +18,15 @@
 
 /// How far back jobs are looked at. With nothing changed, chance then makes a
 /// tenth of the rate of a queue with 20 jobs a second.
-pub(crate) const MEMORY: Duration = Duration::from_millis(6_000);
+pub(crate) const ARRIVAL_WINDOW: Duration = Duration::from_millis(6_000);
 /// The shortest part that jobs are split into: they come in bunches, as callers
 /// try again and gateways send what they held. Where this many came at once it
 /// is no bunch, and a shorter time tells enough.
-const SHORTEST: Duration = Duration::from_millis(150);
+const MIN_SEGMENT: Duration = Duration::from_millis(150);
 const MANY_JOBS: usize = 10;
-const SHORTEST_OF_MANY: Duration = Duration::from_millis(50);
+const MIN_SEGMENT_MANY_JOBS: Duration = Duration::from_millis(50);
 /// Fewer jobs than this don't tell a rise, however soon they followed.
-const RISE_JOBS: usize = 3;
+const MIN_RISE_JOBS: usize = 3;
 /// By how many standard deviations the jobs of a part have to exceed what the
 /// whole lets expect. Many splits are tried each time, so three would find a
 /// rise by chance every few seconds, and machines would come for it.
@@ -36,7 +36,7 @@
 const FALL_DEVIATIONS: f64 = 2.7;
 /// How far ahead a machine that is called for now is there: the platform takes 1.5 s to
 /// move one, and its worker has to start.
-const AHEAD: Duration = Duration::from_millis(2_000);
+const LEAD_TIME: Duration = Duration::from_millis(2_000);
 
 /// What a job takes up over its life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -58,41 +58,41 @@
 
 /// A part of the arrivals that ends now.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Segment {
     jobs: usize,
     span: Duration,
 }
 
 impl Arrivals {
-    /// Notes a job that came at `at` and is expected to bring `work`.
-    pub fn record(&mut self, at: Duration, work: JobUsage) {
+    /// Notes a job that came at `at` and is expected to bring `usage`.
+    pub fn record(&mut self, at: Duration, usage: JobUsage) {
         // Some were held up on their way and come after later ones.
         let later = self.recent.iter().rev().take_while(|known| known.0 > at);
         let place = self.recent.len() - later.count();
-        self.recent.insert(place, (at, work));
+        self.recent.insert(place, (at, usage));
     }
 
     /// What the pool's tasks will take up by the time a machine comes, if jobs go on
     /// coming as they do now.
     pub fn forecast(&mut self, now: Duration) -> Size {
-        self.forget(now);
-        let part = self.latest_part(now);
-        let segment_ms = millis(part.span);
-        let ahead_ms = millis(AHEAD);
+        self.remove_expired(now);
+        let segment = self.latest_segment(now);
+        let segment_ms = millis(segment.span);
+        let ahead_ms = millis(LEAD_TIME);
         let (mut cpu, mut memory) = (0.0, 0.0);
-        let mut add = |work: &JobUsage, share: f64| {
-            cpu += share * work.cpu_milli_ms;
-            memory += share * work.memory_mb_ms;
+        let mut add = |usage: &JobUsage, share: f64| {
+            cpu += share * usage.cpu_milli_ms;
+            memory += share * usage.memory_mb_ms;
         };
-        for (_, work) in self.recent.iter().rev().take(part.jobs) {
+        for (_, usage) in self.recent.iter().rev().take(segment.jobs) {
             // Of what comes until then, as much runs then as takes longer than that.
-            let share = (ahead_ms / work.duration_ms).min(1.0);
-            add(work, share / segment_ms);
+            let share = (ahead_ms / usage.duration_ms).min(1.0);
+            add(usage, share / segment_ms);
         }
-        for (at, work) in &self.recent {
+        for (at, usage) in &self.recent {
             let age_ms = millis(now.saturating_sub(*at));
-            if age_ms + ahead_ms < work.duration_ms {
-                add(work, 1.0 / work.duration_ms);
+            if age_ms + ahead_ms < usage.duration_ms {
+                add(usage, 1.0 / usage.duration_ms);
             }
         }
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -104,46 +104,46 @@
         }
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         while self
             .recent
-            .pop_front_if(|(at, _)| *at + MEMORY < now)
+            .pop_front_if(|(at, _)| *at + ARRIVAL_WINDOW < now)
             .is_some()
         {}
     }
 
     /// The part since the last change that chance does not explain.
-    fn latest_part(&self, now: Duration) -> Part {
-        let mut part = Part {
+    fn latest_segment(&self, now: Duration) -> Segment {
+        let mut segment = Segment {
             jobs: self.recent.len(),
-            span: MEMORY,
+            span: ARRIVAL_WINDOW,
         };
-        while let Some(later) = self.split(part, now) {
-            part = later;
+        while let Some(later) = self.split(segment, now) {
+            segment = later;
         }
-        part
+        segment
     }
 
     /// The later part of a split, where the two differ most.
-    fn split(&self, whole: Part, now: Duration) -> Option<Part> {
+    fn split(&self, whole: Segment, now: Duration) -> Option<Segment> {
         let mut most = 1.0;
         let mut found = None;
         for (after, (at, _)) in self.recent.iter().rev().take(whole.jobs).enumerate() {
             let since = now.saturating_sub(*at);
             // A rise begins with this job, a fall after it.
-            let rise = Part {
+            let rise = Segment {
                 jobs: after + 1,
-                span: since.max(shortest(after + 1)),
+                span: since.max(min_segment(after + 1)),
             };
-            let fall = Part {
+            let fall = Segment {
                 jobs: after,
                 span: since,
             };
             let significances = [(rise, rise.rise(whole)), (fall, fall.fall(whole))];
-            for (part, significance) in significances {
-                if part.span < whole.span && significance > most {
+            for (segment, significance) in significances {
+                if segment.span < whole.span && significance > most {
                     most = significance;
-                    found = Some(part);
+                    found = Some(segment);
                 }
             }
         }
@@ -152,11 +152,11 @@
 }
 
 /// The least time in which so many jobs count as a part of their own.
-fn shortest(jobs: usize) -> Duration {
+fn min_segment(jobs: usize) -> Duration {
     if jobs < MANY_JOBS {
-        SHORTEST
+        MIN_SEGMENT
     } else {
-        SHORTEST_OF_MANY
+        MIN_SEGMENT_MANY_JOBS
     }
 }
 
@@ -164,19 +164,19 @@
     span.as_secs_f64() * 1_000.0
 }
 
-impl Part {
+impl Segment {
     /// By how much more jobs this part has than the whole lets expect, as a
     /// share of what counts as a change.
-    fn rise(self, whole: Part) -> f64 {
-        if self.jobs < RISE_JOBS {
+    fn rise(self, whole: Segment) -> f64 {
+        if self.jobs < MIN_RISE_JOBS {
             return 0.0;
         }
         self.deviations(whole) / RISE_DEVIATIONS
     }
 
     /// The same for fewer.
-    fn fall(self, whole: Part) -> f64 {
-        if self.span < SHORTEST {
+    fn fall(self, whole: Segment) -> f64 {
+        if self.span < MIN_SEGMENT {
             return 0.0;
         }
         -self.deviations(whole) / FALL_DEVIATIONS
@@ -184,7 +184,7 @@
 
     /// By how many standard deviations this part's jobs exceed what the whole
     /// lets expect.
-    fn deviations(self, whole: Part) -> f64 {
+    fn deviations(self, whole: Segment) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let (jobs, all) = (self.jobs as f64, whole.jobs as f64);
         let expected = all * self.span.as_secs_f64() / whole.span.as_secs_f64();
--- a/crates/cleat-jobs/src/schedule/beat.rs
+++ b/crates/cleat-jobs/src/schedule/heartbeat.rs
@@ -6,24 +6,24 @@
 use crate::state::{Command, ControlState};
 
 impl Scheduler {
-    pub(super) fn beat(&mut self, state: &ControlState, beat: Heartbeat) {
-        let known = self.workers.key(&beat.record.name);
-        if known.is_none() && !names_pool(state, &beat.record.pool) {
+    pub(super) fn handle_heartbeat(&mut self, state: &ControlState, heartbeat: Heartbeat) {
+        let known = self.workers.key(&heartbeat.record.name);
+        if known.is_none() && !names_pool(state, &heartbeat.record.pool) {
             return;
         }
         let Heartbeat {
             record,
             draining,
             sequence,
-        } = beat;
+        } = heartbeat;
         let capacity = record.capacity;
         let key = known.unwrap_or_else(|| self.workers.add(record, self.now));
         let worker = &mut self.workers[key];
-        if sequence < worker.last_sequence {
+        if sequence < worker.last_heartbeat_sequence {
             return;
         }
-        worker.last_sequence = sequence;
-        worker.beat_at = self.now;
+        worker.last_heartbeat_sequence = sequence;
+        worker.heartbeat_at = self.now;
         let drains = draining || state.draining.contains(&worker.record.name);
         let changed = drains && !worker.draining;
         worker.draining |= drains;
@@ -32,22 +32,22 @@
             self.send_renewals();
         }
         if changed {
-            self.unsettle_pool_of(key);
+            self.mark_worker_pool_dirty(key);
         }
-        self.take_capacity(key, capacity, sequence);
+        self.update_capacity(key, capacity, sequence);
     }
 
     /// Takes over what a worker offers. The next owner has to know that it is less
     /// before its first start there, so it is committed.
-    fn take_capacity(&mut self, key: WorkerKey, capacity: Size, sequence: u64) {
+    fn update_capacity(&mut self, key: WorkerKey, capacity: Size, sequence: u64) {
         let worker = &mut self.workers[key];
         worker.record.history.sized_by = sequence;
-        let first_heard = !std::mem::replace(&mut worker.sized, true);
+        let first_heard = !std::mem::replace(&mut worker.capacity_known, true);
         let resized = worker.record.capacity != capacity;
         worker.record.capacity = capacity;
         if resized {
             let name = worker.record.name.clone();
-            self.tell_capacity(key);
+            self.log_capacity(key);
             self.propose(Command::Resized {
                 name,
                 capacity,
@@ -55,11 +55,11 @@
             });
         }
         if resized || first_heard {
-            self.unsettle_pool_of(key);
+            self.mark_worker_pool_dirty(key);
         }
     }
 
-    fn tell_capacity(&mut self, key: WorkerKey) {
+    fn log_capacity(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
         let decision = Decision::Resized {
             worker: worker.record.name.clone(),
@@ -67,14 +67,14 @@
             memory_mb: worker.record.capacity.memory_mb,
             used_cpu_milli: worker.used.cpu_milli,
         };
-        self.tell(decision);
+        self.log(decision);
     }
 
     /// A worker's word that it is about to end is in the replicated state.
-    pub(super) fn drain(&mut self, name: &str) {
+    pub(super) fn mark_draining(&mut self, name: &str) {
         if let Some(key) = self.workers.key(name) {
             self.workers[key].draining = true;
-            self.unsettle_pool_of(key);
+            self.mark_worker_pool_dirty(key);
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -18,35 +18,35 @@
 
 /// How many tasks under which one worker has crashed start on one worker at most, where
 /// none of them has to be alone.
-const MOST_TOGETHER: usize = 4;
+const MAX_SUSPECTS_PER_WORKER: usize = 4;
 /// One in so many of a pool's workers is emptied at most for tasks that have to start
 /// alone: other work goes on.
-const EMPTIED_ONE_IN: usize = 4;
+const WORKERS_PER_RESERVED_ONE: usize = 4;
 
 impl ActiveStep {
     /// Its tasks without a run under which workers have crashed.
-    pub(super) fn waiting_suspects(&self) -> impl Iterator<Item = (u32, Suspicion)> {
-        let suspects = self.suspects();
+    pub(super) fn pending_suspects(&self) -> impl Iterator<Item = (u32, Suspicion)> {
+        let suspects = self.suspect_tasks();
         suspects.filter(|(index, _)| self.pending.contains(index))
     }
 }
 
 impl Scheduler {
     /// Whether a worker has a task to itself that has to be alone.
-    pub(super) fn is_taken_alone(&self, key: WorkerKey) -> bool {
+    pub(super) fn is_isolated(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        worker.crashes > 0 && self.unsettled(key).any(|run| run.suspicion.alone)
+        worker.task_crashes > 0 && self.unproven_runs(key).any(|run| run.suspicion.alone)
     }
 
     /// Whether a worker keeps a task of a step apart from whatever else may crash it.
-    pub(super) fn isolates(&self, step: &ActiveStep, index: u32, key: WorkerKey) -> bool {
-        let is_open = !self.emptied.contains(&key) && !self.is_taken_alone(key);
+    pub(super) fn provides_isolation(&self, step: &ActiveStep, index: u32, key: WorkerKey) -> bool {
+        let is_open = !self.reserved_for_suspects.contains(&key) && !self.is_isolated(key);
         let suspicion = step.suspicion(index);
         if suspicion.alone {
-            return self.unsettled(key).next().is_none() && !self.workers[key].has_strays;
+            return self.unproven_runs(key).next().is_none() && !self.workers[key].has_strays;
         }
-        let is_suspect = suspicion.crashes > 0 && self.workers[key].crashes > 0;
-        is_open && (!is_suspect || self.suspects_at(key) < MOST_TOGETHER)
+        let is_suspect = suspicion.crashes > 0 && self.workers[key].task_crashes > 0;
+        is_open && (!is_suspect || self.suspect_count(key) < MAX_SUSPECTS_PER_WORKER)
     }
 
     /// Whether workers have crashed under a task of a step.
@@ -63,34 +63,34 @@
     }
 
     /// How many runs of a worker may crash it, of those under which others have crashed.
-    fn suspects_at(&self, key: WorkerKey) -> usize {
-        let runs = self.unsettled(key);
+    fn suspect_count(&self, key: WorkerKey) -> usize {
+        let runs = self.unproven_runs(key);
         runs.filter(|run| run.suspicion.crashes > 0).count()
     }
 
     /// The runs of a worker that may crash it.
-    fn unsettled(&self, key: WorkerKey) -> impl Iterator<Item = &Attempt> {
+    fn unproven_runs(&self, key: WorkerKey) -> impl Iterator<Item = &Attempt> {
         let tasks = self.workers[key].tasks.iter();
         let runs = tasks.filter_map(|task| self.attempts.get(task));
-        runs.filter(|run| run.holds_room() && !self.is_sound(run))
+        runs.filter(|run| run.uses_capacity() && !self.is_proven(run))
     }
 
     /// Notes which tasks of a step workers have crashed under.
-    pub(super) fn note_suspects(&mut self, state: &ControlState, id: StepId) {
+    pub(super) fn update_suspicions(&mut self, state: &ControlState, id: StepId) {
         let job = state.jobs.get(&id.job);
         let Some((step, job)) = self.steps.get_mut(&id).zip(job) else {
             return;
         };
-        step.suspect(job.suspicions(id, self.owner.ordinal));
-        if step.suspects().next().is_some() {
+        step.set_suspicions(job.suspicions(id, self.owner.ordinal));
+        if step.suspect_tasks().next().is_some() {
             self.suspect_steps.insert(id);
         }
     }
 
     /// Chooses the workers of a pool that nothing else starts on, so that tasks which
     /// have to start alone find a place: those with the least to wait for.
-    pub(super) fn empty_for_suspects(&mut self, state: &ControlState, candidates: &[WorkerKey]) {
-        self.emptied.clear();
+    pub(super) fn reserve_for_suspects(&mut self, state: &ControlState, candidates: &[WorkerKey]) {
+        self.reserved_for_suspects.clear();
         let steps = &self.steps;
         self.suspect_steps.retain(|id| steps.contains_key(id));
         let pool = candidates
@@ -102,22 +102,27 @@
         });
         let waiting: Vec<TaskId> = here
             .flat_map(|id| {
-                let suspects = self.steps[id].waiting_suspects();
+                let suspects = self.steps[id].pending_suspects();
                 let alone = suspects.filter(|(_, suspicion)| suspicion.alone);
                 alone.map(|(index, _)| id.task(index))
             })
             .collect();
-        let most = candidates.len().div_ceil(EMPTIED_ONE_IN);
-        let mut emptied = IndexSet::new();
+        let most = candidates.len().div_ceil(WORKERS_PER_RESERVED_ONE);
+        let mut reserved_for_suspects = IndexSet::new();
         for task in waiting.into_iter().take(most) {
-            emptied.extend(self.soonest_empty(state, task, candidates, &emptied));
+            reserved_for_suspects.extend(self.fewest_runs_to_wait_for(
+                state,
+                task,
+                candidates,
+                &reserved_for_suspects,
+            ));
         }
-        self.emptied = emptied;
+        self.reserved_for_suspects = reserved_for_suspects;
     }
 
     /// The worker with the fewest runs to wait for that has room for a task once they
     /// have ended.
-    fn soonest_empty(
+    fn fewest_runs_to_wait_for(
         &self,
         state: &ControlState,
         task: TaskId,
@@ -133,7 +138,7 @@
                 && label.is_none_or(|label| worker.has_label(label))
         };
         let suitable = candidates.iter().filter(suits);
-        let soonest = suitable.min_by_key(|key| (self.unsettled(**key).count(), **key));
+        let soonest = suitable.min_by_key(|key| (self.unproven_runs(**key).count(), **key));
         soonest.copied()
     }
 }
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -7,25 +7,25 @@
 mod account;
 mod advice;
 mod attempt;
-mod beat;
+mod commits;
 mod crashes;
 mod decision;
 mod durations;
 mod event;
 mod fleet;
 mod forecast;
+mod heartbeat;
 mod isolation;
-mod ledger;
 mod loss;
 mod orders;
-mod pace;
-mod place;
+mod placement;
 mod protections;
 mod ready;
 mod renewal;
 mod shares;
 mod step;
 mod takeover;
+mod throttle;
 mod tick;
 mod timing;
 mod worker;
@@ -55,11 +55,11 @@
 use attempt::Attempt;
 use crashes::CrashedMachines;
 use fleet::Machines;
-use pace::{Pace, Paced};
-use ready::Unsettled;
-use shares::Standing;
+use ready::DirtyPools;
+use shares::ShareStatus;
 use step::ActiveStep;
-use timing::{Objective, Times};
+use throttle::{Throttle, ThrottleTimes};
+use timing::{Objective, WorkloadStats};
 use worker::{WorkerKey, Workers};
 
 /// What an owner believes of a worker.
@@ -116,12 +116,12 @@
 impl SchedulerConfig {
     /// When a lease is over for certain that was granted at time 0, also on a
     /// slow clock.
-    pub(crate) fn lapse(&self) -> Duration {
-        self.stretched(self.lease)
+    pub(crate) fn max_lease_duration(&self) -> Duration {
+        self.max_real_duration(self.lease)
     }
 
     /// How long a duration of a worker's clock may take at most.
-    pub(crate) fn stretched(&self, span: Duration) -> Duration {
+    pub(crate) fn max_real_duration(&self, span: Duration) -> Duration {
         span * 100 / (100 - self.max_clock_drift_percent.min(99))
     }
 }
@@ -146,43 +146,43 @@
     strays: IndexMap<(WorkerKey, TaskId, Run), Stray>,
     accounts: Accounts,
     /// Whether an earlier owner's runs may still be unknown to this one.
-    hidden_runs: bool,
+    may_have_hidden_runs: bool,
     /// Jobs for which [`Command::Settled`] is on its way.
-    settling: IndexSet<JobId>,
+    settled_proposed: IndexSet<JobId>,
     /// Jobs that are not over.
-    live: IndexSet<JobId>,
+    active_jobs: IndexSet<JobId>,
     /// Jobs of which a worker said that a task has started. A start that is on
     /// its way or in doubt may never be carried out.
     ///
     /// Invariant: a subset of `live`.
-    begun: IndexSet<JobId>,
+    started_jobs: IndexSet<JobId>,
     /// How many starts each task has had from this owner, by job.
-    starts: IndexMap<JobId, IndexMap<TaskId, u32>>,
+    start_counts: IndexMap<JobId, IndexMap<TaskId, u32>>,
     /// Occurrences that are not due yet, with their time of day.
-    timed: IndexMap<(JobId, u32), u64>,
+    future_occurrences: IndexMap<(JobId, u32), u64>,
     /// Jobs that are over, oldest first, with the time since which they are.
-    over: VecDeque<(Duration, JobId)>,
+    ended_jobs: VecDeque<(Duration, JobId)>,
     machines: Machines,
     crashed_machines: CrashedMachines,
     /// The steps with tasks under which workers have crashed, and some that are over.
     suspect_steps: IndexSet<StepId>,
     /// The workers of the pool being looked at that are emptied for tasks which have to
     /// start alone.
-    emptied: IndexSet<WorkerKey>,
+    reserved_for_suspects: IndexSet<WorkerKey>,
     /// Until when each job that is not over should be done.
     objectives: IndexMap<JobId, Objective>,
     /// Where the jobs of customers stand that are not over and beyond a share.
-    standings: IndexMap<JobId, Standing>,
-    times: Times,
+    share_statuses: IndexMap<JobId, ShareStatus>,
+    workload: WorkloadStats,
     /// What the adviser said of each step that needs its permission.
     advice: IndexMap<StepId, StepAdvice>,
     /// How the filling tasks of each worker are paced.
-    paces: IndexMap<WorkerKey, Pace>,
-    paced: Paced,
+    throttles: IndexMap<WorkerKey, Throttle>,
+    throttle_sent_at: ThrottleTimes,
     /// When the balances of the pools were logged last.
-    balances_told: Duration,
+    balances_logged_at: Duration,
     /// Where something may have made room or work.
-    unsettled: Unsettled,
+    dirty_pools: DirtyPools,
     /// The steps of each pool that may have tasks without a place.
     ready: IndexMap<Box<str>, IndexSet<StepId>>,
     effects: Vec<Effect>,
@@ -212,29 +212,29 @@
             job_tasks: IndexMap::new(),
             strays: IndexMap::new(),
             accounts: Accounts::default(),
-            hidden_runs: true,
-            settling: IndexSet::new(),
-            live: IndexSet::new(),
-            begun: IndexSet::new(),
-            starts: IndexMap::new(),
-            timed: IndexMap::new(),
-            over: VecDeque::new(),
+            may_have_hidden_runs: true,
+            settled_proposed: IndexSet::new(),
+            active_jobs: IndexSet::new(),
+            started_jobs: IndexSet::new(),
+            start_counts: IndexMap::new(),
+            future_occurrences: IndexMap::new(),
+            ended_jobs: VecDeque::new(),
             machines: Machines::default(),
             crashed_machines: CrashedMachines::default(),
             suspect_steps: IndexSet::new(),
-            emptied: IndexSet::new(),
+            reserved_for_suspects: IndexSet::new(),
             objectives: IndexMap::new(),
-            standings: IndexMap::new(),
-            times: Times::default(),
+            share_statuses: IndexMap::new(),
+            workload: WorkloadStats::default(),
             advice: IndexMap::new(),
-            paces: IndexMap::new(),
-            paced: Paced::new(),
-            balances_told: now,
-            unsettled: Unsettled::All,
+            throttles: IndexMap::new(),
+            throttle_sent_at: ThrottleTimes::new(),
+            balances_logged_at: now,
+            dirty_pools: DirtyPools::All,
             ready: IndexMap::new(),
             effects: Vec::new(),
         };
-        scheduler.inherit(state);
+        scheduler.take_over_state(state);
         Some(scheduler)
     }
 
@@ -253,31 +253,31 @@
     ) -> Vec<Effect> {
         self.now = self.now.max(now);
         for event in events {
-            self.take(state, event);
+            self.handle_event(state, event);
         }
         self.settle_accounts(state);
-        self.place(state);
+        self.place_ready_steps(state);
         std::mem::take(&mut self.effects)
     }
 
-    fn take(&mut self, state: &ControlState, event: Event) {
+    fn handle_event(&mut self, state: &ControlState, event: Event) {
         match event {
             Event::Tick { wall_ms } => self.tick(state, wall_ms),
-            Event::Applied { command } => self.applied(state, &command),
-            Event::Heartbeat(beat) => self.beat(state, beat),
-            Event::Left { worker } => self.left(&worker),
+            Event::Applied { command } => self.handle_applied(state, &command),
+            Event::Heartbeat(heartbeat) => self.handle_heartbeat(state, heartbeat),
+            Event::Left { worker } => self.handle_worker_left(&worker),
             Event::RenewalAnswered {
                 worker,
                 sent_at,
                 acked,
                 answer,
-            } => self.renewal_answered(state, &worker, sent_at, acked, &answer),
+            } => self.handle_renewal_answer(state, &worker, sent_at, acked, &answer),
             Event::RenewalFailed { worker, other_life } => self.renewal_failed(&worker, other_life),
             Event::Ordered {
                 worker,
                 order,
                 answer,
-            } => self.ordered(state, &worker, &order, answer),
+            } => self.handle_order_answer(state, &worker, &order, answer),
             Event::MachinesListed { sent_at, machines } => self.machines_listed(sent_at, machines),
             Event::MachineOrdered {
                 machine,
@@ -289,21 +289,21 @@
                 sent_at,
                 asked,
                 good,
-            } => self.advised(state, step, sent_at, &asked, good),
-            Event::ProposalFailed { command } => self.proposal_failed(&command),
+            } => self.handle_advice(state, step, sent_at, &asked, good),
+            Event::ProposalFailed { command } => self.handle_proposal_failed(&command),
         }
     }
 
     /// Notes that a worker said that a task of the job has started.
-    fn note_begun(&mut self, id: JobId) {
-        if self.live.contains(&id) {
-            self.begun.insert(id);
+    fn record_job_started(&mut self, id: JobId) {
+        if self.active_jobs.contains(&id) {
+            self.started_jobs.insert(id);
         }
     }
 
     /// Whether a task of the job has started, as far as this owner knows.
     pub fn has_started(&self, id: JobId) -> bool {
-        self.begun.contains(&id)
+        self.started_jobs.contains(&id)
     }
 
     /// How many of a queue's jobs have no task that has started.
@@ -311,7 +311,7 @@
         let waits = |(id, job): &(&JobId, &crate::Job)| {
             *job.queue.host == *host
                 && *job.queue.prefix == *prefix
-                && !self.begun.contains(*id)
+                && !self.started_jobs.contains(*id)
                 && job.occurrences.is_empty()
         };
         state.jobs.iter().filter(waits).count()
@@ -321,7 +321,7 @@
     pub fn running_tasks(&self, id: JobId) -> usize {
         let tasks = self.job_tasks.get(&id).into_iter().flatten();
         let attempts = tasks.filter_map(|task| self.attempts.get(task));
-        attempts.filter(|attempt| attempt.holds_room()).count()
+        attempts.filter(|attempt| attempt.uses_capacity()).count()
     }
 
     /// All workers.
@@ -334,20 +334,20 @@
         })
     }
 
-    fn applied(&mut self, state: &ControlState, command: &Command) {
+    fn handle_applied(&mut self, state: &ControlState, command: &Command) {
         match command {
             Command::Submit { id, .. } => self.activate_job(state, *id),
-            Command::Cancel { id } => self.job_over(state, *id),
-            Command::Ends { .. } => self.ends_applied(state, command),
-            Command::AddWorker(record) => self.worker_recorded(&record.name),
-            Command::RemoveWorkers { names } => self.workers_removed(names),
-            Command::Draining { name } => self.drain(name),
-            Command::Crashed { runs } => self.crashes_applied(state, runs),
-            Command::Settled { ids } => self.settling.retain(|id| !ids.contains(id)),
+            Command::Cancel { id } => self.remove_ended_job(state, *id),
+            Command::Ends { .. } => self.handle_ends_applied(state, command),
+            Command::AddWorker(record) => self.handle_worker_recorded(&record.name),
+            Command::RemoveWorkers { names } => self.handle_workers_removed(names),
+            Command::Draining { name } => self.mark_draining(name),
+            Command::Crashed { runs } => self.handle_crashes_applied(state, runs),
+            Command::Settled { ids } => self.settled_proposed.retain(|id| !ids.contains(id)),
             Command::Configure(_)
             | Command::StartWave { .. }
             | Command::Maintained { .. }
-            | Command::LeftWave { .. } => self.unsettled = Unsettled::All,
+            | Command::LeftWave { .. } => self.dirty_pools = DirtyPools::All,
             Command::Found
             | Command::Resized { .. }
             | Command::TakeOver { .. }
@@ -361,7 +361,7 @@
         self.effects.push(Effect::Propose(command));
     }
 
-    fn tell(&mut self, decision: Decision) {
+    fn log(&mut self, decision: Decision) {
         self.effects.push(Effect::Log(decision));
     }
 
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -20,7 +20,7 @@
     /// Stops all runs of a job.
     pub(super) fn stop_job(&mut self, id: JobId) {
         let tasks = self.job_tasks.get(&id).cloned().unwrap_or_default();
-        let running = |task: &TaskId| self.attempts.get(task).is_some_and(Attempt::holds_room);
+        let running = |task: &TaskId| self.attempts.get(task).is_some_and(Attempt::uses_capacity);
         let tasks: Vec<TaskId> = tasks.into_iter().filter(running).collect();
         for task in tasks {
             self.stop(task, StopReason::JobOver);
@@ -40,7 +40,7 @@
                 Phase::InDoubt { stop_sent: now }
             }
             Phase::Running { .. } | Phase::Stopping { .. } => Phase::Stopping { stop_sent: now },
-            Phase::Closed { .. } | Phase::Ended => return,
+            Phase::StopAnswered { .. } | Phase::Ended => return,
         };
         attempt.phase = next;
         let (key, run) = (attempt.worker, attempt.run);
@@ -49,7 +49,7 @@
 
     pub(super) fn send_stop(&mut self, key: WorkerKey, task: TaskId, run: Run, reason: StopReason) {
         let worker = self.worker_name(key);
-        self.tell(Decision::Stop {
+        self.log(Decision::Stop {
             task: task.to_string().into(),
             run: run.0,
             worker,
@@ -70,7 +70,7 @@
     }
 
     /// Sends stops again that have no effect so far.
-    pub(super) fn repeat_stops(&mut self) {
+    pub(super) fn resend_stops(&mut self) {
         let due = |(task, attempt): (&TaskId, &Attempt)| {
             let sent = match attempt.phase {
                 Phase::InDoubt { stop_sent } | Phase::Stopping { stop_sent } => stop_sent,
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn ordered(
+    pub(super) fn handle_order_answer(
         &mut self,
         state: &ControlState,
         worker: &str,
@@ -106,7 +106,7 @@
                 if matches!(order.order, Order::Start { .. }) {
                     self.start_answered(state, key, order, answer);
                 }
-                return self.life_over(key, LifeOver::Replaced);
+                return self.end_life(key, LifeOver::Replaced);
             }
             OrderAnswer::Fenced => {
                 self.effects.push(Effect::Fenced {
@@ -140,35 +140,35 @@
             if attempt.phase == Phase::Starting {
                 attempt.phase = Phase::Running { known_at: now };
             }
-            return self.note_begun(order.task.job());
+            return self.record_job_started(order.task.job());
         }
-        let lasts = attempt.lasts;
+        let long_running = attempt.long_running;
         let worker = self.worker_name(key);
-        self.tell(Decision::StartFailed {
+        self.log(Decision::StartFailed {
             task: order.task.to_string().into(),
             run: order.run.0,
             worker,
             answer: answer.name(),
         });
         if !answer.rules_out_execution() && self.cfg.protections.stop_unanswered_starts {
-            if lasts {
-                return self.await_list(order.task);
+            if long_running {
+                return self.await_listing(order.task);
             }
             return self.stop(order.task, StopReason::InDoubt);
         }
         if matches!(answer, OrderAnswer::NoRoom | OrderAnswer::Unwell) {
-            self.workers[key].shunned_until = now + REFUSAL_PAUSE;
+            self.workers[key].starts_paused_until = now + REFUSAL_PAUSE;
         }
         if answer == OrderAnswer::NoTicket {
-            self.drop_ticket(order.task.step, key);
+            self.forget_ticket(order.task.step, key);
         }
-        self.withdraw(state, order.task);
+        self.withdraw_start(state, order.task);
     }
 
     /// Leaves a start without an answer to the next list of its worker. A stop
     /// would end a task at work, while more of its step may be away than it
     /// allows; such a task has no end to be late with.
-    fn await_list(&mut self, task: TaskId) {
+    fn await_listing(&mut self, task: TaskId) {
         let now = self.now;
         if let Some(attempt) = self.attempts.get_mut(&task)
             && attempt.phase == Phase::Starting
@@ -178,7 +178,7 @@
     }
 
     /// Takes back a start that certainly has no effect.
-    fn withdraw(&mut self, state: &ControlState, task: TaskId) {
+    fn withdraw_start(&mut self, state: &ControlState, task: TaskId) {
         let Some(attempt) = self.remove_attempt(task) else {
             return;
         };
@@ -195,7 +195,7 @@
         let this = attempt.worker == key && attempt.run == order.run;
         let settled = matches!(answer, OrderAnswer::Done | OrderAnswer::Old);
         if this && settled && matches!(attempt.phase, Phase::InDoubt { .. }) {
-            attempt.phase = Phase::Closed { at: now };
+            attempt.phase = Phase::StopAnswered { at: now };
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/place.rs
+++ b/crates/cleat-jobs/src/schedule/placement.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 
 use super::attempt::{Attempt, Phase};
-use super::event::{Order as Ordered, TaskOrder};
+use super::event::{Order, TaskOrder};
 use super::worker::{WorkerKey, millis};
 use super::{Decision, Scheduler};
 use crate::state::{ControlState, Job};
@@ -11,58 +11,58 @@
 
 /// How many run numbers each owner has for a task: an owner that lasts for a
 /// day and restarts a task each second stays below it.
-const RUNS_AN_OWNER: u64 = 1 << 20;
+const RUN_NUMBERS_PER_OWNER: u64 = 1 << 20;
 /// How many steps may find no place before a pass over a pool ends, so that
 /// room gathers for large tasks and a pass over a full pool is short.
-const MISFITS: usize = 12;
+const MAX_UNPLACED_STEPS: usize = 12;
 
 impl Scheduler {
     /// Starts what has a place, in the pools where something changed.
-    pub(super) fn place(&mut self, state: &ControlState) {
-        for pool in self.take_unsettled() {
-            self.place_pool(state, &pool);
+    pub(super) fn place_ready_steps(&mut self, state: &ControlState) {
+        for pool in self.take_dirty_pools() {
+            self.schedule_pool(state, &pool);
         }
     }
 
-    fn place_pool(&mut self, state: &ControlState, pool: &str) {
+    fn schedule_pool(&mut self, state: &ControlState, pool: &str) {
         let mut candidates = self.candidates(pool);
-        if !guards_capacity(state, pool) {
+        if !pool_enforces_capacity(state, pool) {
             // What was offered before may be more than there is by now.
-            candidates.retain(|key| self.workers[*key].sized);
+            candidates.retain(|key| self.workers[*key].capacity_known);
         }
         if candidates.is_empty() {
             return;
         }
-        self.empty_for_suspects(state, &candidates);
+        self.reserve_for_suspects(state, &candidates);
         // Placing tells nothing new of the workers.
         let unknown_until = self.unknown_until(pool);
-        let mut room = self.largest_room(&candidates);
+        let mut room = self.max_free_capacity(&candidates);
         let mut misfits = 0;
         for id in self.ready_steps(pool, room) {
             if !self.steps.get(&id).is_some_and(|step| step.may_fit(room)) {
                 misfits += 1;
             } else if self.place_step(state, id, &candidates, unknown_until) {
                 misfits += 1;
-                room = self.largest_room(&candidates);
+                room = self.max_free_capacity(&candidates);
             }
-            if misfits >= MISFITS {
+            if misfits >= MAX_UNPLACED_STEPS {
                 return;
             }
         }
     }
 
     /// The most of each resource that any of the workers has free.
-    fn largest_room(&self, keys: &[WorkerKey]) -> Size {
-        let rooms = keys.iter().map(|key| self.workers[*key].room());
+    fn max_free_capacity(&self, keys: &[WorkerKey]) -> Size {
+        let rooms = keys.iter().map(|key| self.workers[*key].free_capacity());
         rooms.fold(Size::default(), Size::max_of_each)
     }
 
     /// The workers of a pool that take work.
     pub(super) fn candidates(&self, pool: &str) -> Vec<WorkerKey> {
         let workers = self.workers.in_pool(pool);
-        let takes = workers.filter(|(_, worker)| worker.takes_work(self.now));
+        let takes = workers.filter(|(_, worker)| worker.accepts_work(self.now));
         let keys = takes.map(|(key, _)| key);
-        keys.filter(|key| !self.is_taken_alone(*key)).collect()
+        keys.filter(|key| !self.is_isolated(*key)).collect()
     }
 
     /// Starts tasks of a step as far as there is room; whether some are left.
@@ -109,10 +109,10 @@
             return self.place_gang(id, job, spec, &pending, keys);
         }
         for index in pending {
-            if !self.may_start(id, 1) {
+            if !self.is_within_cap(id, 1) {
                 return false;
             }
-            let Some(key) = self.choose(id, index, spec, keys) else {
+            let Some(key) = self.choose_worker(id, index, spec, keys) else {
                 if self.is_suspect_task(id, index) {
                     // It waits for a worker of its own; others fit beside each other.
                     continue;
@@ -131,7 +131,7 @@
     }
 
     /// Whether the step's customer may have so many tasks more running.
-    fn may_start(&mut self, id: StepId, count: u64) -> bool {
+    fn is_within_cap(&mut self, id: StepId, count: u64) -> bool {
         let Some(step) = self.steps.get(&id) else {
             return false;
         };
@@ -151,13 +151,13 @@
         pending: &[u32],
         keys: &[WorkerKey],
     ) -> bool {
-        if pending.len() < spec.count as usize || !self.may_start(id, pending.len() as u64) {
+        if pending.len() < spec.count as usize || !self.is_within_cap(id, pending.len() as u64) {
             return false;
         }
         let mut places = Vec::with_capacity(pending.len());
         let mut keys = keys.to_vec();
         for index in self.suspects_first(id, pending) {
-            let Some(key) = self.choose(id, index, spec, &keys) else {
+            let Some(key) = self.choose_worker(id, index, spec, &keys) else {
                 break;
             };
             if self.is_suspect_task(id, index) {
@@ -173,7 +173,7 @@
         for (_, key) in &places {
             self.workers[*key].used -= spec.footprint();
             if let Some(step) = self.steps.get_mut(&id) {
-                step.take_off(*key);
+                step.unassign(*key);
             }
         }
         if places.len() < pending.len() {
@@ -189,7 +189,7 @@
 
     /// The worker for a task: near its data, and with the least room to spare,
     /// so that large tasks find theirs.
-    pub(super) fn choose(
+    pub(super) fn choose_worker(
         &self,
         id: StepId,
         index: u32,
@@ -201,7 +201,7 @@
         let rack = self.preferred_rack(id, spec, keys);
         let rank = |key: &WorkerKey| {
             let worker = &self.workers[*key];
-            let room = worker.room();
+            let room = worker.free_capacity();
             let far = rack.is_some() && worker.record.rack.as_deref() != rack;
             let failed = step.failed_on.get(&index) == Some(key);
             let left = room.saturating_sub(footprint);
@@ -213,19 +213,27 @@
             };
             // Work that lasts gathers on few workers, and other work fills those
             // first, so that the rest fall idle and their machines can go.
-            let free_to_go = worker.lasting == 0;
-            let apart = self.apart(step, index, worker);
-            (failed, far, apart, free_to_go, cpu, left.memory_mb, *key)
+            let free_to_go = worker.long_running == 0;
+            let isolation = self.isolation_rank(step, index, worker);
+            (
+                failed,
+                far,
+                isolation,
+                free_to_go,
+                cpu,
+                left.memory_mb,
+                *key,
+            )
         };
         let fits = |key: &&WorkerKey| {
             let worker = &self.workers[**key];
             let label = spec.required_label.as_ref();
-            let apart = |most| step.placed.get(*key).is_none_or(|placed| *placed < most);
-            footprint.fits(worker.room())
-                && self.is_certain(step, index, worker)
-                && self.isolates(step, index, **key)
+            let has_slot = |most| step.placed.get(*key).is_none_or(|placed| *placed < most);
+            footprint.fits(worker.free_capacity())
+                && self.answered_recently(step, index, worker)
+                && self.provides_isolation(step, index, **key)
                 && label.is_none_or(|label| worker.has_label(label))
-                && spec.max_per_worker.is_none_or(apart)
+                && spec.max_per_worker.is_none_or(has_slot)
         };
         keys.iter()
             .filter(fits)
@@ -251,15 +259,15 @@
         if let Some(key) = taken.next() {
             return self.workers[key].record.rack.as_deref();
         }
-        self.roomiest_rack(keys)
+        self.rack_with_most_free_cpu(keys)
     }
 
-    fn roomiest_rack(&self, keys: &[WorkerKey]) -> Option<&str> {
+    fn rack_with_most_free_cpu(&self, keys: &[WorkerKey]) -> Option<&str> {
         let mut rooms: IndexMap<&str, u64> = IndexMap::new();
         for key in keys {
             let worker = &self.workers[*key];
             if let Some(rack) = worker.record.rack.as_deref() {
-                *rooms.entry(rack).or_default() += worker.room().cpu_milli;
+                *rooms.entry(rack).or_default() += worker.free_capacity().cpu_milli;
             }
         }
         rooms
@@ -270,46 +278,46 @@
 
     /// A number above all that the task has had, from this owner or another.
     fn next_run(&self, task: TaskId) -> Run {
-        let of_job = self.starts.get(&task.job());
+        let of_job = self.start_counts.get(&task.job());
         let started = of_job.and_then(|starts| starts.get(&task)).copied();
         let started = started.unwrap_or_default();
-        let base = u64::from(self.owner.ordinal) * RUNS_AN_OWNER;
+        let base = u64::from(self.owner.ordinal) * RUN_NUMBERS_PER_OWNER;
         Run(base + u64::from(started) + 1)
     }
 
     fn start(&mut self, task: TaskId, job: &Job, spec: &StepSpec, key: WorkerKey, run: Run) {
-        let base = u64::from(self.owner.ordinal) * RUNS_AN_OWNER;
+        let base = u64::from(self.owner.ordinal) * RUN_NUMBERS_PER_OWNER;
         let count = u32::try_from(run.0 - base).unwrap_or(u32::MAX);
         let footprint = spec.footprint();
         let checkpoint = self.checkpoint(task, job, spec);
-        let free = self.workers[key].room();
-        let Some(deadline_ms) = self.grant(key) else {
+        let free = self.workers[key].free_capacity();
+        let Some(deadline_ms) = self.extend_lease(key) else {
             return;
         };
-        let starts = self.starts.entry(task.job()).or_default();
+        let starts = self.start_counts.entry(task.job()).or_default();
         starts.insert(task, count);
         let Some(step) = self.steps.get_mut(&task.step) else {
             return;
         };
-        step.place(task.index, key);
+        step.assign(task.index, key);
         let charge = step.charge;
         let suspicion = step.suspicion(task.index);
-        let waited_ms = millis(self.now - step.since);
+        let waited_ms = millis(self.now - step.active_since);
         let attempt = Attempt {
             run,
             worker: key,
             phase: Phase::Starting,
             footprint,
             charge,
-            lasts: spec.long_running,
-            began: self.now,
-            at_work: false,
+            long_running: spec.long_running,
+            started_at: self.now,
+            at_full_speed: false,
             suspicion,
             checkpoint: checkpoint.clone(),
         };
         self.add_attempt(task, attempt);
-        self.tell_start(task, run, key, free, waited_ms, !checkpoint.is_empty());
-        let order = Ordered::Start {
+        self.log_start(task, run, key, free, waited_ms, !checkpoint.is_empty());
+        let order = Order::Start {
             spec: job.spec.clone(),
             checkpoint,
             deadline_ms,
@@ -318,7 +326,7 @@
         self.send_order(key, TaskOrder { task, run, order });
     }
 
-    fn tell_start(
+    fn log_start(
         &mut self,
         task: TaskId,
         run: Run,
@@ -328,7 +336,7 @@
         resumes: bool,
     ) {
         let worker = self.worker_name(key);
-        self.tell(Decision::Start {
+        self.log(Decision::Start {
             task: task.to_string().into(),
             run: run.0,
             worker,
@@ -339,11 +347,11 @@
     }
 
     /// Extends the worker's lease; gives its new end on the worker's clock.
-    fn grant(&mut self, key: WorkerKey) -> Option<u64> {
+    fn extend_lease(&mut self, key: WorkerKey) -> Option<u64> {
         let lease = millis(self.cfg.lease);
         let worker = &mut self.workers[key];
         let until = worker.clock_ms(self.now)? + lease;
-        worker.granted_ms = worker.granted_ms.max(until);
+        worker.max_lease_end_ms = worker.max_lease_end_ms.max(until);
         Some(until)
     }
 
@@ -365,7 +373,7 @@
 
 /// Whether the workers of a pool refuse what does not fit. A pool that no
 /// configuration names has no work.
-fn guards_capacity(state: &ControlState, pool: &str) -> bool {
+fn pool_enforces_capacity(state: &ControlState, pool: &str) -> bool {
     let pools = state.catalogue.as_ref().map(|catalogue| &catalogue.pools);
     let pool = pools.and_then(|pools| pools.get(pool));
     pool.is_none_or(|pool| pool.guards_capacity)
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -11,23 +11,23 @@
 use indexmap::IndexSet;
 
 use super::Scheduler;
-use super::shares::{SharePolicy, Standing};
-use super::step::{ActiveStep, Order};
-use super::timing::Prospect;
+use super::shares::{SharePolicy, ShareStatus};
+use super::step::{ActiveStep, StepOrder};
+use super::timing::Timeliness;
 use super::worker::WorkerKey;
 use crate::{Size, StepId};
 
 /// What a task takes beside its run: the call that starts it, the one that lists its
 /// end, and the commit of that. Without it a pool with more work than room starts
 /// each task just too late.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
+const DISPATCH_OVERHEAD: Duration = Duration::from_millis(50);
 
 /// Which step of a pool goes first; lower goes first.
-type Rank = (u32, (Standing, Prospect), Order);
+type Rank = (u32, (ShareStatus, Timeliness), StepOrder);
 
 /// The pools where something may have made room or work.
 #[derive(Clone, Debug)]
-pub(crate) enum Unsettled {
+pub(crate) enum DirtyPools {
     /// These.
     Pools(IndexSet<Box<str>>),
     /// All that have steps without a place.
@@ -37,37 +37,37 @@
 impl Scheduler {
     /// Notes that tasks of a step may wait for a place.
     pub(super) fn make_ready(&mut self, id: StepId, pool: Box<str>) {
-        self.unsettle(&pool);
+        self.mark_pool_dirty(&pool);
         self.ready.entry(pool).or_default().insert(id);
     }
 
-    pub(super) fn unsettle(&mut self, pool: &str) {
-        if let Unsettled::Pools(pools) = &mut self.unsettled
+    pub(super) fn mark_pool_dirty(&mut self, pool: &str) {
+        if let DirtyPools::Pools(pools) = &mut self.dirty_pools
             && !pools.contains(pool)
         {
             pools.insert(pool.into());
         }
     }
 
-    pub(super) fn unsettle_pool_of(&mut self, key: WorkerKey) {
+    pub(super) fn mark_worker_pool_dirty(&mut self, key: WorkerKey) {
         let pool = self.workers[key].record.pool.clone();
-        self.unsettle(&pool);
+        self.mark_pool_dirty(&pool);
     }
 
     /// The pools to look at now.
-    pub(super) fn take_unsettled(&mut self) -> Vec<Box<str>> {
-        let none = Unsettled::Pools(IndexSet::new());
-        match std::mem::replace(&mut self.unsettled, none) {
-            Unsettled::Pools(pools) => pools.into_iter().collect(),
-            Unsettled::All => self.ready.keys().cloned().collect(),
+    pub(super) fn take_dirty_pools(&mut self) -> Vec<Box<str>> {
+        let none = DirtyPools::Pools(IndexSet::new());
+        match std::mem::replace(&mut self.dirty_pools, none) {
+            DirtyPools::Pools(pools) => pools.into_iter().collect(),
+            DirtyPools::All => self.ready.keys().cloned().collect(),
         }
     }
 
     /// Whether a step is within its customer's share.
-    fn standing(&self, step: &ActiveStep) -> Standing {
+    fn share_status(&self, step: &ActiveStep) -> ShareStatus {
         match (self.cfg.share_policy, step.charge.customer) {
-            (SharePolicy::DeadlineFirst, _) | (_, None) => Standing::Within,
-            (SharePolicy::ArrivalRate, _) => step.standing,
+            (SharePolicy::DeadlineFirst, _) | (_, None) => ShareStatus::Within,
+            (SharePolicy::ArrivalRate, _) => step.share_status,
             (SharePolicy::ResourceUse, Some(customer)) => self.accounts.standing_by_room(customer),
         }
     }
@@ -87,24 +87,24 @@
         let mut ranked: Vec<Reverse<Rank>> = Vec::with_capacity(ids.len());
         let mut any = false;
         let mut capped = Vec::new();
-        let reckoned = self.now + ON_THE_WAY;
+        let dispatched_at = self.now + DISPATCH_OVERHEAD;
         ids.retain(|id| {
             let step = self.steps.get(id);
             let Some(step) = step.filter(|step| !step.pending.is_empty()) else {
                 return false;
             };
             let owned = step.charge.customer.is_some();
-            if owned && !self.accounts.allows(step.charge, step.least_together()) {
+            if owned && !self.accounts.allows(step.charge, step.min_start_count()) {
                 capped.push(*id);
                 return true;
             }
             any |= step.may_fit(room);
-            let standing = if owned {
-                self.standing(step)
+            let share_status = if owned {
+                self.share_status(step)
             } else {
-                Standing::Within
+                ShareStatus::Within
             };
-            let urgency = (standing, step.prospect(reckoned));
+            let urgency = (share_status, step.timeliness(dispatched_at));
             ranked.push(Reverse((step.order.priority, urgency, step.order)));
             true
         });
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -23,14 +23,14 @@
 /// How long the next renewal waits for the commit of ends at most. A commit
 /// takes a sync (6 ms on the platform's disks) and a round trip (2.8 ms); a
 /// renewal that comes later acknowledges them as well.
-const COMMIT_LIMIT: Duration = Duration::from_millis(100);
+const MAX_COMMIT_WAIT: Duration = Duration::from_millis(100);
 /// How long a renewal waits where work fills beside work that serves: the tails
 /// have to be looked at more often than ends come.
-const SHARING_WAIT: Duration = Duration::from_millis(300);
+const COLOCATED_WAIT: Duration = Duration::from_millis(300);
 
 /// The same while a stop has no answer: once it has, the next list is asked for
 /// this soon. Each costs a look at the worker.
-const DOUBT_WAIT: Duration = Duration::from_millis(100);
+const IN_DOUBT_WAIT: Duration = Duration::from_millis(100);
 
 impl Scheduler {
     /// Sends a renewal to each worker for which one is due.
@@ -46,27 +46,27 @@
     fn send_renewal(&mut self, key: WorkerKey) {
         let lease = millis(self.cfg.lease);
         let now = self.now;
-        let longest = self.longest_wait(key);
+        let longest = self.max_answer_wait(key);
         let worker = &mut self.workers[key];
-        let shares = worker.shares;
+        let colocated = worker.colocated;
         // The first call learns the clock, and the runs, at once.
         let blind = !self.cfg.protections.no_lease_when_silent;
         let known = worker.clock_ms(now).filter(|_| worker.answers() || blind);
         let deadline_ms = known.map(|clock| clock + lease);
         // An empty worker may move once its last ends are acknowledged for
         // certain; waiting for that answer would cost up to a second a move.
-        let empties = worker.tasks.is_empty() && worker.acked > worker.confirmed;
+        let empties = worker.tasks.is_empty() && worker.committed_ends > worker.acknowledged_ends;
         let wait = match deadline_ms {
             None => Duration::ZERO,
             Some(_) if empties => Duration::ZERO,
-            Some(_) if shares => SHARING_WAIT.min(longest),
+            Some(_) if colocated => COLOCATED_WAIT.min(longest),
             Some(_) => longest,
         };
-        worker.granted_ms = worker.granted_ms.max(deadline_ms.unwrap_or_default());
+        worker.max_lease_end_ms = worker.max_lease_end_ms.max(deadline_ms.unwrap_or_default());
         worker.renewing = true;
         let order = RenewalOrder {
             token: self.owner.token,
-            acked: worker.acked,
+            acked: worker.committed_ends,
             deadline_ms,
             wait,
         };
@@ -80,18 +80,18 @@
     /// How long a worker's answer may wait for an end, by what is not known of
     /// its runs. A start without an answer costs its job a list after that of its
     /// stop: two waits of up to a second each, more than most jobs have to spare.
-    fn longest_wait(&self, key: WorkerKey) -> Duration {
+    fn max_answer_wait(&self, key: WorkerKey) -> Duration {
         let phases = self.workers[key].tasks.iter();
         let phases = phases.filter_map(|task| Some(self.attempts.get(task)?.phase));
         let wait = |phase| match phase {
-            Phase::Closed { .. } | Phase::Unanswered { .. } => Duration::ZERO,
-            Phase::InDoubt { .. } => DOUBT_WAIT,
+            Phase::StopAnswered { .. } | Phase::Unanswered { .. } => Duration::ZERO,
+            Phase::InDoubt { .. } => IN_DOUBT_WAIT,
             _ => self.cfg.renewal_wait,
         };
         phases.map(wait).min().unwrap_or(self.cfg.renewal_wait)
     }
 
-    pub(super) fn renewal_answered(
+    pub(super) fn handle_renewal_answer(
         &mut self,
         state: &ControlState,
         worker: &str,
@@ -112,54 +112,54 @@
         if self.workers[key].state != WorkerState::Live {
             self.end_earlier_lives(key, sent_at);
         }
-        self.hear(key, answer.clock_ms);
+        self.record_answer(key, answer.clock_ms);
         self.record_use(state, key);
-        self.take_ends(state, key, &answer.ended);
+        self.handle_ends(state, key, &answer.ended);
         let listed: IndexSet<(TaskId, Run)> = answer
             .running
             .iter()
             .map(|listed| (listed.task, listed.run))
             .collect();
         for listed in &answer.running {
-            self.take_listed(state, key, listed);
+            self.reconcile_run(state, key, listed);
         }
-        self.pace(state, key, &answer.running);
+        self.adjust_throttle(state, key, &answer.running);
         if !answer.more_ended {
-            self.find_vanished(key, sent_at, &listed);
+            self.mark_vanished(key, sent_at, &listed);
         }
         self.release_strays(key, |task, run| listed.contains(&(task, run)));
         let has_strays = self.strays.keys().any(|(at, ..)| *at == key);
         let now = self.now;
         let worker = &mut self.workers[key];
         worker.has_strays = has_strays;
-        worker.listed_whole |= !answer.more_ended;
-        worker.confirmed = worker.confirmed.max(acked);
+        worker.fully_listed |= !answer.more_ended;
+        worker.acknowledged_ends = worker.acknowledged_ends.max(acked);
         worker.renewing = false;
         // The next renewal acknowledges what is being committed.
-        if worker.proposed > worker.acked {
-            worker.renewal_due = now + COMMIT_LIMIT;
+        if worker.proposed_ends > worker.committed_ends {
+            worker.renewal_due = now + MAX_COMMIT_WAIT;
         } else {
             self.send_renewal(key);
         }
     }
 
     /// Notes that a worker answered, with its clock.
-    fn hear(&mut self, key: WorkerKey, clock_ms: u64) {
+    fn record_answer(&mut self, key: WorkerKey, clock_ms: u64) {
         let now = self.now;
         let lease = millis(self.cfg.lease);
         let worker = &mut self.workers[key];
         if worker.state == WorkerState::Unseen {
             // An earlier owner can't have granted more than this.
-            worker.granted_ms = worker.granted_ms.max(clock_ms + lease);
+            worker.max_lease_end_ms = worker.max_lease_end_ms.max(clock_ms + lease);
         }
         worker.clock = Some(ClockReading {
             worker_ms: clock_ms,
             at: now,
         });
-        worker.heard_at = Some(now);
-        worker.doubted_since = None;
+        worker.answered_at = Some(now);
+        worker.unanswered_since = None;
         worker.lapsed_runs.clear();
-        self.believe(key, WorkerState::Live);
+        self.set_worker_state(key, WorkerState::Live);
     }
 
     /// Has it recorded that a worker is in use, before anything is started
@@ -167,22 +167,24 @@
     fn record_use(&mut self, state: &ControlState, key: WorkerKey) {
         let worker = &mut self.workers[key];
         let known = state.workers.contains_key(&worker.record.name);
-        worker.recorded |= known && !self.cfg.protections.record_use_before_start;
-        if worker.recorded || worker.recording {
+        worker.use_recorded |= known && !self.cfg.protections.record_use_before_start;
+        if worker.use_recorded || worker.use_proposed {
             return;
         }
-        worker.recording = true;
+        worker.use_proposed = true;
         let record = worker.record.clone();
         self.propose(Command::AddWorker(record));
     }
 
-    pub(super) fn believe(&mut self, key: WorkerKey, state: WorkerState) {
+    pub(super) fn set_worker_state(&mut self, key: WorkerKey, state: WorkerState) {
         let worker = &mut self.workers[key];
         if worker.state == state {
             return;
         }
         worker.state = state;
-        let silent = worker.heard_at.map_or(Duration::ZERO, |at| self.now - at);
+        let silent = worker
+            .answered_at
+            .map_or(Duration::ZERO, |at| self.now - at);
         let decision = Decision::Worker {
             worker: worker.record.name.clone(),
             pool: worker.record.pool.clone(),
@@ -190,19 +192,19 @@
             address: worker.record.address.clone(),
             state,
             silent_ms: millis(silent),
-            over: worker.over,
+            over: worker.life_over,
         };
-        self.tell(decision);
-        self.unsettle_pool_of(key);
+        self.log(decision);
+        self.mark_worker_pool_dirty(key);
     }
 
     /// Frees the room of what ended, and has new ends committed. The ends of
     /// a worker without a record would count for nothing; it lists them again.
-    fn take_ends(&mut self, state: &ControlState, key: WorkerKey, ended: &[TaskEnd]) {
+    fn handle_ends(&mut self, state: &ControlState, key: WorkerKey, ended: &[TaskEnd]) {
         if !state.workers.contains_key(&self.workers[key].record.name) {
             return;
         }
-        let proposed = self.workers[key].proposed;
+        let proposed = self.workers[key].proposed_ends;
         let ends: Vec<TaskEnd> = ended
             .iter()
             .filter(|end| end.number > proposed)
@@ -211,9 +213,9 @@
         let Some(last) = ends.last() else {
             return;
         };
-        self.workers[key].proposed = last.number;
+        self.workers[key].proposed_ends = last.number;
         for end in &ends {
-            self.take_end(state, key, end);
+            self.handle_end(state, key, end);
         }
         let worker = self.worker_name(key);
         self.propose(Command::Ends {
@@ -221,40 +223,40 @@
             after: proposed,
             ends,
         });
-        self.unsettle_pool_of(key);
+        self.mark_worker_pool_dirty(key);
     }
 
-    fn take_end(&mut self, state: &ControlState, key: WorkerKey, listed: &TaskEnd) {
+    fn handle_end(&mut self, state: &ControlState, key: WorkerKey, listed: &TaskEnd) {
         let end = &listed.end;
-        self.supersede(end.task, end.run);
+        self.drop_superseded(end.task, end.run);
         let Some(attempt) = self.attempts.get_mut(&end.task) else {
             return self.await_inherited_end(key, end);
         };
-        if !attempt.holds_room() && end.kind == EndKind::Done && end.run < attempt.run {
+        if !attempt.uses_capacity() && end.kind == EndKind::Done && end.run < attempt.run {
             // A run that was taken as lost had done the task before. That decides what
             // becomes of it, not the crash of the run after that is being committed.
             attempt.run = end.run;
         }
-        if attempt.worker != key || attempt.run != end.run || !attempt.holds_room() {
+        if attempt.worker != key || attempt.run != end.run || !attempt.uses_capacity() {
             return;
         }
         if !end.checkpoint.is_empty() {
             attempt.checkpoint = end.checkpoint.clone();
         }
-        let began = attempt.began;
+        let started_at = attempt.started_at;
         self.end_attempt(end.task);
-        self.note_begun(end.task.job());
+        self.record_job_started(end.task.job());
         let worker = self.worker_name(key);
-        self.tell(Decision::Ended {
+        self.log(Decision::Ended {
             task: end.task.to_string().into(),
             run: end.run.0,
             worker,
             kind: end.kind,
-            ran_ms: millis(self.now - began),
+            ran_ms: millis(self.now - started_at),
         });
         if end.kind == EndKind::Done {
-            self.workers[key].failed_jobs = 0;
-            self.observe_duration(state, end, self.now.saturating_sub(began));
+            self.workers[key].failure_streak = 0;
+            self.observe_duration(state, end, self.now.saturating_sub(started_at));
         }
     }
 
@@ -265,15 +267,15 @@
             return;
         };
         if let Some(spec) = job.step(end.task.step) {
-            self.times
+            self.workload
                 .observe_duration(&job.queue.name, spec.estimate_ms, ran);
         }
     }
 
     /// Compares a run that a worker lists with what is known of its task.
-    fn take_listed(&mut self, state: &ControlState, key: WorkerKey, listed: &RunningTask) {
+    fn reconcile_run(&mut self, state: &ControlState, key: WorkerKey, listed: &RunningTask) {
         let now = self.now;
-        self.supersede(listed.task, listed.run);
+        self.drop_superseded(listed.task, listed.run);
         if let Some(attempt) = self.attempts.get_mut(&listed.task)
             && attempt.worker == key
             && attempt.run == listed.run
@@ -281,11 +283,11 @@
             if !listed.checkpoint.is_empty() {
                 attempt.checkpoint = listed.checkpoint.clone();
             }
-            attempt.at_work = listed.percent >= 100;
+            attempt.at_full_speed = listed.percent >= 100;
             if matches!(attempt.phase, Phase::Starting | Phase::Unanswered { .. }) {
                 attempt.phase = Phase::Running { known_at: now };
             }
-            return self.note_begun(listed.task.job());
+            return self.record_job_started(listed.task.job());
         }
         if !self.adopt(state, key, listed) {
             self.stop_stray(state, key, listed.task, listed.run);
@@ -294,7 +296,7 @@
 
     /// Finds runs that a list does not name, though it was asked for after they
     /// were known, or should have begun.
-    fn find_vanished(
+    fn mark_vanished(
         &mut self,
         key: WorkerKey,
         sent_at: Duration,
@@ -306,7 +308,7 @@
             };
             let due = match attempt.phase {
                 Phase::Running { known_at } => known_at < sent_at,
-                Phase::Closed { at: since } | Phase::Unanswered { since } => since < sent_at,
+                Phase::StopAnswered { at: since } | Phase::Unanswered { since } => since < sent_at,
                 _ => false,
             };
             due && !listed.contains(&(**task, attempt.run))
@@ -319,7 +321,7 @@
                 // Its start may still be carried out.
                 self.stop(task, StopReason::InDoubt);
             } else {
-                self.lose(task, LossReason::Vanished);
+                self.mark_lost(task, LossReason::Vanished);
             }
         }
     }
@@ -329,13 +331,13 @@
             return;
         };
         if other_life {
-            return self.life_over(key, LifeOver::Replaced);
+            return self.end_life(key, LifeOver::Replaced);
         }
         let now = self.now;
         let worker = &mut self.workers[key];
         worker.renewing = false;
-        let first = worker.doubted_since.is_none();
-        worker.doubted_since.get_or_insert(now);
+        let first = worker.unanswered_since.is_none();
+        worker.unanswered_since.get_or_insert(now);
         worker.renewal_due = now
             + match worker.state {
                 WorkerState::Lapsed => LAPSED_RETRY,
--- a/crates/cleat-jobs/src/schedule/shares.rs
+++ b/crates/cleat-jobs/src/schedule/shares.rs
@@ -10,7 +10,7 @@
 
 /// The span in which the jobs of a customer are counted: a share is stated by the
 /// second.
-const SPAN: Duration = Duration::from_secs(1);
+const SHARE_WINDOW: Duration = Duration::from_secs(1);
 
 /// How a customer's share decides which of its steps go first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,32 +28,36 @@
 
 /// Whether work is within its customer's share; lower goes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Standing {
+pub(crate) enum ShareStatus {
     #[default]
     Within,
-    Beyond,
+    Exceeded,
 }
 
 /// The jobs that a customer sent lately within its share.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sent {
+pub(crate) struct RecentJobs {
     /// When they came, oldest first.
     times: VecDeque<Duration>,
 }
 
-impl Sent {
+impl RecentJobs {
     /// Takes a job that came at `at`; where it stands. Jobs beyond the share do not
     /// count, so that one who sends on and on keeps what it may count on.
-    pub(crate) fn take(&mut self, at: Duration, weight: f64) -> Standing {
-        while self.times.front().is_some_and(|first| *first + SPAN <= at) {
+    pub(crate) fn admit(&mut self, at: Duration, weight: f64) -> ShareStatus {
+        while self
+            .times
+            .front()
+            .is_some_and(|first| *first + SHARE_WINDOW <= at)
+        {
             self.times.pop_front();
         }
         #[allow(clippy::cast_precision_loss)]
         let sent = self.times.len() as f64;
         if sent + 1.0 > weight.max(1.0) {
-            return Standing::Beyond;
+            return ShareStatus::Exceeded;
         }
         self.times.push_back(at);
-        Standing::Within
+        ShareStatus::Within
     }
 }
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 use super::account::Charge;
-use super::shares::Standing;
-use super::timing::{Objective, Prospect};
+use super::shares::ShareStatus;
+use super::timing::{Objective, Timeliness};
 use super::worker::WorkerKey;
 use super::{Decision, Scheduler};
 use crate::state::{ControlState, Job, Suspicion};
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveStep {
     /// Where it stands in its pool's order; lower goes first.
-    pub(crate) order: Order,
+    pub(crate) order: StepOrder,
     /// From when on its job is worth nothing any more.
-    pub(crate) worthless_at: Duration,
+    pub(crate) zero_value_at: Duration,
     pub(crate) pool: Box<str>,
     /// Whether its starts need the adviser's permission.
     pub(crate) advised: bool,
@@ -28,26 +28,26 @@
     /// The tasks that are done by a run which was taken as lost before.
     pub(crate) done: BTreeSet<u32>,
     /// Since when it is active.
-    pub(crate) since: Duration,
+    pub(crate) active_since: Duration,
     /// The position in the log since which it waits for no other step. One that
     /// was ready before this owner's time may have been started by an earlier
     /// one, so that a task that no worker lists may still run on a worker that
     /// has not answered.
     pub(crate) ready_at: u64,
     /// How many workers it needs, by how many of its tasks may run on one.
-    pub(crate) least_workers: usize,
+    pub(crate) min_workers: usize,
     /// How many of its tasks may run on one worker, if that is limited.
-    pub(crate) most_on_one: Option<u32>,
+    pub(crate) max_per_worker: Option<u32>,
     /// What each of its tasks takes up.
     pub(crate) footprint: Size,
     /// What each of its tasks counts for.
     pub(crate) charge: Charge,
     /// Whether its job is within its customer's share.
-    pub(crate) standing: Standing,
+    pub(crate) share_status: ShareStatus,
     /// Whether its tasks start together or not at all.
     pub(crate) gang: bool,
     /// How long the longest chain from this step on takes, itself included.
-    pub(crate) left: Duration,
+    pub(crate) critical_path: Duration,
     /// How many of its tasks run on each worker.
     pub(crate) placed: IndexMap<WorkerKey, u32>,
     /// The worker on which a task failed last.
@@ -61,10 +61,10 @@
 /// Which step goes first, as far as it does not change with time: the more
 /// urgent, then the one that came first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Order {
+pub(crate) struct StepOrder {
     pub(crate) priority: u32,
     /// Steps that run until they are cancelled go before others.
-    pub(crate) ends: bool,
+    pub(crate) finite: bool,
     /// Until when its job should be done, and which came first.
     pub(crate) due: Duration,
     pub(crate) accepted_at: u64,
@@ -73,7 +73,7 @@
 
 impl ActiveStep {
     /// How many of its tasks start together at least.
-    pub(crate) fn least_together(&self) -> u64 {
+    pub(crate) fn min_start_count(&self) -> u64 {
         if self.gang {
             self.pending.len() as u64
         } else {
@@ -89,24 +89,24 @@
 
     /// How urgent it is by its time alone. A step that runs until it is
     /// cancelled has no end to be late with.
-    pub(crate) fn prospect(&self, now: Duration) -> Prospect {
-        let done = now + self.left;
-        if !self.order.ends || done <= self.order.due {
-            Prospect::InTime
-        } else if done <= self.worthless_at {
-            Prospect::Late
+    pub(crate) fn timeliness(&self, now: Duration) -> Timeliness {
+        let done = now + self.critical_path;
+        if !self.order.finite || done <= self.order.due {
+            Timeliness::InTime
+        } else if done <= self.zero_value_at {
+            Timeliness::Late
         } else {
-            Prospect::TooLate
+            Timeliness::TooLate
         }
     }
 
     /// Whether as many of its tasks as may be run on a worker.
     pub(crate) fn is_full_on(&self, worker: WorkerKey) -> bool {
         let placed = self.placed.get(&worker).copied().unwrap_or_default();
-        self.most_on_one.is_some_and(|most| placed >= most)
+        self.max_per_worker.is_some_and(|most| placed >= most)
     }
 
-    pub(crate) fn place(&mut self, index: u32, worker: WorkerKey) {
+    pub(crate) fn assign(&mut self, index: u32, worker: WorkerKey) {
         self.pending.remove(&index);
         *self.placed.entry(worker).or_default() += 1;
     }
@@ -117,18 +117,18 @@
     }
 
     /// The tasks under which workers crashed.
-    pub(crate) fn suspects(&self) -> impl Iterator<Item = (u32, Suspicion)> {
+    pub(crate) fn suspect_tasks(&self) -> impl Iterator<Item = (u32, Suspicion)> {
         let all = self.suspicions.iter();
         all.map(|(index, suspicion)| (*index, *suspicion))
     }
 
     /// Takes over what the replicated state says of crashes.
-    pub(crate) fn suspect(&mut self, tasks: impl Iterator<Item = (u32, Suspicion)>) {
+    pub(crate) fn set_suspicions(&mut self, tasks: impl Iterator<Item = (u32, Suspicion)>) {
         self.suspicions = tasks.collect();
     }
 
     /// Keeps a checkpoint; an empty one says nothing.
-    pub(crate) fn keep_checkpoint(&mut self, index: u32, checkpoint: Box<str>) {
+    pub(crate) fn store_checkpoint(&mut self, index: u32, checkpoint: Box<str>) {
         if !checkpoint.is_empty() {
             self.checkpoints.insert(index, checkpoint);
         }
@@ -138,7 +138,7 @@
         self.checkpoints.get(&index).map(|text| &**text)
     }
 
-    pub(crate) fn take_off(&mut self, worker: WorkerKey) {
+    pub(crate) fn unassign(&mut self, worker: WorkerKey) {
         if let Some(count) = self.placed.get_mut(&worker) {
             *count = count.saturating_sub(1);
         }
@@ -151,8 +151,8 @@
         let Some(job) = state.jobs.get(&id) else {
             return;
         };
-        self.live.insert(id);
-        self.meet_job(state, id, job);
+        self.active_jobs.insert(id);
+        self.register_job(state, id, job);
         for occurrence in 0..job.spec.occurrences() {
             if job.is_occurrence_done(occurrence) {
                 continue;
@@ -160,7 +160,7 @@
             match job.spec.repeat {
                 Some(repeat) if !self.is_due(repeat.due_ms(occurrence)) => {
                     let due_ms = repeat.due_ms(occurrence);
-                    self.timed.insert((id, occurrence), due_ms);
+                    self.future_occurrences.insert((id, occurrence), due_ms);
                 }
                 _ => self.activate_occurrence(state, id, job, occurrence),
             }
@@ -205,34 +205,41 @@
             !job.is_task_done(id, *index) && !self.attempts.contains_key(&id.task(*index))
         };
         let objective = self.objectives.get(&id.job).copied();
-        let Objective { due, worthless_at } = objective.unwrap_or(Objective {
+        let Objective { due, zero_value_at } = objective.unwrap_or(Objective {
             due: self.now,
-            worthless_at: self.now,
+            zero_value_at: self.now,
         });
-        let chain = self.times.chain(&job.queue.name, &job.spec);
-        let left = chain.get(usize::from(id.step)).copied().unwrap_or_default();
+        let critical_paths = self.workload.critical_paths(&job.queue.name, &job.spec);
+        let critical_path = critical_paths
+            .get(usize::from(id.step))
+            .copied()
+            .unwrap_or_default();
         let step = ActiveStep {
-            order: Order {
+            order: StepOrder {
                 priority: job.queue.priority,
-                ends: !spec.long_running,
+                finite: !spec.long_running,
                 due,
                 accepted_at: job.accepted_at,
                 step: id,
             },
-            worthless_at,
+            zero_value_at,
             pool: job.queue.pool.clone(),
             advised: job.queue.advice.is_some(),
             pending: (0..spec.count).filter(unstarted).collect(),
             done: BTreeSet::new(),
-            since: self.now,
+            active_since: self.now,
             ready_at: job.ready_at(id),
-            least_workers: spec.least_workers(),
-            most_on_one: spec.max_per_worker,
+            min_workers: spec.least_workers(),
+            max_per_worker: spec.max_per_worker,
             footprint: spec.footprint(),
             charge,
-            standing: self.standings.get(&id.job).copied().unwrap_or_default(),
+            share_status: self
+                .share_statuses
+                .get(&id.job)
+                .copied()
+                .unwrap_or_default(),
             gang: spec.gang,
-            left,
+            critical_path,
             placed: IndexMap::new(),
             failed_on: IndexMap::new(),
             suspicions: IndexMap::new(),
@@ -240,30 +247,30 @@
         };
         self.make_ready(id, step.pool.clone());
         self.steps.insert(id, step);
-        self.note_suspects(state, id);
+        self.update_suspicions(state, id);
     }
 
     /// Takes a job that is over out of everything; its runs are stopped.
-    pub(super) fn job_over(&mut self, state: &ControlState, id: JobId) {
+    pub(super) fn remove_ended_job(&mut self, state: &ControlState, id: JobId) {
         let Some(ended) = state.ended.get(&id) else {
             return;
         };
-        if !self.live.swap_remove(&id) {
+        if !self.active_jobs.swap_remove(&id) {
             return;
         }
-        self.over.push_back((self.now, id));
-        self.tell(Decision::JobOver {
+        self.ended_jobs.push_back((self.now, id));
+        self.log(Decision::JobOver {
             job: id.to_string().into(),
             state: ended.state,
         });
         self.steps.retain(|step, _| step.job != id);
-        self.timed.retain(|(job, _), _| *job != id);
+        self.future_occurrences.retain(|(job, _), _| *job != id);
         self.advice.retain(|step, _| step.job != id);
-        self.paced.retain(|task, _| task.job() != id);
-        self.starts.swap_remove(&id);
-        self.begun.swap_remove(&id);
+        self.throttle_sent_at.retain(|task, _| task.job() != id);
+        self.start_counts.swap_remove(&id);
+        self.started_jobs.swap_remove(&id);
         self.objectives.swap_remove(&id);
-        self.standings.swap_remove(&id);
+        self.share_statuses.swap_remove(&id);
         self.stop_job(id);
     }
 }
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -14,7 +14,7 @@
 use crate::{Run, Size, TaskId};
 
 impl Scheduler {
-    pub(super) fn inherit(&mut self, state: &ControlState) {
+    pub(super) fn take_over_state(&mut self, state: &ControlState) {
         for record in state.workers.values() {
             let key = self.workers.add(record.clone(), self.now);
             self.workers[key].draining = state.draining.contains(&record.name);
@@ -22,11 +22,11 @@
         for (id, job) in &state.jobs {
             self.activate_job(state, *id);
             if !job.occurrences.is_empty() {
-                self.note_begun(*id);
+                self.record_job_started(*id);
             }
         }
         let over = state.ended.keys().map(|id| (self.now, *id));
-        self.over.extend(over);
+        self.ended_jobs.extend(over);
         self.send_renewals();
     }
 
@@ -43,7 +43,7 @@
             return None;
         }
         let workers = self.workers.in_pool(pool);
-        let unknown = workers.filter(|(_, worker)| !worker.is_known());
+        let unknown = workers.filter(|(_, worker)| !worker.runs_are_known());
         let until = unknown.map(|(_, worker)| worker.record.history.silent_at);
         let latest = until.map(|silent_at| silent_at.unwrap_or(u64::MAX)).max();
         latest.map(|until| until.min(self.owner.token))
@@ -59,17 +59,17 @@
         if !waits || !step.pending.contains(&end.task.index) {
             return;
         }
-        step.place(end.task.index, key);
-        self.note_begun(end.task.job());
+        step.assign(end.task.index, key);
+        self.record_job_started(end.task.job());
         let attempt = Attempt {
             run: end.run,
             worker: key,
             phase: Phase::Ended,
             footprint: Size::default(),
             charge: Charge::default(),
-            lasts: false,
-            began: self.now,
-            at_work: false,
+            long_running: false,
+            started_at: self.now,
+            at_full_speed: false,
             suspicion: Suspicion::default(),
             checkpoint: end.checkpoint.clone(),
         };
@@ -80,7 +80,7 @@
     /// is listed: the earlier owner started it since, so the earlier end decides
     /// nothing. Without it a worker that comes back after its lease would make
     /// the sound runs that replaced its own look like strays.
-    pub(super) fn supersede(&mut self, task: TaskId, run: Run) {
+    pub(super) fn drop_superseded(&mut self, task: TaskId, run: Run) {
         let known = self.attempts.get(&task);
         let earlier = known.is_some_and(|known| known.phase == Phase::Ended && known.run < run);
         if earlier && let Some(attempt) = self.remove_attempt(task) {
@@ -107,7 +107,7 @@
         let Some(step) = self.steps.get_mut(&task.step) else {
             return false;
         };
-        step.place(task.index, key);
+        step.assign(task.index, key);
         let charge = step.charge;
         let suspicion = step.suspicion(task.index);
         let footprint = spec.footprint();
@@ -117,16 +117,16 @@
             phase: Phase::Running { known_at: self.now },
             footprint,
             charge,
-            lasts: spec.long_running,
-            began: self.now,
-            at_work: listed.percent >= 100,
+            long_running: spec.long_running,
+            started_at: self.now,
+            at_full_speed: listed.percent >= 100,
             suspicion,
             checkpoint: listed.checkpoint.clone(),
         };
-        self.note_begun(task.job());
+        self.record_job_started(task.job());
         self.add_attempt(task, attempt);
         let worker = self.worker_name(key);
-        self.tell(Decision::Adopted {
+        self.log(Decision::Adopted {
             task: task.to_string().into(),
             run: listed.run.0,
             worker,
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -6,20 +6,20 @@
 
 use super::durations::DurationModel;
 use super::forecast::{Arrivals, JobUsage};
-use super::shares::Standing;
+use super::shares::ShareStatus;
 use super::worker::millis;
 use super::{Decision, Scheduler};
 use crate::state::{ControlState, Job};
 use crate::{JobId, JobSpec, Queue, Size, StepSpec};
 
 /// How many times its objective a job may take and still be worth something.
-const WORTHLESS_AFTER: u32 = 3;
+const ZERO_VALUE_AFTER: u32 = 3;
 /// The weight of one job in the mean work of its queue: some 30 jobs make it.
-const WORK_WEIGHT: f64 = 0.03;
+const MIN_USAGE_WEIGHT: f64 = 0.03;
 
 /// How urgent a job is by its time alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Prospect {
+pub(crate) enum Timeliness {
     /// It can be done within its objective.
     InTime,
     /// It will be late, and is worth little.
@@ -35,7 +35,7 @@
     /// due since then.
     pub(crate) due: Duration,
     /// From then on it is worth nothing.
-    pub(crate) worthless_at: Duration,
+    pub(crate) zero_value_at: Duration,
 }
 
 impl Objective {
@@ -44,54 +44,54 @@
         let left = |span: Duration| now + span.saturating_sub(age);
         Objective {
             due: left(span),
-            worthless_at: left(span * WORTHLESS_AFTER),
+            zero_value_at: left(span * ZERO_VALUE_AFTER),
         }
     }
 }
 
 /// What was learned of a queue.
 #[derive(Clone, Copy, Debug, Default)]
-struct QueueTimes {
+struct QueueStats {
     durations: DurationModel,
     /// What its jobs take up on average, and how many made that.
-    work: JobUsage,
+    usage: JobUsage,
     jobs: u32,
 }
 
-impl QueueTimes {
+impl QueueStats {
     /// Takes a job into the mean work.
-    fn note_work(&mut self, work: JobUsage) {
+    fn record_usage(&mut self, usage: JobUsage) {
         self.jobs = self.jobs.saturating_add(1);
-        let weight = WORK_WEIGHT.max(1.0 / f64::from(self.jobs));
-        self.work.cpu_milli_ms += weight * (work.cpu_milli_ms - self.work.cpu_milli_ms);
-        self.work.memory_mb_ms += weight * (work.memory_mb_ms - self.work.memory_mb_ms);
-        self.work.duration_ms += weight * (work.duration_ms - self.work.duration_ms);
+        let weight = MIN_USAGE_WEIGHT.max(1.0 / f64::from(self.jobs));
+        self.usage.cpu_milli_ms += weight * (usage.cpu_milli_ms - self.usage.cpu_milli_ms);
+        self.usage.memory_mb_ms += weight * (usage.memory_mb_ms - self.usage.memory_mb_ms);
+        self.usage.duration_ms += weight * (usage.duration_ms - self.usage.duration_ms);
     }
 }
 
 /// What is learned of queues and pools.
 #[derive(Debug, Default)]
-pub(crate) struct Times {
-    queues: IndexMap<Box<str>, QueueTimes>,
+pub(crate) struct WorkloadStats {
+    queues: IndexMap<Box<str>, QueueStats>,
     arrivals: IndexMap<Box<str>, Arrivals>,
 }
 
-impl Times {
+impl WorkloadStats {
     /// Takes a task that was done into account.
     pub(crate) fn observe_duration(&mut self, queue: &str, estimate_ms: u64, ran: Duration) {
-        let times = self.queues.entry(queue.into()).or_default();
-        times.durations.observe(estimate_ms, ran);
+        let stats = self.queues.entry(queue.into()).or_default();
+        stats.durations.observe(estimate_ms, ran);
     }
 
     /// How long a task of this estimate takes in a queue.
     pub(crate) fn expected_duration(&self, queue: &str, estimate_ms: u64) -> Duration {
-        let times = self.queues.get(queue).copied().unwrap_or_default();
-        times.durations.expected(estimate_ms)
+        let stats = self.queues.get(queue).copied().unwrap_or_default();
+        stats.durations.expected(estimate_ms)
     }
 
     /// How long the longest chain of a job's steps takes from each step on,
     /// the step included.
-    pub(crate) fn chain(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
+    pub(crate) fn critical_paths(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
         let mut from = vec![Duration::ZERO; spec.steps.len()];
         for at in (0..spec.steps.len()).rev() {
             let after = spec.steps.iter().enumerate().skip(at + 1);
@@ -106,22 +106,22 @@
     }
 
     /// Notes a job that came for a pool, whose longest chain takes `span`.
-    fn arrive(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
+    fn record_arrival(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
         let ends = spec.steps.iter().filter(|step| !step.long_running);
-        let work = ends.fold(JobUsage::default(), |sum, step| {
+        let usage = ends.fold(JobUsage::default(), |sum, step| {
             let took = self.expected_duration(&queue.name, step.estimate_ms);
-            add_step(sum, step, took)
+            add_step_usage(sum, step, took)
         });
-        if work == JobUsage::default() {
+        if usage == JobUsage::default() {
             return;
         }
-        let work = JobUsage {
+        let usage = JobUsage {
             duration_ms: span.as_secs_f64() * 1_000.0,
-            ..work
+            ..usage
         };
-        let times = self.queues.entry(queue.name.clone()).or_default();
-        times.note_work(work);
-        let mean = times.work;
+        let stats = self.queues.entry(queue.name.clone()).or_default();
+        stats.record_usage(usage);
+        let mean = stats.usage;
         let arrivals = self.arrivals.entry(queue.pool.clone()).or_default();
         arrivals.record(at, mean);
     }
@@ -134,7 +134,7 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn add_step(sum: JobUsage, step: &StepSpec, took: Duration) -> JobUsage {
+fn add_step_usage(sum: JobUsage, step: &StepSpec, took: Duration) -> JobUsage {
     let ms = took.as_secs_f64() * 1_000.0 * f64::from(step.count);
     let size = step.footprint();
     JobUsage {
@@ -146,29 +146,30 @@
 
 impl Scheduler {
     /// Notes when a job came and until when it should be done.
-    pub(super) fn meet_job(&mut self, state: &ControlState, id: JobId, job: &Job) {
+    pub(super) fn register_job(&mut self, state: &ControlState, id: JobId, job: &Job) {
         let queue = &job.queue;
-        let chain = self.times.chain(&queue.name, &job.spec);
-        let longest = chain.into_iter().max().unwrap_or_default();
+        let critical_paths = self.workload.critical_paths(&queue.name, &job.spec);
+        let longest = critical_paths.into_iter().max().unwrap_or_default();
         let latency = Duration::from_millis(queue.target_latency_ms);
         let span = longest.mul_f64(queue.stretch.max(1.0)) + latency;
         let age = self.age(job);
         let objective = Objective::new(self.now, age, span);
         self.objectives.insert(id, objective);
-        self.tell_accepted(id, job, span);
+        self.log_accepted(id, job, span);
         let came = self.now.saturating_sub(age);
-        self.times.arrive(queue, &job.spec, came, longest);
-        self.note_standing(state, id, job, came);
+        self.workload
+            .record_arrival(queue, &job.spec, came, longest);
+        self.record_share_status(state, id, job, came);
     }
 
     /// Notes whether the job is beyond its customer's share.
-    fn note_standing(&mut self, state: &ControlState, id: JobId, job: &Job, came: Duration) {
+    fn record_share_status(&mut self, state: &ControlState, id: JobId, job: &Job, came: Duration) {
         let Some(name) = job.customer.as_deref() else {
             return;
         };
         let key = self.accounts.open(name, state.catalogue.as_deref());
-        if self.accounts.take_job(key, came) == Standing::Beyond {
-            self.standings.insert(id, Standing::Beyond);
+        if self.accounts.take_job(key, came) == ShareStatus::Exceeded {
+            self.share_statuses.insert(id, ShareStatus::Exceeded);
         }
     }
 
@@ -181,9 +182,9 @@
         Duration::from_millis(if known { ms } else { 0 })
     }
 
-    fn tell_accepted(&mut self, id: JobId, job: &Job, span: Duration) {
+    fn log_accepted(&mut self, id: JobId, job: &Job, span: Duration) {
         let (queue, steps) = (&job.queue, &job.spec.steps);
-        self.tell(Decision::Accepted {
+        self.log(Decision::Accepted {
             job: id.to_string().into(),
             queue: queue.name.clone(),
             customer: job.customer.clone(),
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -47,60 +47,60 @@
     /// How it is known that its life is over.
     ///
     /// Invariant: none unless the state is `Gone`.
-    pub(crate) over: Option<LifeOver>,
+    pub(crate) life_over: Option<LifeOver>,
     /// Whether it said that it is about to end. It does not take that back: what
     /// says otherwise was held up on its way.
     pub(crate) draining: bool,
     /// The latest heartbeat that was taken, by this owner or an earlier one.
-    pub(crate) last_sequence: u64,
+    pub(crate) last_heartbeat_sequence: u64,
     /// Whether a heartbeat told its capacity since it last answered nothing, or since
     /// this owner took over.
-    pub(crate) sized: bool,
+    pub(crate) capacity_known: bool,
     pub(crate) clock: Option<ClockReading>,
     /// The latest end of its lease that was ever sent, on its own clock.
-    pub(crate) granted_ms: u64,
+    pub(crate) max_lease_end_ms: u64,
     /// When it last answered.
-    pub(crate) heard_at: Option<Duration>,
+    pub(crate) answered_at: Option<Duration>,
     /// When its last heartbeat came, or this owner first knew of it.
-    pub(crate) beat_at: Duration,
+    pub(crate) heartbeat_at: Duration,
     /// Since when it leaves renewals unanswered. Meanwhile its lease is not
     /// extended, since calls without an answer may arrive all the same and
     /// would put off the moment at which its lease is over for certain.
-    pub(crate) doubted_since: Option<Duration>,
+    pub(crate) unanswered_since: Option<Duration>,
     /// Whether a renewal is under way.
     pub(crate) renewing: bool,
     /// When the next renewal is due while none is under way.
     pub(crate) renewal_due: Duration,
     /// Ends up to this number were proposed.
-    pub(crate) proposed: u64,
+    pub(crate) proposed_ends: u64,
     /// Ends up to this number are in the replicated state.
-    pub(crate) acked: u64,
+    pub(crate) committed_ends: u64,
     /// The last renewal that was answered acknowledged ends up to this number.
-    pub(crate) confirmed: u64,
+    pub(crate) acknowledged_ends: u64,
     /// Whether nothing is started here, since its machine is to go elsewhere.
     pub(crate) cordoned: bool,
     /// How many of its runs go on until they are cancelled.
     ///
     /// Invariant: at most as many as `tasks`.
-    pub(crate) lasting: usize,
+    pub(crate) long_running: usize,
     /// How many workers have crashed under its tasks, added up.
-    pub(crate) crashes: usize,
+    pub(crate) task_crashes: usize,
     /// What it had when its lease ran out, until it answers again.
     pub(crate) lapsed_runs: Vec<CrashedRun>,
     /// Whether work fills there beside work that serves.
-    pub(crate) shares: bool,
+    pub(crate) colocated: bool,
     /// Whether the replicated state says that something may run here, and
     /// nothing to the contrary is on its way.
-    pub(crate) recorded: bool,
+    pub(crate) use_recorded: bool,
     /// Whether the record of its use was proposed and is not applied yet.
-    pub(crate) recording: bool,
+    pub(crate) use_proposed: bool,
     /// Since when this owner has known of it.
     pub(crate) known_since: Duration,
     /// When the first of the lists of machines was asked for that, without a
     /// break, say that it is not on its machine.
     pub(crate) absent_since: Option<Duration>,
     /// Whether it has listed all its runs and ends to this owner.
-    pub(crate) listed_whole: bool,
+    pub(crate) fully_listed: bool,
     /// Whether it lists runs that should not be there.
     pub(crate) has_strays: bool,
     /// The tasks of the runs that it is known to have, those included whose
@@ -113,55 +113,55 @@
     /// Invariant: the sum of the footprints of its strays.
     pub(crate) used_by_strays: Size,
     /// How many jobs in a row have failed here for the first time.
-    pub(crate) failed_jobs: u32,
+    pub(crate) failure_streak: u32,
     /// Until when nothing is started here, since it failed too much.
-    pub(crate) shunned_until: Duration,
+    pub(crate) starts_paused_until: Duration,
 }
 
 impl Worker {
     fn new(record: WorkerRecord, now: Duration) -> Worker {
         Worker {
-            acked: record.history.noted,
-            proposed: record.history.noted,
-            confirmed: record.history.noted,
-            recorded: record.history.may_run && record.history.silent_at.is_none(),
-            recording: false,
+            committed_ends: record.history.noted,
+            proposed_ends: record.history.noted,
+            acknowledged_ends: record.history.noted,
+            use_recorded: record.history.may_run && record.history.silent_at.is_none(),
+            use_proposed: false,
             known_since: now,
             cordoned: false,
             has_strays: false,
             absent_since: None,
-            listed_whole: false,
-            lasting: 0,
-            crashes: 0,
+            fully_listed: false,
+            long_running: 0,
+            task_crashes: 0,
             lapsed_runs: Vec::new(),
-            shares: false,
+            colocated: false,
             tasks: IndexSet::new(),
             state: if record.history.may_run {
                 WorkerState::Unseen
             } else {
                 WorkerState::Lapsed
             },
-            last_sequence: record.history.sized_by,
-            sized: false,
+            last_heartbeat_sequence: record.history.sized_by,
+            capacity_known: false,
             record,
-            over: None,
+            life_over: None,
             draining: false,
             clock: None,
-            granted_ms: 0,
-            heard_at: None,
-            beat_at: now,
-            doubted_since: None,
+            max_lease_end_ms: 0,
+            answered_at: None,
+            heartbeat_at: now,
+            unanswered_since: None,
             renewing: false,
             renewal_due: now,
             used: Size::default(),
             used_by_strays: Size::default(),
-            failed_jobs: 0,
-            shunned_until: Duration::ZERO,
+            failure_streak: 0,
+            starts_paused_until: Duration::ZERO,
         }
     }
 
     /// What is free.
-    pub(crate) fn room(&self) -> Size {
+    pub(crate) fn free_capacity(&self) -> Size {
         let used = self.used + self.used_by_strays;
         self.record.capacity.saturating_sub(used)
     }
@@ -172,26 +172,26 @@
 
     /// Whether it answers, as far as is known.
     pub(crate) fn answers(&self) -> bool {
-        self.state == WorkerState::Live && self.doubted_since.is_none()
+        self.state == WorkerState::Live && self.unanswered_since.is_none()
     }
 
     /// Whether work may be started here.
-    pub(crate) fn takes_work(&self, now: Duration) -> bool {
+    pub(crate) fn accepts_work(&self, now: Duration) -> bool {
         let stays = !self.draining && !self.cordoned;
-        self.answers() && self.recorded && stays && now >= self.shunned_until
+        self.answers() && self.use_recorded && stays && now >= self.starts_paused_until
     }
 
     /// Whether it may run something and does not answer.
-    pub(crate) fn is_out_of_reach(&self) -> bool {
+    pub(crate) fn is_unreachable(&self) -> bool {
         matches!(self.state, WorkerState::Unseen | WorkerState::Silent)
     }
 
     /// Whether nothing that an earlier owner started here can be unknown: it
     /// listed all of it, or its lease is over.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn runs_are_known(&self) -> bool {
         match self.state {
             WorkerState::Unseen => false,
-            WorkerState::Live | WorkerState::Silent => self.listed_whole,
+            WorkerState::Live | WorkerState::Silent => self.fully_listed,
             WorkerState::Lapsed | WorkerState::Gone => true,
         }
     }
@@ -204,12 +204,12 @@
     }
 
     /// Whether its clock shows, for certain, that its lease is over.
-    pub(crate) fn is_lapsed(&self, now: Duration, drift_percent: u32) -> bool {
+    pub(crate) fn is_lease_expired(&self, now: Duration, drift_percent: u32) -> bool {
         let Some(reading) = self.clock else {
             return false;
         };
         let since = now.saturating_sub(reading.at) * (100 - drift_percent.min(99)) / 100;
-        reading.worker_ms.saturating_add(millis(since)) > self.granted_ms
+        reading.worker_ms.saturating_add(millis(since)) > self.max_lease_end_ms
     }
 }
 
