--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -106,12 +106,12 @@
         let adviser = self.adviser.clone();
         Box::pin(async move {
             let sent_at = boot_time();
-            let good = adviser.advise(step, &asked).await;
+            let permitted = adviser.advise(step, &asked).await;
             Some(Event::Advised {
                 step,
                 sent_at,
                 asked,
-                good,
+                permitted,
             })
         })
     }
--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -55,13 +55,13 @@
 
     /// Asks for permissions for a step that has tasks without a place.
     pub(super) fn ask_adviser(&mut self, id: StepId, pending: usize, keys: &[WorkerKey]) {
-        let under_way = self
+        let pending_calls = self
             .advice
             .values()
             .filter(|advice| advice.call_pending)
             .count();
         let advice = self.advice.entry(id).or_default();
-        if advice.call_pending || self.now < advice.due || under_way >= MAX_CONCURRENT_CALLS {
+        if advice.call_pending || self.now < advice.due || pending_calls >= MAX_CONCURRENT_CALLS {
             return;
         }
         let (now, tickets, refused) = (self.now, &advice.tickets, &advice.refused);
@@ -93,7 +93,7 @@
         id: StepId,
         sent_at: Duration,
         asked: &[Box<str>],
-        good: Option<Vec<(Box<str>, Box<str>)>>,
+        permitted: Option<Vec<(Box<str>, Box<str>)>>,
     ) {
         let queue = state.jobs.get(&id.job).map(|job| job.queue.clone());
         let policy = queue.and_then(|queue| queue.advice);
@@ -104,15 +104,15 @@
             return;
         };
         advice.call_pending = false;
-        match good {
+        match permitted {
             None => advice.due = self.now + RETRY_DELAY,
-            Some(good) => {
+            Some(permitted) => {
                 let until = sent_at + Duration::from_millis(validity_ms);
                 for name in asked {
                     let Some(key) = self.workers.key(name) else {
                         continue;
                     };
-                    match good.iter().find(|(worker, _)| worker == name) {
+                    match permitted.iter().find(|(worker, _)| worker == name) {
                         Some((_, text)) => {
                             let text = text.clone();
                             advice.tickets.insert(key, Ticket { text, until });
@@ -123,7 +123,7 @@
                 self.log(super::Decision::Advised {
                     step: id.to_string().into(),
                     asked: asked.len(),
-                    good: good.len(),
+                    good: permitted.len(),
                     took_ms: millis(self.now - sent_at),
                 });
             }
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -21,7 +21,7 @@
 
 /// How long a run has to be listed for its worker's crash to say nothing of its task:
 /// tasks that last see many crashes of machines over the months.
-const PROVEN_AFTER: Duration = Duration::from_secs(10);
+const CLEARED_AFTER: Duration = Duration::from_secs(10);
 /// How soon after the start of a run its worker crashes where that speaks against it:
 /// what crashes a worker mostly does so as it begins.
 const STARTUP_CRASH_WINDOW: Duration = Duration::from_millis(100);
@@ -93,14 +93,14 @@
     /// A gang would wait for many such signs at once.
     pub(super) fn answered_recently(&self, step: &ActiveStep, index: u32, worker: &Worker) -> bool {
         let answered_at = worker.answered_at.unwrap_or_default();
-        let asked = !step.gang && step.suspicion(index).alone;
-        !asked || self.now <= answered_at + MAX_ANSWER_AGE
+        let required = !step.gang && step.suspicion(index).alone;
+        !required || self.now <= answered_at + MAX_ANSWER_AGE
     }
 
     /// Whether a worker whose life is over crashed: nobody meant it to end.
     fn has_crashed(&self, key: WorkerKey, how: LifeOver) -> bool {
-        let seen = matches!(how, LifeOver::Replaced | LifeOver::Absent);
-        seen && !self.workers[key].draining && !self.was_taken_away(key)
+        let unintended = matches!(how, LifeOver::Replaced | LifeOver::Absent);
+        unintended && !self.workers[key].draining && !self.was_taken_away(key)
     }
 
     /// Has the runs counted that a worker took along if it crashed. Their tasks wait
@@ -175,14 +175,14 @@
             return false;
         };
         let may_run = !matches!(attempt.phase, Phase::StopAnswered { .. } | Phase::Ended);
-        may_run && self.steps.contains_key(&task.step) && !self.is_proven(attempt)
+        may_run && self.steps.contains_key(&task.step) && !self.is_cleared(attempt)
     }
 
     /// Whether a run was at work for long.
-    pub(super) fn is_proven(&self, attempt: &Attempt) -> bool {
+    pub(super) fn is_cleared(&self, attempt: &Attempt) -> bool {
         let answered_at = self.workers[attempt.worker].answered_at.unwrap_or_default();
         let running = matches!(attempt.phase, Phase::Running { .. });
-        running && answered_at >= attempt.started_at + PROVEN_AFTER
+        running && answered_at >= attempt.started_at + CLEARED_AFTER
     }
 
     /// Frees the room of a run that is lost. Its task waits for a commit.
--- a/crates/cleat-jobs/src/schedule/event.rs
+++ b/crates/cleat-jobs/src/schedule/event.rs
@@ -71,7 +71,7 @@
         asked: Vec<Box<str>>,
         /// Those that may run the step, each with a ticket; none if there was
         /// no answer.
-        good: Option<Vec<(Box<str>, Box<str>)>>,
+        permitted: Option<Vec<(Box<str>, Box<str>)>>,
     },
     /// What became of [`Effect::OrderMachine`].
     MachineOrdered {
--- a/crates/cleat-jobs/src/schedule/forecast.rs
+++ b/crates/cleat-jobs/src/schedule/forecast.rs
@@ -78,7 +78,7 @@
         self.remove_expired(now);
         let segment = self.latest_segment(now);
         let segment_ms = millis(segment.span);
-        let ahead_ms = millis(LEAD_TIME);
+        let lead_ms = millis(LEAD_TIME);
         let (mut cpu, mut memory) = (0.0, 0.0);
         let mut add = |usage: &JobUsage, share: f64| {
             cpu += share * usage.cpu_milli_ms;
@@ -86,12 +86,12 @@
         };
         for (_, usage) in self.recent.iter().rev().take(segment.jobs) {
             // Of what comes until then, as much runs then as takes longer than that.
-            let share = (ahead_ms / usage.duration_ms).min(1.0);
+            let share = (lead_ms / usage.duration_ms).min(1.0);
             add(usage, share / segment_ms);
         }
         for (at, usage) in &self.recent {
             let age_ms = millis(now.saturating_sub(*at));
-            if age_ms + ahead_ms < usage.duration_ms {
+            if age_ms + lead_ms < usage.duration_ms {
                 add(usage, 1.0 / usage.duration_ms);
             }
         }
--- a/crates/cleat-jobs/src/schedule/heartbeat.rs
+++ b/crates/cleat-jobs/src/schedule/heartbeat.rs
@@ -8,7 +8,7 @@
 impl Scheduler {
     pub(super) fn handle_heartbeat(&mut self, state: &ControlState, heartbeat: Heartbeat) {
         let known = self.workers.key(&heartbeat.record.name);
-        if known.is_none() && !names_pool(state, &heartbeat.record.pool) {
+        if known.is_none() && !is_configured_pool(state, &heartbeat.record.pool) {
             return;
         }
         let Heartbeat {
@@ -82,7 +82,7 @@
 /// Whether the configuration names a pool. Work for a pool that it does not
 /// name can't exist, so a worker there is not asked for anything; before the
 /// first configuration any pool may be named by it.
-fn names_pool(state: &ControlState, pool: &str) -> bool {
+fn is_configured_pool(state: &ControlState, pool: &str) -> bool {
     let catalogue = state.catalogue.as_ref();
     catalogue.is_none_or(|catalogue| catalogue.pools.contains_key(pool))
 }
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -21,7 +21,7 @@
 const MAX_SUSPECTS_PER_WORKER: usize = 4;
 /// One in so many of a pool's workers is emptied at most for tasks that have to start
 /// alone: other work goes on.
-const WORKERS_PER_RESERVED_ONE: usize = 4;
+const WORKERS_PER_RESERVATION: usize = 4;
 
 impl ActiveStep {
     /// Its tasks without a run under which workers have crashed.
@@ -35,7 +35,7 @@
     /// Whether a worker has a task to itself that has to be alone.
     pub(super) fn is_isolated(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        worker.task_crashes > 0 && self.unproven_runs(key).any(|run| run.suspicion.alone)
+        worker.task_crashes > 0 && self.uncleared_runs(key).any(|run| run.suspicion.alone)
     }
 
     /// Whether a worker keeps a task of a step apart from whatever else may crash it.
@@ -43,7 +43,7 @@
         let is_open = !self.reserved_for_suspects.contains(&key) && !self.is_isolated(key);
         let suspicion = step.suspicion(index);
         if suspicion.alone {
-            return self.unproven_runs(key).next().is_none() && !self.workers[key].has_strays;
+            return self.uncleared_runs(key).next().is_none() && !self.workers[key].has_strays;
         }
         let is_suspect = suspicion.crashes > 0 && self.workers[key].task_crashes > 0;
         is_open && (!is_suspect || self.suspect_count(key) < MAX_SUSPECTS_PER_WORKER)
@@ -64,15 +64,15 @@
 
     /// How many runs of a worker may crash it, of those under which others have crashed.
     fn suspect_count(&self, key: WorkerKey) -> usize {
-        let runs = self.unproven_runs(key);
+        let runs = self.uncleared_runs(key);
         runs.filter(|run| run.suspicion.crashes > 0).count()
     }
 
     /// The runs of a worker that may crash it.
-    fn unproven_runs(&self, key: WorkerKey) -> impl Iterator<Item = &Attempt> {
+    fn uncleared_runs(&self, key: WorkerKey) -> impl Iterator<Item = &Attempt> {
         let tasks = self.workers[key].tasks.iter();
         let runs = tasks.filter_map(|task| self.attempts.get(task));
-        runs.filter(|run| run.uses_capacity() && !self.is_proven(run))
+        runs.filter(|run| run.uses_capacity() && !self.is_cleared(run))
     }
 
     /// Notes which tasks of a step workers have crashed under.
@@ -107,22 +107,17 @@
                 alone.map(|(index, _)| id.task(index))
             })
             .collect();
-        let most = candidates.len().div_ceil(WORKERS_PER_RESERVED_ONE);
-        let mut reserved_for_suspects = IndexSet::new();
+        let most = candidates.len().div_ceil(WORKERS_PER_RESERVATION);
+        let mut reserved = IndexSet::new();
         for task in waiting.into_iter().take(most) {
-            reserved_for_suspects.extend(self.fewest_runs_to_wait_for(
-                state,
-                task,
-                candidates,
-                &reserved_for_suspects,
-            ));
+            reserved.extend(self.worker_to_reserve(state, task, candidates, &reserved));
         }
-        self.reserved_for_suspects = reserved_for_suspects;
+        self.reserved_for_suspects = reserved;
     }
 
     /// The worker with the fewest runs to wait for that has room for a task once they
     /// have ended.
-    fn fewest_runs_to_wait_for(
+    fn worker_to_reserve(
         &self,
         state: &ControlState,
         task: TaskId,
@@ -138,7 +133,7 @@
                 && label.is_none_or(|label| worker.has_label(label))
         };
         let suitable = candidates.iter().filter(suits);
-        let soonest = suitable.min_by_key(|key| (self.unproven_runs(**key).count(), **key));
-        soonest.copied()
+        let chosen = suitable.min_by_key(|key| (self.uncleared_runs(**key).count(), **key));
+        chosen.copied()
     }
 }
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -288,8 +288,8 @@
                 step,
                 sent_at,
                 asked,
-                good,
-            } => self.handle_advice(state, step, sent_at, &asked, good),
+                permitted,
+            } => self.handle_advice(state, step, sent_at, &asked, permitted),
             Event::ProposalFailed { command } => self.handle_proposal_failed(&command),
         }
     }
--- a/crates/cleat-jobs/src/schedule/throttle.rs
+++ b/crates/cleat-jobs/src/schedule/throttle.rs
@@ -20,14 +20,14 @@
 /// 0.1 s, and its figures are means of the last half second.
 const SETTLING_TIME: Duration = Duration::from_millis(600);
 /// Above this share of its target, in percent, a tail is too near.
-const REDUCE_FROM_PERCENT: u64 = 85;
+const SLOW_DOWN_FROM_PERCENT: u64 = 85;
 /// Below this share there is room for more.
-const RAISE_BELOW_PERCENT: u64 = 60;
+const SPEED_UP_BELOW_PERCENT: u64 = 60;
 /// The steps, in percent of full throttle: down fast, since users notice; up
 /// slowly, since what fits is not known.
-const RAISE_STEP_PERCENT: u8 = 15;
+const SPEED_UP_STEP_PERCENT: u8 = 15;
 /// A pace of less than this, in percent, is none.
-const MIN_PERCENT: u8 = 10;
+const MIN_SPEED_PERCENT: u8 = 10;
 /// Full pace, in percent.
 const FULL_SPEED_PERCENT: u8 = 100;
 
@@ -79,13 +79,13 @@
         if now < throttle.changed_at + SETTLING_TIME {
             return throttle.percent;
         }
-        let next = if highest_percent >= REDUCE_FROM_PERCENT {
+        let next = if highest_percent >= SLOW_DOWN_FROM_PERCENT {
             let half = throttle.percent / 2;
-            if half < MIN_PERCENT { 0 } else { half }
-        } else if highest_percent < RAISE_BELOW_PERCENT {
+            if half < MIN_SPEED_PERCENT { 0 } else { half }
+        } else if highest_percent < SPEED_UP_BELOW_PERCENT {
             throttle
                 .percent
-                .saturating_add(RAISE_STEP_PERCENT)
+                .saturating_add(SPEED_UP_STEP_PERCENT)
                 .min(FULL_SPEED_PERCENT)
         } else {
             throttle.percent
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -33,7 +33,7 @@
         step,
         sent_at,
         asked,
-        good: good.map(|good| good.iter().map(ticket).collect()),
+        permitted: good.map(|good| good.iter().map(ticket).collect()),
     })
 }
 
