--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -33,26 +33,26 @@
     refused: IndexSet<WorkerKey>,
     call_pending: bool,
     /// When the adviser may be asked again after a failed call.
-    due: Duration,
+    retry_at: Duration,
 }
 
 #[derive(Clone, Debug)]
 struct Ticket {
     text: Box<str>,
-    until: Duration,
+    valid_until: Duration,
 }
 
 impl Scheduler {
     /// The ticket for a step on a worker, if it is still valid.
     pub(super) fn ticket(&self, id: StepId, key: WorkerKey) -> Option<Box<str>> {
         let ticket = self.advice.get(&id)?.tickets.get(&key)?;
-        (self.now + START_MARGIN < ticket.until).then(|| ticket.text.clone())
+        (self.now + START_MARGIN < ticket.valid_until).then(|| ticket.text.clone())
     }
 
     /// The workers of `keys` for which the step has a valid ticket.
     pub(super) fn permitted(&self, id: StepId, keys: &[WorkerKey]) -> Vec<WorkerKey> {
-        let may = |key: &&WorkerKey| self.ticket(id, **key).is_some();
-        keys.iter().filter(may).copied().collect()
+        let has_ticket = |key: &&WorkerKey| self.ticket(id, **key).is_some();
+        keys.iter().filter(has_ticket).copied().collect()
     }
 
     /// Asks the adviser about more workers for a step with waiting tasks.
@@ -63,13 +63,16 @@
             .filter(|advice| advice.call_pending)
             .count();
         let advice = self.advice.entry(id).or_default();
-        if advice.call_pending || self.now < advice.due || pending_calls >= MAX_CONCURRENT_CALLS {
+        if advice.call_pending
+            || self.now < advice.retry_at
+            || pending_calls >= MAX_CONCURRENT_CALLS
+        {
             return;
         }
         let (now, tickets, refused) = (self.now, &advice.tickets, &advice.refused);
         let valid = |key: &WorkerKey| {
             let ticket = tickets.get(key);
-            ticket.is_some_and(|ticket| now + START_MARGIN < ticket.until)
+            ticket.is_some_and(|ticket| now + START_MARGIN < ticket.valid_until)
         };
         let mut unknown: Vec<WorkerKey> = keys
             .iter()
@@ -107,9 +110,9 @@
         };
         advice.call_pending = false;
         match permitted {
-            None => advice.due = self.now + RETRY_DELAY,
+            None => advice.retry_at = self.now + RETRY_DELAY,
             Some(permitted) => {
-                let until = sent_at + Duration::from_millis(validity_ms);
+                let valid_until = sent_at + Duration::from_millis(validity_ms);
                 for name in asked {
                     let Some(key) = self.workers.key(name) else {
                         continue;
@@ -117,7 +120,7 @@
                     match permitted.iter().find(|(worker, _)| worker == name) {
                         Some((_, text)) => {
                             let text = text.clone();
-                            advice.tickets.insert(key, Ticket { text, until });
+                            advice.tickets.insert(key, Ticket { text, valid_until });
                         }
                         None => drop(advice.refused.insert(key)),
                     }
--- a/crates/cleat-jobs/src/schedule/commits.rs
+++ b/crates/cleat-jobs/src/schedule/commits.rs
@@ -133,15 +133,15 @@
             }
             return;
         };
-        let (at, checkpoint) = (attempt.worker, attempt.checkpoint.clone());
+        let (worker, checkpoint) = (attempt.worker, attempt.checkpoint.clone());
         self.remove_attempt(end.task);
         if end.kind == EndKind::Failed {
-            self.record_failure(key.unwrap_or(at), end);
+            self.record_failure(key.unwrap_or(worker), end);
         }
         if !done {
-            self.requeue(end.task, at, checkpoint);
+            self.requeue(end.task, worker, checkpoint);
         } else if let Some(step) = self.steps.get_mut(&end.task.step) {
-            step.unassign(at);
+            step.unassign(worker);
         }
     }
 
@@ -182,11 +182,11 @@
         let Some(job) = state.jobs.get(&id) else {
             return self.remove_ended_job(state, id);
         };
-        let over = |step: &StepId| step.job == id && job.is_step_done(*step);
+        let is_done = |step: &StepId| step.job == id && job.is_step_done(*step);
         let done: Vec<StepId> = self
             .steps
             .keys()
-            .filter(|step| over(step))
+            .filter(|step| is_done(step))
             .copied()
             .collect();
         for step in done {
--- a/crates/cleat-jobs/src/schedule/durations.rs
+++ b/crates/cleat-jobs/src/schedule/durations.rs
@@ -30,11 +30,11 @@
     tasks: u32,
     /// Running means of the logarithms of estimate and duration, in
     /// milliseconds.
-    estimate: f64,
-    ran: f64,
+    mean_log_estimate: f64,
+    mean_log_duration: f64,
     /// Running variances and covariance of these logarithms.
     estimate_variance: f64,
-    ran_variance: f64,
+    duration_variance: f64,
     covariance: f64,
 }
 
@@ -50,13 +50,16 @@
         let ran = ran.clamp(estimate - MAX_LOG_RATIO, estimate + MAX_LOG_RATIO);
         self.tasks = self.tasks.saturating_add(1);
         let weight = MIN_WEIGHT.max(1.0 / f64::from(self.tasks));
-        let (x, y) = (estimate - self.estimate, ran - self.ran);
-        self.estimate += weight * x;
-        self.ran += weight * y;
-        let moved = |known: f64, seen: f64| (1.0 - weight) * (known + weight * seen);
-        self.estimate_variance = moved(self.estimate_variance, x * x);
-        self.ran_variance = moved(self.ran_variance, y * y);
-        self.covariance = moved(self.covariance, x * y);
+        let (x, y) = (
+            estimate - self.mean_log_estimate,
+            ran - self.mean_log_duration,
+        );
+        self.mean_log_estimate += weight * x;
+        self.mean_log_duration += weight * y;
+        let update = |known: f64, seen: f64| (1.0 - weight) * (known + weight * seen);
+        self.estimate_variance = update(self.estimate_variance, x * x);
+        self.duration_variance = update(self.duration_variance, y * y);
+        self.covariance = update(self.covariance, x * y);
     }
 
     /// The expected duration of a task with this estimate.
@@ -65,9 +68,10 @@
             return Duration::from_millis(estimate_ms);
         }
         let slope = self.slope();
-        let likely = self.ran + slope * (logarithm(estimate_ms) - self.estimate);
-        let rest = (self.ran_variance - slope * self.covariance).max(0.0);
-        let mean_ms = (likely + rest / 2.0).exp();
+        let expected_log =
+            self.mean_log_duration + slope * (logarithm(estimate_ms) - self.mean_log_estimate);
+        let residual_variance = (self.duration_variance - slope * self.covariance).max(0.0);
+        let mean_ms = (expected_log + residual_variance / 2.0).exp();
         Duration::from_secs_f64(mean_ms / 1_000.0)
     }
 
--- a/crates/cleat-jobs/src/schedule/forecast.rs
+++ b/crates/cleat-jobs/src/schedule/forecast.rs
@@ -73,8 +73,8 @@
     pub fn record(&mut self, at: Duration, usage: JobUsage) {
         // Events may be delayed, so jobs can be recorded out of order.
         let later = self.recent.iter().rev().take_while(|known| known.0 > at);
-        let place = self.recent.len() - later.count();
-        self.recent.insert(place, (at, usage));
+        let position = self.recent.len() - later.count();
+        self.recent.insert(position, (at, usage));
     }
 
     /// The resources that the pool's tasks will use at the time when a machine
@@ -134,8 +134,8 @@
     /// The later segment of the most significant split of `whole`, if any is
     /// significant.
     fn split(&self, whole: Segment, now: Duration) -> Option<Segment> {
-        let mut most = 1.0;
-        let mut found = None;
+        let mut max_significance = 1.0;
+        let mut best = None;
         for (after, (at, _)) in self.recent.iter().rev().take(whole.jobs).enumerate() {
             let since = now.saturating_sub(*at);
             // A rise begins with this job, a fall after it.
@@ -149,13 +149,13 @@
             };
             let significances = [(rise, rise.rise(whole)), (fall, fall.fall(whole))];
             for (segment, significance) in significances {
-                if segment.span < whole.span && significance > most {
-                    most = significance;
-                    found = Some(segment);
+                if segment.span < whole.span && significance > max_significance {
+                    max_significance = significance;
+                    best = Some(segment);
                 }
             }
         }
-        found
+        best
     }
 }
 
--- a/crates/cleat-jobs/src/schedule/heartbeat.rs
+++ b/crates/cleat-jobs/src/schedule/heartbeat.rs
@@ -42,7 +42,7 @@
     fn update_capacity(&mut self, key: WorkerKey, capacity: Size, sequence: u64) {
         let worker = &mut self.workers[key];
         worker.record.history.sized_by = sequence;
-        let first_heard = !std::mem::replace(&mut worker.capacity_known, true);
+        let first_report = !std::mem::replace(&mut worker.capacity_known, true);
         let resized = worker.record.capacity != capacity;
         worker.record.capacity = capacity;
         if resized {
@@ -54,7 +54,7 @@
                 sequence,
             });
         }
-        if resized || first_heard {
+        if resized || first_report {
             self.mark_worker_pool_dirty(key);
         }
     }
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -100,20 +100,20 @@
         let pool = candidates
             .first()
             .map(|key| &self.workers[*key].record.pool);
-        let here = self.suspect_steps.iter().filter(|id| {
+        let in_pool = self.suspect_steps.iter().filter(|id| {
             let step = &self.steps[*id];
             Some(&step.pool) == pool && !step.pending.is_empty()
         });
-        let waiting: Vec<TaskId> = here
+        let waiting: Vec<TaskId> = in_pool
             .flat_map(|id| {
                 let suspects = self.steps[id].pending_suspects();
                 let alone = suspects.filter(|(_, suspicion)| suspicion.alone);
                 alone.map(|(index, _)| id.task(index))
             })
             .collect();
-        let most = candidates.len().div_ceil(WORKERS_PER_RESERVATION);
+        let max_reserved = candidates.len().div_ceil(WORKERS_PER_RESERVATION);
         let mut reserved = IndexSet::new();
-        for task in waiting.into_iter().take(most) {
+        for task in waiting.into_iter().take(max_reserved) {
             reserved.extend(self.worker_to_reserve(state, task, candidates, &reserved));
         }
         self.reserved_for_suspects = reserved;
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -94,15 +94,15 @@
     /// are removed after the same time.
     fn is_abandoned(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        let sign = worker
+        let last_contact = worker
             .heartbeat_at
             .max(worker.answered_at.unwrap_or_default());
-        self.now > sign + self.cfg.ended_job_retention
+        self.now > last_contact + self.cfg.ended_job_retention
     }
 
     fn is_silent(&self, key: WorkerKey) -> bool {
-        let doubted = self.workers[key].unanswered_since;
-        doubted.is_some_and(|since| self.now > since + SILENT_AFTER)
+        let unanswered_since = self.workers[key].unanswered_since;
+        unanswered_since.is_some_and(|since| self.now > since + SILENT_AFTER)
     }
 
     /// Ends the earlier lives on the machine of a worker that answered a
@@ -135,9 +135,9 @@
 
     pub(super) fn mark_all_lost(&mut self, key: WorkerKey, reason: LossReason) {
         self.release_strays(key, |_, _| false);
-        let here = |task: &&TaskId| self.attempts.get(*task).is_some_and(Attempt::uses_capacity);
+        let active = |task: &&TaskId| self.attempts.get(*task).is_some_and(Attempt::uses_capacity);
         let tasks = self.workers[key].tasks.iter();
-        let lost: Vec<TaskId> = tasks.filter(here).copied().collect();
+        let lost: Vec<TaskId> = tasks.filter(active).copied().collect();
         for task in lost {
             self.mark_lost(task, reason);
         }
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -80,8 +80,8 @@
         };
         let tasks: Vec<TaskId> = self.attempts.iter().filter_map(due).collect();
         for task in tasks {
-            let over = !self.steps.contains_key(&task.step);
-            let reason = if over {
+            let is_job_over = !self.steps.contains_key(&task.step);
+            let reason = if is_job_over {
                 StopReason::JobOver
             } else {
                 StopReason::InDoubt
@@ -194,9 +194,9 @@
         let Some(attempt) = self.attempts.get_mut(&order.task) else {
             return;
         };
-        let this = attempt.worker == key && attempt.run == order.run;
-        let settled = matches!(answer, OrderAnswer::Done | OrderAnswer::Old);
-        if this && settled && matches!(attempt.phase, Phase::InDoubt { .. }) {
+        let is_current = attempt.worker == key && attempt.run == order.run;
+        let confirmed = matches!(answer, OrderAnswer::Done | OrderAnswer::Old);
+        if is_current && confirmed && matches!(attempt.phase, Phase::InDoubt { .. }) {
             attempt.phase = Phase::StopAnswered { at: now };
         }
     }
--- a/crates/cleat-jobs/src/schedule/placement.rs
+++ b/crates/cleat-jobs/src/schedule/placement.rs
@@ -38,16 +38,20 @@
         self.reserve_for_suspects(state, &candidates);
         // Starting tasks does not change it, so it is determined once.
         let unknown_until = self.unknown_until(pool);
-        let mut room = self.max_free_capacity(&candidates);
-        let mut misfits = 0;
-        for id in self.ready_steps(pool, room) {
-            if !self.steps.get(&id).is_some_and(|step| step.may_fit(room)) {
-                misfits += 1;
+        let mut max_free = self.max_free_capacity(&candidates);
+        let mut unplaced = 0;
+        for id in self.ready_steps(pool, max_free) {
+            if !self
+                .steps
+                .get(&id)
+                .is_some_and(|step| step.may_fit(max_free))
+            {
+                unplaced += 1;
             } else if self.place_step(state, id, &candidates, unknown_until) {
-                misfits += 1;
-                room = self.max_free_capacity(&candidates);
+                unplaced += 1;
+                max_free = self.max_free_capacity(&candidates);
             }
-            if misfits >= MAX_UNPLACED_STEPS {
+            if unplaced >= MAX_UNPLACED_STEPS {
                 return;
             }
         }
@@ -55,15 +59,15 @@
 
     /// The maximum of each resource that is free on any of the workers.
     fn max_free_capacity(&self, keys: &[WorkerKey]) -> Size {
-        let rooms = keys.iter().map(|key| self.workers[*key].free_capacity());
-        rooms.fold(Size::default(), Size::max_of_each)
+        let free = keys.iter().map(|key| self.workers[*key].free_capacity());
+        free.fold(Size::default(), Size::max_of_each)
     }
 
     /// The workers of a pool that accept work.
     pub(super) fn candidates(&self, pool: &str) -> Vec<WorkerKey> {
         let workers = self.workers.in_pool(pool);
-        let takes = workers.filter(|(_, worker)| worker.accepts_work(self.now));
-        let keys = takes.map(|(key, _)| key);
+        let accepting = workers.filter(|(_, worker)| worker.accepts_work(self.now));
+        let keys = accepting.map(|(key, _)| key);
         keys.filter(|key| !self.is_isolated(*key)).collect()
     }
 
@@ -93,12 +97,12 @@
             return self.place_tasks(id, job, spec, pending, keys);
         }
         let permitted = self.permitted(id, keys);
-        let left = self.place_tasks(id, job, spec, pending, &permitted);
+        let has_unplaced = self.place_tasks(id, job, spec, pending, &permitted);
         let pending = self.steps.get(&id).map_or(0, |step| step.pending.len());
         if pending > 0 {
             self.ask_adviser(id, pending, keys);
         }
-        left
+        has_unplaced
     }
 
     fn place_tasks(
@@ -160,7 +164,7 @@
         if pending.len() < spec.count as usize || !self.is_within_cap(id, pending.len() as u64) {
             return false;
         }
-        let mut places = Vec::with_capacity(pending.len());
+        let mut placements = Vec::with_capacity(pending.len());
         let mut keys = keys.to_vec();
         for index in self.suspects_first(id, pending) {
             let Some(key) = self.choose_worker(id, index, spec, &keys) else {
@@ -174,20 +178,20 @@
             if let Some(step) = self.steps.get_mut(&id) {
                 *step.placed.entry(key).or_default() += 1;
             }
-            places.push((index, key));
+            placements.push((index, key));
         }
-        for (_, key) in &places {
+        for (_, key) in &placements {
             self.workers[*key].used -= spec.footprint();
             if let Some(step) = self.steps.get_mut(&id) {
                 step.unassign(*key);
             }
         }
-        if places.len() < pending.len() {
+        if placements.len() < pending.len() {
             return true;
         }
         let runs = pending.iter().map(|index| self.next_run(id.task(*index)));
         let run = runs.max().unwrap_or_default();
-        for (index, key) in places {
+        for (index, key) in placements {
             self.start(id.task(index), job, spec, key, run);
         }
         false
@@ -207,29 +211,29 @@
         let rack = self.preferred_rack(id, spec, keys);
         let rank = |key: &WorkerKey| {
             let worker = &self.workers[*key];
-            let room = worker.free_capacity();
-            let far = rack.is_some() && worker.record.rack.as_deref() != rack;
+            let free = worker.free_capacity();
+            let off_rack = rack.is_some() && worker.record.rack.as_deref() != rack;
             let failed = step.failed_on.get(&index) == Some(key);
-            let left = room.saturating_sub(footprint);
+            let remaining = free.saturating_sub(footprint);
             // A best-effort task prefers the worker with the most free
             // processor time.
             let cpu = if spec.fills {
-                u64::MAX - left.cpu_milli
+                u64::MAX - remaining.cpu_milli
             } else {
-                left.cpu_milli
+                remaining.cpu_milli
             };
             // Long-running tasks are packed on few workers, and other work
             // fills these first, so that the remaining workers become idle and
             // their machines can move to other pools.
-            let free_to_go = worker.long_running == 0;
+            let may_become_idle = worker.long_running == 0;
             let isolation = self.isolation_rank(step, index, worker);
             (
                 failed,
-                far,
+                off_rack,
                 isolation,
-                free_to_go,
+                may_become_idle,
                 cpu,
-                left.memory_mb,
+                remaining.memory_mb,
                 *key,
             )
         };
@@ -271,16 +275,16 @@
     }
 
     fn rack_with_most_free_cpu(&self, keys: &[WorkerKey]) -> Option<&str> {
-        let mut rooms: IndexMap<&str, u64> = IndexMap::new();
+        let mut free_cpu: IndexMap<&str, u64> = IndexMap::new();
         for key in keys {
             let worker = &self.workers[*key];
             if let Some(rack) = worker.record.rack.as_deref() {
-                *rooms.entry(rack).or_default() += worker.free_capacity().cpu_milli;
+                *free_cpu.entry(rack).or_default() += worker.free_capacity().cpu_milli;
             }
         }
-        rooms
+        free_cpu
             .into_iter()
-            .max_by_key(|(_, room)| *room)
+            .max_by_key(|(_, free)| *free)
             .map(|(rack, _)| rack)
     }
 
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -77,14 +77,14 @@
     /// The steps of a pool that wait for a worker, in scheduling order: by the
     /// priority of their queue, then those within their customer's share, then
     /// those that can still meet their objective. Returns none if no step may
-    /// fit into `room`. Steps of a customer whose cap is reached are left out.
+    /// fit into `max_free`. Steps of a customer whose cap is reached are left out.
     ///
     /// A pass looks only at the first few steps, so the steps are put on a heap
     /// rather than sorted.
     pub(super) fn ready_steps(
         &mut self,
         pool: &str,
-        room: Size,
+        max_free: Size,
     ) -> impl Iterator<Item = StepId> + use<> {
         let mut ids = self.ready.swap_remove(pool).unwrap_or_default();
         let mut ranked: Vec<Reverse<Rank>> = Vec::with_capacity(ids.len());
@@ -101,7 +101,7 @@
                 capped.push(*id);
                 return true;
             }
-            any |= step.may_fit(room);
+            any |= step.may_fit(max_free);
             let share_status = if owned {
                 self.share_status(step)
             } else {
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -51,23 +51,26 @@
     fn send_renewal(&mut self, key: WorkerKey) {
         let lease = millis(self.cfg.lease);
         let now = self.now;
-        let longest = self.max_answer_wait(key);
+        let max_wait = self.max_answer_wait(key);
         let worker = &mut self.workers[key];
         let colocated = worker.colocated;
         // The first renewal is answered at once, to learn the worker's clock
         // and runs.
-        let blind = !self.cfg.protections.no_lease_when_silent;
-        let known = worker.clock_ms(now).filter(|_| worker.answers() || blind);
-        let deadline_ms = known.map(|clock| clock + lease);
+        let ignore_silence = !self.cfg.protections.no_lease_when_silent;
+        let clock_ms = worker
+            .clock_ms(now)
+            .filter(|_| worker.answers() || ignore_silence);
+        let deadline_ms = clock_ms.map(|clock| clock + lease);
         // A worker without runs may move to another pool once it has answered a
         // renewal that acknowledges its last ends. Delaying that answer would
         // cost up to a second for each move.
-        let empties = worker.tasks.is_empty() && worker.committed_ends > worker.acknowledged_ends;
+        let acknowledges_last_ends =
+            worker.tasks.is_empty() && worker.committed_ends > worker.acknowledged_ends;
         let wait = match deadline_ms {
             None => Duration::ZERO,
-            Some(_) if empties => Duration::ZERO,
-            Some(_) if colocated => COLOCATED_WAIT.min(longest),
-            Some(_) => longest,
+            Some(_) if acknowledges_last_ends => Duration::ZERO,
+            Some(_) if colocated => COLOCATED_WAIT.min(max_wait),
+            Some(_) => max_wait,
         };
         worker.max_lease_end_ms = worker.max_lease_end_ms.max(deadline_ms.unwrap_or_default());
         worker.renewing = true;
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -85,10 +85,10 @@
     }
 
     /// Whether a scheduling pass has to look at it while no worker has more
-    /// free capacity than `room`. A step that needs permissions always counts,
+    /// free capacity than `max_free`. A step that needs permissions always counts,
     /// since they are requested before there is capacity.
-    pub(crate) fn may_fit(&self, room: Size) -> bool {
-        !self.pending.is_empty() && (self.advised || self.footprint.fits(room))
+    pub(crate) fn may_fit(&self, max_free: Size) -> bool {
+        !self.pending.is_empty() && (self.advised || self.footprint.fits(max_free))
     }
 
     /// Whether its job can still meet its objective. A step that runs until it
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -26,8 +26,8 @@
                 self.record_job_started(*id);
             }
         }
-        let over = state.ended.keys().map(|id| (self.now, *id));
-        self.ended_jobs.extend(over);
+        let ended = state.ended.keys().map(|id| (self.now, *id));
+        self.ended_jobs.extend(ended);
         self.send_renewals();
     }
 
@@ -57,8 +57,8 @@
         let Some(step) = self.steps.get_mut(&end.task.step) else {
             return;
         };
-        let waits = self.cfg.protections.await_inherited_ends;
-        if !waits || !step.pending.contains(&end.task.index) {
+        let enabled = self.cfg.protections.await_inherited_ends;
+        if !enabled || !step.pending.contains(&end.task.index) {
             return;
         }
         step.assign(end.task.index, key);
@@ -84,8 +84,8 @@
     /// expired lease, the runs that replaced its own would count as strays.
     pub(super) fn drop_superseded(&mut self, task: TaskId, run: Run) {
         let known = self.attempts.get(&task);
-        let earlier = known.is_some_and(|known| known.phase == Phase::Ended && known.run < run);
-        if earlier && let Some(attempt) = self.remove_attempt(task) {
+        let superseded = known.is_some_and(|known| known.phase == Phase::Ended && known.run < run);
+        if superseded && let Some(attempt) = self.remove_attempt(task) {
             self.requeue(task, attempt.worker, attempt.checkpoint);
         }
     }
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -43,10 +43,10 @@
     /// The objective of a job that arrived `age` ago and should be done within
     /// `span` of its arrival.
     fn new(now: Duration, age: Duration, span: Duration) -> Objective {
-        let left = |span: Duration| now + span.saturating_sub(age);
+        let until = |span: Duration| now + span.saturating_sub(age);
         Objective {
-            due: left(span),
-            zero_value_at: left(span * ZERO_VALUE_AFTER),
+            due: until(span),
+            zero_value_at: until(span * ZERO_VALUE_AFTER),
         }
     }
 }
@@ -95,26 +95,26 @@
     /// For each step of a job, the expected duration of the longest chain of
     /// steps from it on, the step included.
     pub(crate) fn critical_paths(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
-        let mut from = vec![Duration::ZERO; spec.steps.len()];
-        for at in (0..spec.steps.len()).rev() {
-            let after = spec.steps.iter().enumerate().skip(at + 1);
+        let mut paths = vec![Duration::ZERO; spec.steps.len()];
+        for index in (0..spec.steps.len()).rev() {
+            let after = spec.steps.iter().enumerate().skip(index + 1);
             let later = after
-                .filter(|(_, step)| step.after.iter().any(|on| usize::from(*on) == at))
-                .map(|(next, _)| from[next])
+                .filter(|(_, step)| step.after.iter().any(|on| usize::from(*on) == index))
+                .map(|(next, _)| paths[next])
                 .max();
-            let own = self.expected_duration(queue, spec.steps[at].estimate_ms);
-            from[at] = own + later.unwrap_or_default();
+            let own_duration = self.expected_duration(queue, spec.steps[index].estimate_ms);
+            paths[index] = own_duration + later.unwrap_or_default();
         }
-        from
+        paths
     }
 
     /// Records the arrival of a job at its pool. `span` is the expected
     /// duration of its longest chain of steps.
     fn record_arrival(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
-        let ends = spec.steps.iter().filter(|step| !step.long_running);
-        let usage = ends.fold(JobUsage::default(), |sum, step| {
-            let took = self.expected_duration(&queue.name, step.estimate_ms);
-            add_step_usage(sum, step, took)
+        let finite_steps = spec.steps.iter().filter(|step| !step.long_running);
+        let usage = finite_steps.fold(JobUsage::default(), |sum, step| {
+            let duration = self.expected_duration(&queue.name, step.estimate_ms);
+            add_step_usage(sum, step, duration)
         });
         if usage == JobUsage::default() {
             return;
@@ -139,8 +139,8 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn add_step_usage(sum: JobUsage, step: &StepSpec, took: Duration) -> JobUsage {
-    let ms = took.as_secs_f64() * 1_000.0 * f64::from(step.count);
+fn add_step_usage(sum: JobUsage, step: &StepSpec, duration: Duration) -> JobUsage {
+    let ms = duration.as_secs_f64() * 1_000.0 * f64::from(step.count);
     let size = step.footprint();
     JobUsage {
         cpu_milli_ms: sum.cpu_milli_ms + size.cpu_milli as f64 * ms,
@@ -154,26 +154,32 @@
     pub(super) fn register_job(&mut self, state: &ControlState, id: JobId, job: &Job) {
         let queue = &job.queue;
         let critical_paths = self.workload.critical_paths(&queue.name, &job.spec);
-        let longest = critical_paths.into_iter().max().unwrap_or_default();
+        let critical_path = critical_paths.into_iter().max().unwrap_or_default();
         let latency = Duration::from_millis(queue.target_latency_ms);
-        let span = longest.mul_f64(queue.stretch.max(1.0)) + latency;
+        let span = critical_path.mul_f64(queue.stretch.max(1.0)) + latency;
         let age = self.age(job);
         let objective = Objective::new(self.now, age, span);
         self.objectives.insert(id, objective);
         self.log_accepted(id, job, span);
-        let came = self.now.saturating_sub(age);
+        let arrived_at = self.now.saturating_sub(age);
         self.workload
-            .record_arrival(queue, &job.spec, came, longest);
-        self.record_share_status(state, id, job, came);
+            .record_arrival(queue, &job.spec, arrived_at, critical_path);
+        self.record_share_status(state, id, job, arrived_at);
     }
 
     /// Records whether the job exceeds its customer's share.
-    fn record_share_status(&mut self, state: &ControlState, id: JobId, job: &Job, came: Duration) {
+    fn record_share_status(
+        &mut self,
+        state: &ControlState,
+        id: JobId,
+        job: &Job,
+        arrived_at: Duration,
+    ) {
         let Some(name) = job.customer.as_deref() else {
             return;
         };
         let key = self.accounts.open(name, state.catalogue.as_deref());
-        if self.accounts.take_job(key, came) == ShareStatus::Exceeded {
+        if self.accounts.take_job(key, arrived_at) == ShareStatus::Exceeded {
             self.share_statuses.insert(id, ShareStatus::Exceeded);
         }
     }
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -274,8 +274,8 @@
     /// there.
     pub(crate) fn on_machine(&self, machine: &str) -> Option<WorkerKey> {
         let key = *self.by_machine.get(machine)?;
-        let over = matches!(self[key].state, WorkerState::Lapsed | WorkerState::Gone);
-        (!over).then_some(key)
+        let is_over = matches!(self[key].state, WorkerState::Lapsed | WorkerState::Gone);
+        (!is_over).then_some(key)
     }
 
     /// The workers of a pool that are not removed.
