--- a/crates/cleat-jobs/src/schedule/place.rs
+++ b/crates/cleat-jobs/src/schedule/placement.rs
@@ -1,72 +1,80 @@
-//! Which task starts on which worker.
+//! Placement: which task starts on which worker.
 
 use indexmap::IndexMap;
 
 use super::attempt::{Attempt, Phase};
-use super::event::{Order as Ordered, TaskOrder};
+use super::event::{Order, TaskOrder};
 use super::worker::{WorkerKey, millis};
 use super::{Decision, Scheduler};
 use crate::state::{ControlState, Job};
 use crate::{Run, Size, StepId, StepSpec, TaskId};
 
-/// How many run numbers each owner has for a task: an owner that lasts for a
+/// How many run numbers each owner has for a task. An owner that lasts for a
 /// day and restarts a task each second stays below it.
-const RUNS_AN_OWNER: u64 = 1 << 20;
-/// How many steps may find no place before a pass over a pool ends, so that
-/// room gathers for large tasks and a pass over a full pool is short.
-const MISFITS: usize = 12;
+const RUN_NUMBERS_PER_OWNER: u64 = 1 << 20;
+/// After this many steps that fit on no worker a scheduling pass over a pool
+/// ends. Capacity can then accumulate for large tasks, and a pass over a full
+/// pool is short.
+const MAX_UNPLACED_STEPS: usize = 12;
 
 impl Scheduler {
-    /// Starts what has a place, in the pools where something changed.
-    pub(super) fn place(&mut self, state: &ControlState) {
-        for pool in self.take_unsettled() {
-            self.place_pool(state, &pool);
+    /// Starts the tasks that fit, in the pools where something changed.
+    pub(super) fn place_ready_steps(&mut self, state: &ControlState) {
+        for pool in self.take_dirty_pools() {
+            self.schedule_pool(state, &pool);
         }
     }
 
-    fn place_pool(&mut self, state: &ControlState, pool: &str) {
+    fn schedule_pool(&mut self, state: &ControlState, pool: &str) {
         let mut candidates = self.candidates(pool);
-        if !guards_capacity(state, pool) {
-            // What was offered before may be more than there is by now.
-            candidates.retain(|key| self.workers[*key].sized);
+        if !pool_enforces_capacity(state, pool) {
+            // The recorded capacity of the others may be more than they have by
+            // now.
+            candidates.retain(|key| self.workers[*key].capacity_known);
         }
         if candidates.is_empty() {
             return;
         }
-        self.empty_for_suspects(state, &candidates);
-        // Placing tells nothing new of the workers.
+        self.reserve_for_suspects(state, &candidates);
+        // Starting tasks does not change it, so it is determined once.
         let unknown_until = self.unknown_until(pool);
-        let mut room = self.largest_room(&candidates);
-        let mut misfits = 0;
-        for id in self.ready_steps(pool, room) {
-            if !self.steps.get(&id).is_some_and(|step| step.may_fit(room)) {
-                misfits += 1;
+        let mut max_free = self.max_free_capacity(&candidates);
+        let mut unplaced = 0;
+        for id in self.ready_steps(pool, max_free) {
+            if !self
+                .steps
+                .get(&id)
+                .is_some_and(|step| step.may_fit(max_free))
+            {
+                unplaced += 1;
             } else if self.place_step(state, id, &candidates, unknown_until) {
-                misfits += 1;
-                room = self.largest_room(&candidates);
+                unplaced += 1;
+                max_free = self.max_free_capacity(&candidates);
             }
-            if misfits >= MISFITS {
+            if unplaced >= MAX_UNPLACED_STEPS {
                 return;
             }
         }
     }
 
-    /// The most of each resource that any of the workers has free.
-    fn largest_room(&self, keys: &[WorkerKey]) -> Size {
-        let rooms = keys.iter().map(|key| self.workers[*key].room());
-        rooms.fold(Size::default(), Size::max_of_each)
+    /// The maximum of each resource that is free on any of the workers.
+    fn max_free_capacity(&self, keys: &[WorkerKey]) -> Size {
+        let free = keys.iter().map(|key| self.workers[*key].free_capacity());
+        free.fold(Size::default(), Size::max_of_each)
     }
 
-    /// The workers of a pool that take work.
+    /// The workers of a pool that accept work.
     pub(super) fn candidates(&self, pool: &str) -> Vec<WorkerKey> {
         let workers = self.workers.in_pool(pool);
-        let takes = workers.filter(|(_, worker)| worker.takes_work(self.now));
-        let keys = takes.map(|(key, _)| key);
-        keys.filter(|key| !self.is_taken_alone(*key)).collect()
+        let accepting = workers.filter(|(_, worker)| worker.accepts_work(self.now));
+        let keys = accepting.map(|(key, _)| key);
+        keys.filter(|key| !self.is_isolated(*key)).collect()
     }
 
-    /// Starts tasks of a step as far as there is room; whether some are left.
-    /// What became ready up to `unknown_until` may run already.
+    /// Starts tasks of a step as far as there is free capacity, and returns
+    /// whether some are left that fit on no worker. Steps that became ready up
+    /// to the log position `unknown_until` are skipped, since their tasks may
+    /// already run.
     fn place_step(
         &mut self,
         state: &ControlState,
@@ -89,12 +97,12 @@
             return self.place_tasks(id, job, spec, pending, keys);
         }
         let permitted = self.permitted(id, keys);
-        let left = self.place_tasks(id, job, spec, pending, &permitted);
+        let has_unplaced = self.place_tasks(id, job, spec, pending, &permitted);
         let pending = self.steps.get(&id).map_or(0, |step| step.pending.len());
         if pending > 0 {
             self.ask_adviser(id, pending, keys);
         }
-        left
+        has_unplaced
     }
 
     fn place_tasks(
@@ -109,12 +117,13 @@
             return self.place_gang(id, job, spec, &pending, keys);
         }
         for index in pending {
-            if !self.may_start(id, 1) {
+            if !self.is_within_cap(id, 1) {
                 return false;
             }
-            let Some(key) = self.choose(id, index, spec, keys) else {
+            let Some(key) = self.choose_worker(id, index, spec, keys) else {
                 if self.is_suspect_task(id, index) {
-                    // It waits for a worker of its own; others fit beside each other.
+                    // It may only wait for a worker of its own, while the other
+                    // tasks fit beside each other.
                     continue;
                 }
                 return true;
@@ -130,8 +139,8 @@
         false
     }
 
-    /// Whether the step's customer may have so many tasks more running.
-    fn may_start(&mut self, id: StepId, count: u64) -> bool {
+    /// Whether the cap of the step's customer allows this many more tasks.
+    fn is_within_cap(&mut self, id: StepId, count: u64) -> bool {
         let Some(step) = self.steps.get(&id) else {
             return false;
         };
@@ -142,7 +151,8 @@
         allowed
     }
 
-    /// Starts the tasks of a gang together, under one run number, or none.
+    /// Starts the tasks of a gang together, under one run number, or none of
+    /// them.
     fn place_gang(
         &mut self,
         id: StepId,
@@ -151,45 +161,45 @@
         pending: &[u32],
         keys: &[WorkerKey],
     ) -> bool {
-        if pending.len() < spec.count as usize || !self.may_start(id, pending.len() as u64) {
+        if pending.len() < spec.count as usize || !self.is_within_cap(id, pending.len() as u64) {
             return false;
         }
-        let mut places = Vec::with_capacity(pending.len());
+        let mut placements = Vec::with_capacity(pending.len());
         let mut keys = keys.to_vec();
         for index in self.suspects_first(id, pending) {
-            let Some(key) = self.choose(id, index, spec, &keys) else {
+            let Some(key) = self.choose_worker(id, index, spec, &keys) else {
                 break;
             };
             if self.is_suspect_task(id, index) {
                 keys.retain(|other| *other != key);
             }
-            // Reserved for the rest of the search.
+            // Reserved while workers for the other tasks are sought.
             self.workers[key].used += spec.footprint();
             if let Some(step) = self.steps.get_mut(&id) {
                 *step.placed.entry(key).or_default() += 1;
             }
-            places.push((index, key));
+            placements.push((index, key));
         }
-        for (_, key) in &places {
+        for (_, key) in &placements {
             self.workers[*key].used -= spec.footprint();
             if let Some(step) = self.steps.get_mut(&id) {
-                step.take_off(*key);
+                step.unassign(*key);
             }
         }
-        if places.len() < pending.len() {
+        if placements.len() < pending.len() {
             return true;
         }
         let runs = pending.iter().map(|index| self.next_run(id.task(*index)));
         let run = runs.max().unwrap_or_default();
-        for (index, key) in places {
+        for (index, key) in placements {
             self.start(id.task(index), job, spec, key, run);
         }
         false
     }
 
-    /// The worker for a task: near its data, and with the least room to spare,
-    /// so that large tasks find theirs.
-    pub(super) fn choose(
+    /// Chooses the worker for a task: near its data, and with the least
+    /// capacity to spare, so that large tasks find enough on another worker.
+    pub(super) fn choose_worker(
         &self,
         id: StepId,
         index: u32,
@@ -201,31 +211,41 @@
         let rack = self.preferred_rack(id, spec, keys);
         let rank = |key: &WorkerKey| {
             let worker = &self.workers[*key];
-            let room = worker.room();
-            let far = rack.is_some() && worker.record.rack.as_deref() != rack;
+            let free = worker.free_capacity();
+            let off_rack = rack.is_some() && worker.record.rack.as_deref() != rack;
             let failed = step.failed_on.get(&index) == Some(key);
-            let left = room.saturating_sub(footprint);
-            // What fills wants the processor time that others leave.
+            let remaining = free.saturating_sub(footprint);
+            // A best-effort task prefers the worker with the most free
+            // processor time.
             let cpu = if spec.fills {
-                u64::MAX - left.cpu_milli
+                u64::MAX - remaining.cpu_milli
             } else {
-                left.cpu_milli
+                remaining.cpu_milli
             };
-            // Work that lasts gathers on few workers, and other work fills those
-            // first, so that the rest fall idle and their machines can go.
-            let free_to_go = worker.lasting == 0;
-            let apart = self.apart(step, index, worker);
-            (failed, far, apart, free_to_go, cpu, left.memory_mb, *key)
+            // Long-running tasks are packed on few workers, and other work
+            // fills these first, so that the remaining workers become idle and
+            // their machines can move to other pools.
+            let may_become_idle = worker.long_running == 0;
+            let isolation = self.isolation_rank(step, index, worker);
+            (
+                failed,
+                off_rack,
+                isolation,
+                may_become_idle,
+                cpu,
+                remaining.memory_mb,
+                *key,
+            )
         };
         let fits = |key: &&WorkerKey| {
             let worker = &self.workers[**key];
             let label = spec.required_label.as_ref();
-            let apart = |most| step.placed.get(*key).is_none_or(|placed| *placed < most);
-            footprint.fits(worker.room())
-                && self.is_certain(step, index, worker)
-                && self.isolates(step, index, **key)
+            let has_slot = |most| step.placed.get(*key).is_none_or(|placed| *placed < most);
+            footprint.fits(worker.free_capacity())
+                && self.answered_recently(step, index, worker)
+                && self.provides_isolation(step, index, **key)
                 && label.is_none_or(|label| worker.has_label(label))
-                && spec.max_per_worker.is_none_or(apart)
+                && spec.max_per_worker.is_none_or(has_slot)
         };
         keys.iter()
             .filter(fits)
@@ -233,7 +253,7 @@
             .copied()
     }
 
-    /// The rack that a step's tasks should be on, if it matters.
+    /// The rack on which a step's tasks should run, if it matters.
     fn preferred_rack<'a>(
         &'a self,
         id: StepId,
@@ -251,65 +271,66 @@
         if let Some(key) = taken.next() {
             return self.workers[key].record.rack.as_deref();
         }
-        self.roomiest_rack(keys)
+        self.rack_with_most_free_cpu(keys)
     }
 
-    fn roomiest_rack(&self, keys: &[WorkerKey]) -> Option<&str> {
-        let mut rooms: IndexMap<&str, u64> = IndexMap::new();
+    fn rack_with_most_free_cpu(&self, keys: &[WorkerKey]) -> Option<&str> {
+        let mut free_cpu: IndexMap<&str, u64> = IndexMap::new();
         for key in keys {
             let worker = &self.workers[*key];
             if let Some(rack) = worker.record.rack.as_deref() {
-                *rooms.entry(rack).or_default() += worker.room().cpu_milli;
+                *free_cpu.entry(rack).or_default() += worker.free_capacity().cpu_milli;
             }
         }
-        rooms
+        free_cpu
             .into_iter()
-            .max_by_key(|(_, room)| *room)
+            .max_by_key(|(_, free)| *free)
             .map(|(rack, _)| rack)
     }
 
-    /// A number above all that the task has had, from this owner or another.
+    /// A run number above all that the task has had, from this owner or an
+    /// earlier one.
     fn next_run(&self, task: TaskId) -> Run {
-        let of_job = self.starts.get(&task.job());
+        let of_job = self.start_counts.get(&task.job());
         let started = of_job.and_then(|starts| starts.get(&task)).copied();
         let started = started.unwrap_or_default();
-        let base = u64::from(self.owner.ordinal) * RUNS_AN_OWNER;
+        let base = u64::from(self.owner.ordinal) * RUN_NUMBERS_PER_OWNER;
         Run(base + u64::from(started) + 1)
     }
 
     fn start(&mut self, task: TaskId, job: &Job, spec: &StepSpec, key: WorkerKey, run: Run) {
-        let base = u64::from(self.owner.ordinal) * RUNS_AN_OWNER;
+        let base = u64::from(self.owner.ordinal) * RUN_NUMBERS_PER_OWNER;
         let count = u32::try_from(run.0 - base).unwrap_or(u32::MAX);
         let footprint = spec.footprint();
         let checkpoint = self.checkpoint(task, job, spec);
-        let free = self.workers[key].room();
-        let Some(deadline_ms) = self.grant(key) else {
+        let free = self.workers[key].free_capacity();
+        let Some(deadline_ms) = self.extend_lease(key) else {
             return;
         };
-        let starts = self.starts.entry(task.job()).or_default();
+        let starts = self.start_counts.entry(task.job()).or_default();
         starts.insert(task, count);
         let Some(step) = self.steps.get_mut(&task.step) else {
             return;
         };
-        step.place(task.index, key);
+        step.assign(task.index, key);
         let charge = step.charge;
         let suspicion = step.suspicion(task.index);
-        let waited_ms = millis(self.now - step.since);
+        let waited_ms = millis(self.now - step.active_since);
         let attempt = Attempt {
             run,
             worker: key,
             phase: Phase::Starting,
             footprint,
             charge,
-            lasts: spec.long_running,
-            began: self.now,
-            at_work: false,
+            long_running: spec.long_running,
+            started_at: self.now,
+            at_full_speed: false,
             suspicion,
             checkpoint: checkpoint.clone(),
         };
         self.add_attempt(task, attempt);
-        self.tell_start(task, run, key, free, waited_ms, !checkpoint.is_empty());
-        let order = Ordered::Start {
+        self.log_start(task, run, key, free, waited_ms, !checkpoint.is_empty());
+        let order = Order::Start {
             spec: job.spec.clone(),
             checkpoint,
             deadline_ms,
@@ -318,7 +339,7 @@
         self.send_order(key, TaskOrder { task, run, order });
     }
 
-    fn tell_start(
+    fn log_start(
         &mut self,
         task: TaskId,
         run: Run,
@@ -328,7 +349,7 @@
         resumes: bool,
     ) {
         let worker = self.worker_name(key);
-        self.tell(Decision::Start {
+        self.log(Decision::Start {
             task: task.to_string().into(),
             run: run.0,
             worker,
@@ -338,17 +359,18 @@
         });
     }
 
-    /// Extends the worker's lease; gives its new end on the worker's clock.
-    fn grant(&mut self, key: WorkerKey) -> Option<u64> {
+    /// Extends the worker's lease and returns its new end on the worker's
+    /// clock.
+    fn extend_lease(&mut self, key: WorkerKey) -> Option<u64> {
         let lease = millis(self.cfg.lease);
         let worker = &mut self.workers[key];
         let until = worker.clock_ms(self.now)? + lease;
-        worker.granted_ms = worker.granted_ms.max(until);
+        worker.max_lease_end_ms = worker.max_lease_end_ms.max(until);
         Some(until)
     }
 
-    /// The latest checkpoint of a task, from the replicated state or as this
-    /// owner saw it.
+    /// The latest checkpoint of a task, as seen by this owner or else from the
+    /// replicated state.
     fn checkpoint(&self, task: TaskId, job: &Job, spec: &StepSpec) -> Box<str> {
         let key = if spec.gang { 0 } else { task.index };
         let seen = self
@@ -363,9 +385,9 @@
     }
 }
 
-/// Whether the workers of a pool refuse what does not fit. A pool that no
-/// configuration names has no work.
-fn guards_capacity(state: &ControlState, pool: &str) -> bool {
+/// Whether the workers of a pool reject tasks that do not fit. A pool that is
+/// not configured has no work.
+fn pool_enforces_capacity(state: &ControlState, pool: &str) -> bool {
     let pools = state.catalogue.as_ref().map(|catalogue| &catalogue.pools);
     let pool = pools.and_then(|pools| pools.get(pool));
     pool.is_none_or(|pool| pool.guards_capacity)
