--- a/crates/cleat-jobs/src/schedule/decision.rs
+++ b/crates/cleat-jobs/src/schedule/decision.rs
@@ -150,8 +150,8 @@
     Pool {
         /// The pool.
         pool: Box<str>,
-        /// The processor time that its running and waiting tasks need, in
-        /// thousandths of a core.
+        /// The processor time that its tasks need, both those that run or wait
+        /// and those that are forecast, in thousandths of a core.
         needed_cpu_milli: u64,
         /// The memory that they need, in MB.
         needed_memory_mb: u64,
@@ -166,8 +166,8 @@
         /// The number of its workers. Includes machines that are about to
         /// arrive.
         workers: usize,
-        /// The number of workers that it needs because a worker may run only so
-        /// many tasks of a step.
+        /// The minimum number of workers that it needs, given which tasks may
+        /// share a worker.
         least_workers: usize,
         /// The number of its workers that accept work now.
         taking: usize,
--- a/crates/cleat-jobs/src/schedule/event.rs
+++ b/crates/cleat-jobs/src/schedule/event.rs
@@ -38,7 +38,7 @@
         /// The worker's answer.
         answer: RenewalAnswer,
     },
-    /// A renewal failed.
+    /// A renewal failed or had no answer.
     RenewalFailed {
         /// The worker.
         worker: Box<str>,
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -113,7 +113,8 @@
     /// The tasks of its known runs, including those whose end is being
     /// committed.
     pub(crate) tasks: IndexSet<TaskId>,
-    /// The resources that its expected runs use.
+    /// The resources that its runs use, without strays and without runs whose
+    /// end is being committed.
     pub(crate) used: Size,
     /// The resources that its strays use.
     ///
