--- a/crates/cleat-maintain/src/lib.rs
+++ b/crates/cleat-maintain/src/lib.rs
@@ -1,14 +1,15 @@
 //! Moves of instances between pools, and maintenance waves.
 //!
-//! [`Reconciler`] decides, purely, what comes next; [`run`] carries it out on
-//! an instance while it leads. Each step is committed to the replicated log
-//! before its effect on the [`Platform`] begins, and every effect is
-//! idempotent by its [`Token`], so a step can be taken up again by any leader.
+//! [`Reconciler`] decides what to do next, without side effects. [`run`] executes
+//! the decisions on an instance while it is the leader. Each step is committed to
+//! the replicated log before its action on the [`Platform`] begins, and every
+//! action is idempotent by its [`ActionToken`], so any later leader can resume a
+//! step.
 
 mod plan;
 mod platform;
 mod run;
 
-pub use plan::{Effect, Event, Reconciler, Waiting, next_instance, waiting};
-pub use platform::{Action, HttpPlatform, Platform, PlatformError, Report, Token};
-pub use run::{Control, ControlLost, run};
+pub use plan::{Effect, Event, Reconciler, WaitReason, next_instance, wait_reason};
+pub use platform::{Action, ActionState, ActionToken, HttpPlatform, Platform, PlatformError};
+pub use run::{LeadershipLost, ReplicatedState, run};
