--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cleat_control::{
-    ControlConfig, ControlNode, LocalWorkers, Metrics, NoAdviser, NoMachines, PeerAddress,
+    ControlConfig, ControlNode, InProcessWorkers, Metrics, NoAdviser, NoMachines, PeerAddressing,
     PlatformClients,
 };
 use cleat_http::{Listener, RunningServer};
@@ -43,7 +43,7 @@
 impl DevJobs {
     /// Starts the instance in `folder`, and runs the example to its end.
     pub(crate) async fn start(folder: &Path) -> Result<DevJobs, DaemonError> {
-        let workers = LocalWorkers::new();
+        let workers = InProcessWorkers::new();
         let beat = workers.add(worker());
         let clients = PlatformClients {
             workers,
@@ -107,24 +107,24 @@
     }
 
     pub(crate) async fn stop(self) {
-        self.node.hand_over().await;
+        self.node.stop_replica().await;
         self.server.stop().await;
     }
 }
 
 fn config(folder: &Path) -> ControlConfig {
     let ip = Ipv4Addr::LOCALHOST;
-    let id = PeerAddress::key(ip);
+    let id = PeerAddressing::member_id(ip);
     ControlConfig {
         name: "dev".into(),
         id,
         listen: SocketAddr::new(ip.into(), 0),
         // Nobody else is there to be called.
-        address: PeerAddress { port: 0 },
+        address: PeerAddressing { port: 0 },
         seeds: vec![id],
         may_found: true,
         voters: 1,
-        replace_after: Duration::MAX,
+        remove_silent_after: Duration::MAX,
         data_folder: folder.join("jobs"),
         timing: Timing::prompt(),
         scheduler: SchedulerConfig::default(),
--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_control::{ControlConfig, ControlNode, Metrics, PeerAddress, PlatformClients};
+use cleat_control::{ControlConfig, ControlNode, Metrics, PeerAddressing, PlatformClients};
 use cleat_http::{ConnectionBudget, Listener};
 use cleat_jobs::SchedulerConfig;
 use cleat_operate::JobOperators;
-use cleat_platform::{ControlSide, HttpAdviser, HttpMachines, HttpWorkers, WorkerLimits};
+use cleat_platform::{ControlApi, HttpAdviser, HttpMachines, HttpWorkers, WorkerTimeouts};
 use cleat_quorum::Timing;
 use cleat_settings::{AnySettings, ControlSettings, OrderPath};
 use snafu::ResultExt;
@@ -39,7 +39,7 @@
     let metrics = Metrics::default();
     let budget = connection_budget(settings.max_files);
     let clients = PlatformClients {
-        workers: HttpWorkers::new(WorkerLimits::default(), &budget),
+        workers: HttpWorkers::new(WorkerTimeouts::default(), &budget),
         machines: HttpMachines::new(
             settings.machines.clone(),
             settings.name.clone(),
@@ -52,7 +52,7 @@
     let node = Arc::new(node.context(ControlSnafu)?);
     let listener = Listener::bind(settings.listen).await.context(ListenSnafu)?;
     let listener = listener.within(budget.clone());
-    let side = ControlSide::new(node.clone(), settings.listen);
+    let side = ControlApi::new(node.clone(), settings.listen);
     let server = listener.spawn(Arc::new(side));
     let _metrics = serve_metrics(settings.metrics, &metrics, &budget).await?;
     let operators = match settings.operators {
@@ -72,7 +72,7 @@
     follow_seeds(file, name, &events, seeds, move |keys| own.set_seeds(keys))?;
     until_told_to_stop().await?;
     events.emit(&Life::Stopping { name });
-    node.hand_over().await;
+    node.stop_replica().await;
     tokio::time::sleep(LINGER).await;
     server.stop().await;
     if let Some(operators) = operators {
@@ -110,13 +110,13 @@
     }
     ControlConfig {
         name: settings.name.clone(),
-        id: PeerAddress::key(settings.ip),
+        id: PeerAddressing::member_id(settings.ip),
         listen: SocketAddr::new(settings.bind_ip.unwrap_or(settings.ip).into(), port),
-        address: PeerAddress { port },
+        address: PeerAddressing { port },
         seeds: seed_keys(&settings.seeds),
         may_found: settings.first_start,
         voters: 2 * settings.losses_to_bear + 1,
-        replace_after: REPLACE_AFTER,
+        remove_silent_after: REPLACE_AFTER,
         data_folder: settings.data_folder.clone(),
         timing: Timing::prompt(),
         scheduler,
--- a/crates/celerycleatd/src/roles/gateway.rs
+++ b/crates/celerycleatd/src/roles/gateway.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_control::{Gateway, GatewayConfig, Metrics, PeerAddress};
+use cleat_control::{Gateway, GatewayConfig, Metrics, PeerAddressing};
 use cleat_http::{ConnectionBudget, Listener};
-use cleat_platform::{CallerSide, Readiness, ReadySide};
+use cleat_platform::{CallerApi, Readiness, ReadinessApi};
 use cleat_settings::{AnySettings, GatewaySettings};
 use snafu::ResultExt;
 use tokio::time::sleep;
@@ -30,7 +30,7 @@
     let metrics = Metrics::default();
     let gateway = Arc::new(Gateway::open(GatewayConfig {
         seeds: seed_keys(&settings.seeds),
-        address: PeerAddress { port },
+        address: PeerAddressing { port },
         metrics: metrics.clone(),
         events: events.clone(),
     }));
@@ -42,8 +42,8 @@
     // Counted, not limited: callers' connections come and go with them.
     let budget = ConnectionBudget::unlimited();
     let callers = callers.within(budget.clone());
-    let ready = ready.spawn(Arc::new(ReadySide(readiness.clone())));
-    let side = Arc::new(CallerSide::new(gateway.clone(), readiness.clone()));
+    let ready = ready.spawn(Arc::new(ReadinessApi(readiness.clone())));
+    let side = Arc::new(CallerApi::new(gateway.clone(), readiness.clone()));
     let callers = callers.spawn(side.clone());
     let _metrics = serve_metrics(settings.metrics, &metrics, &budget).await?;
     let name = &*settings.name;
@@ -59,7 +59,7 @@
     events.emit(&Life::Stopping { name });
     probing.abort();
     readiness.set(false);
-    side.begin_stop();
+    side.begin_shutdown();
     sleep(LINGER).await;
     callers.stop().await;
     ready.stop().await;
@@ -71,7 +71,7 @@
 /// Keeps the readiness true while a leader is found.
 async fn probe(gateway: Arc<Gateway>, readiness: Readiness) {
     loop {
-        let found = gateway.finds_leader(PROBE_LIMIT).await;
+        let found = gateway.reaches_leader(PROBE_LIMIT).await;
         if readiness.get() != found {
             log::info!("ready: {found}");
         }
--- a/crates/celerycleatd/src/roles/mod.rs
+++ b/crates/celerycleatd/src/roles/mod.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use cleat_control::{Metrics, PeerAddress};
+use cleat_control::{Metrics, PeerAddressing};
 use cleat_http::{ConnectionBudget, Listener, RunningServer};
 use cleat_quorum::MemberId;
 use cleat_settings::AnySettings;
@@ -103,7 +103,7 @@
 fn seed_keys(seeds: &[SocketAddrV4]) -> Vec<MemberId> {
     seeds
         .iter()
-        .map(|seed| PeerAddress::key(*seed.ip()))
+        .map(|seed| PeerAddressing::member_id(*seed.ip()))
         .collect()
 }
 
--- a/crates/cleat-control/src/address.rs
+++ b/crates/cleat-control/src/addressing.rs
@@ -9,14 +9,14 @@
 
 /// How to reach a member by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerAddress {
+pub struct PeerAddressing {
     /// The port on which every member listens for the others.
     pub port: u16,
 }
 
-impl PeerAddress {
+impl PeerAddressing {
     /// The key of the member at an address.
-    pub fn key(ip: Ipv4Addr) -> MemberId {
+    pub fn member_id(ip: Ipv4Addr) -> MemberId {
         MemberId(ip.to_bits())
     }
 
@@ -26,7 +26,7 @@
     }
 
     /// Where a member listens.
-    pub fn of(self, id: MemberId) -> SocketAddr {
-        SocketAddr::new(IpAddr::V4(PeerAddress::ip(id)), self.port)
+    pub fn socket_addr(self, id: MemberId) -> SocketAddr {
+        SocketAddr::new(IpAddr::V4(PeerAddressing::ip(id)), self.port)
     }
 }
--- a/crates/cleat-control/src/leader.rs
+++ b/crates/cleat-control/src/leader.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-use crate::PeerAddress;
+use crate::PeerAddressing;
 use crate::clock::boot_time;
 use crate::events::{CallLabel, ControlEvent, KeyRefusal};
 use crate::keys::{KeyGuard, Refusals, Verdict};
@@ -34,7 +34,7 @@
     /// Control instances to begin with.
     pub seeds: Vec<MemberId>,
     /// How they are reached.
-    pub address: PeerAddress,
+    pub address: PeerAddressing,
     /// Where calls are counted.
     pub metrics: Metrics,
     /// Where calls that fail are logged.
@@ -118,7 +118,7 @@
     }
 
     /// Whether a leader answers now.
-    pub async fn finds_leader(&self, limit: Duration) -> bool {
+    pub async fn reaches_leader(&self, limit: Duration) -> bool {
         self.ask(ControlCall::Leader, limit).await.is_ok()
     }
 
--- a/crates/cleat-control/src/lib.rs
+++ b/crates/cleat-control/src/lib.rs
@@ -5,26 +5,26 @@
 //! leader. Both speak [`ControlCall`](cleat_link::ControlCall)s; what the
 //! platform speaks is translated elsewhere, behind [`WorkerClient`].
 
-mod address;
+mod addressing;
 mod clock;
 mod error;
 mod events;
 mod keys;
 mod leader;
 mod links;
-mod local;
 mod machine;
 mod metrics;
 mod node;
 mod owner;
 mod platform;
+mod simulated;
 
-pub use address::PeerAddress;
+pub use addressing::PeerAddressing;
 pub use error::StartError;
 pub use leader::{Gateway, GatewayConfig};
-pub use local::{LocalWorkers, ModelRun, ModelWorker};
 pub use metrics::Metrics;
 pub use node::{ControlConfig, ControlNode};
 pub use platform::{
     AdviceClient, MachineClient, NoAdviser, NoMachines, PlatformClients, RenewalError, WorkerClient,
 };
+pub use simulated::{InProcessWorkers, SimulatedRun, SimulatedWorker};
--- a/crates/cleat-control/src/links.rs
+++ b/crates/cleat-control/src/links.rs
@@ -6,7 +6,7 @@
 use cleat_quorum::{MemberId, Message, Transport};
 use indexmap::IndexMap;
 
-use crate::PeerAddress;
+use crate::PeerAddressing;
 
 /// A link to a control instance.
 pub(crate) type ControlLink = Link<ControlClient>;
@@ -14,13 +14,13 @@
 /// One link to each control instance that was ever needed.
 #[derive(Debug)]
 pub(crate) struct Links {
-    address: PeerAddress,
+    address: PeerAddressing,
     traffic: Arc<LinkTraffic>,
     by_id: Mutex<IndexMap<MemberId, Arc<ControlLink>>>,
 }
 
 impl Links {
-    pub(crate) fn new(address: PeerAddress, traffic: Arc<LinkTraffic>) -> Links {
+    pub(crate) fn new(address: PeerAddressing, traffic: Arc<LinkTraffic>) -> Links {
         Links {
             address,
             traffic,
@@ -32,7 +32,7 @@
     pub(crate) fn to(&self, id: MemberId) -> Arc<ControlLink> {
         let mut by_id = self.by_id.lock().unwrap_or_else(PoisonError::into_inner);
         let link = by_id.entry(id).or_insert_with(|| {
-            let address = self.address.of(id);
+            let address = self.address.socket_addr(id);
             let cfg = LinkConfig {
                 name: address.to_string().into(),
                 address,
--- a/crates/cleat-control/src/node/config.rs
+++ b/crates/cleat-control/src/node/config.rs
@@ -7,7 +7,7 @@
 use cleat_jobs::SchedulerConfig;
 use cleat_quorum::{MemberId, Timing};
 
-use crate::PeerAddress;
+use crate::PeerAddressing;
 
 /// What a control instance is told at its start.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// Where it listens for other instances.
     pub listen: SocketAddr,
     /// How others are reached.
-    pub address: PeerAddress,
+    pub address: PeerAddressing,
     /// The instances that may found the group.
     pub seeds: Vec<MemberId>,
     /// Whether this instance may take part in founding it.
@@ -27,7 +27,7 @@
     /// How many voters the group needs: twice the losses to bear, and one.
     pub voters: usize,
     /// How long a voter beyond that number may be silent before it is removed.
-    pub replace_after: Duration,
+    pub remove_silent_after: Duration,
     /// Where its part of the state is kept.
     pub data_folder: PathBuf,
     /// Time-outs and leases of the group.
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -146,7 +146,7 @@
 
     /// Hands the lead over, if it is here, and leaves the group's work. Calls
     /// are still passed on.
-    pub async fn hand_over(&self) {
+    pub async fn stop_replica(&self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.replica().stop().await;
     }
@@ -175,7 +175,7 @@
     let joining = Joining {
         may_found: cfg.may_found,
         voters: cfg.voters,
-        silence: cfg.replace_after,
+        silence: cfg.remove_silent_after,
     };
     ReplicaConfig::new(cfg.id, seeds, rand::random())
         .with_timing(cfg.timing)
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -89,7 +89,7 @@
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
-                workers.order(&worker, &address, token, &order).await
+                workers.send_order(&worker, &address, token, &order).await
             } else {
                 sleep(TICK).await;
                 OrderAnswer::NotSent
@@ -133,7 +133,7 @@
         let (shared, machines) = (self.shared.clone(), self.machines.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
-                machines.order(&machine, token, &order).await
+                machines.send_order(&machine, token, &order).await
             } else {
                 MachineAnswer::Unknown
             };
--- a/crates/cleat-control/src/platform.rs
+++ b/crates/cleat-control/src/platform.rs
@@ -32,7 +32,7 @@
     fn list(&self) -> impl Future<Output = Option<Vec<MachineView>>> + Send;
 
     /// Orders something for a machine.
-    fn order(
+    fn send_order(
         &self,
         machine: &str,
         token: u64,
@@ -62,7 +62,7 @@
     ) -> impl Future<Output = Result<RenewalAnswer, RenewalError>> + Send;
 
     /// Tells a worker something about a run.
-    fn order(
+    fn send_order(
         &self,
         worker: &str,
         address: &str,
@@ -80,7 +80,7 @@
         None
     }
 
-    async fn order(&self, _: &str, _: u64, _: &MachineOrder) -> MachineAnswer {
+    async fn send_order(&self, _: &str, _: u64, _: &MachineOrder) -> MachineAnswer {
         MachineAnswer::Refused
     }
 }
--- a/crates/cleat-control/src/local/workers.rs
+++ b/crates/cleat-control/src/simulated/client.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use tokio::time::{Instant, sleep};
 
-use super::{ModelRun, ModelWorker};
+use super::{SimulatedRun, SimulatedWorker};
 use crate::{RenewalError, WorkerClient};
 
 /// How often a waiting renewal looks for ends.
@@ -19,15 +19,15 @@
 /// Models of workers that are called without a network. A task runs for as
 /// long as its step estimates, and succeeds.
 #[derive(Clone, Debug)]
-pub struct LocalWorkers {
+pub struct InProcessWorkers {
     origin: Instant,
-    workers: Arc<Mutex<IndexMap<Box<str>, ModelWorker>>>,
+    workers: Arc<Mutex<IndexMap<Box<str>, SimulatedWorker>>>,
 }
 
-impl LocalWorkers {
+impl InProcessWorkers {
     /// No workers yet.
-    pub fn new() -> LocalWorkers {
-        LocalWorkers {
+    pub fn new() -> InProcessWorkers {
+        InProcessWorkers {
             origin: Instant::now(),
             workers: Arc::default(),
         }
@@ -42,12 +42,12 @@
         };
         let name = record.name.clone();
         let full_speed = 100;
-        let worker = ModelWorker::new(record, full_speed, 0);
+        let worker = SimulatedWorker::new(record, full_speed, 0);
         self.lock().insert(name, worker);
         beat
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, IndexMap<Box<str>, ModelWorker>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, IndexMap<Box<str>, SimulatedWorker>> {
         self.workers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -60,11 +60,11 @@
         let now = self.now();
         let mut workers = self.lock();
         let worker = workers.get_mut(worker)?;
-        let answer = worker.list(now);
+        let answer = worker.report(now);
         (wait_over || !answer.ended.is_empty()).then_some(answer)
     }
 
-    fn planned(&self, order: &TaskOrder) -> ModelRun {
+    fn planned(&self, order: &TaskOrder) -> SimulatedRun {
         let (size, run) = match &order.order {
             Order::Start { spec, .. } => {
                 let step = spec.steps.get(usize::from(order.task.step.step));
@@ -74,22 +74,22 @@
             }
             Order::Stop | Order::Pace(_) => (Size::default(), DEFAULT_RUN),
         };
-        ModelRun {
+        SimulatedRun {
             run: order.run,
             ends_at: self.now() + run,
-            kind: EndKind::Done,
+            end_kind: EndKind::Done,
             size,
         }
     }
 }
 
-impl Default for LocalWorkers {
+impl Default for InProcessWorkers {
     fn default() -> Self {
-        LocalWorkers::new()
+        InProcessWorkers::new()
     }
 }
 
-impl WorkerClient for LocalWorkers {
+impl WorkerClient for InProcessWorkers {
     async fn renew(
         &self,
         worker: &str,
@@ -122,13 +122,19 @@
         }
     }
 
-    async fn order(&self, worker: &str, _: &str, token: u64, order: &TaskOrder) -> OrderAnswer {
+    async fn send_order(
+        &self,
+        worker: &str,
+        _: &str,
+        token: u64,
+        order: &TaskOrder,
+    ) -> OrderAnswer {
         let planned = self.planned(order);
         let now = self.now();
         let mut workers = self.lock();
         match workers.get_mut(worker) {
             None => OrderAnswer::OtherLife,
-            Some(worker) => worker.order(now, token, order, &planned),
+            Some(worker) => worker.execute_order(now, token, order, &planned),
         }
     }
 }
--- a/crates/cleat-control/src/local/mod.rs
+++ b/crates/cleat-control/src/simulated/mod.rs
@@ -1,8 +1,8 @@
 //! Workers within the process of their owner: for trying things out, and for
 //! tests. They run nothing and say that they do.
 
-mod model;
-mod workers;
+mod client;
+mod worker;
 
-pub use model::{ModelRun, ModelWorker};
-pub use workers::LocalWorkers;
+pub use client::InProcessWorkers;
+pub use worker::{SimulatedRun, SimulatedWorker};
--- a/crates/cleat-control/src/local/model.rs
+++ b/crates/cleat-control/src/simulated/worker.rs
@@ -10,28 +10,28 @@
 
 /// One run on a worker.
 #[derive(Clone, Debug)]
-pub struct ModelRun {
+pub struct SimulatedRun {
     /// Its number.
     pub run: Run,
     /// When it ends by itself.
     pub ends_at: Duration,
     /// How it ends then.
-    pub kind: EndKind,
+    pub end_kind: EndKind,
     /// What it takes up.
     pub size: Size,
 }
 
 /// One life of a worker.
 #[derive(Clone, Debug)]
-pub struct ModelWorker {
+pub struct SimulatedWorker {
     /// What it says of itself.
     pub record: WorkerRecord,
     /// Whether it is there at all.
     pub up: bool,
     /// Whether it refuses what does not fit; else it starts whatever it is told to.
-    pub guards: bool,
+    pub enforces_capacity: bool,
     /// Until when nothing reaches it or leaves it.
-    pub cut_until: Duration,
+    pub unreachable_until: Duration,
     /// How fast its clock is, in percent.
     pub clock_percent: u32,
     /// What its clock showed at the beginning, in milliseconds.
@@ -39,35 +39,35 @@
     /// The highest fencing token seen.
     pub token: u64,
     /// The end of its lease, on its clock in milliseconds.
-    pub deadline_ms: u64,
+    pub lease_deadline_ms: u64,
     /// What runs.
-    pub runs: IndexMap<TaskId, ModelRun>,
+    pub runs: IndexMap<TaskId, SimulatedRun>,
     /// The highest run of each task that was stopped or ended here.
-    pub closed: IndexMap<TaskId, Run>,
+    pub closed_runs: IndexMap<TaskId, Run>,
     /// Ends that were not acknowledged.
     pub ended: Vec<TaskEnd>,
     /// How many ends there were in this life.
-    pub numbers: u64,
+    pub end_count: u64,
     /// How many heartbeats it sent.
     pub sequence: u64,
 }
 
-impl ModelWorker {
+impl SimulatedWorker {
     /// A worker without runs, whose clock runs at `clock_percent`.
-    pub fn new(record: WorkerRecord, clock_percent: u32, clock_offset_ms: u64) -> ModelWorker {
-        ModelWorker {
+    pub fn new(record: WorkerRecord, clock_percent: u32, clock_offset_ms: u64) -> SimulatedWorker {
+        SimulatedWorker {
             record,
             up: true,
-            guards: true,
-            cut_until: Duration::ZERO,
+            enforces_capacity: true,
+            unreachable_until: Duration::ZERO,
             clock_percent,
             clock_offset_ms,
             token: 0,
-            deadline_ms: 0,
+            lease_deadline_ms: 0,
             runs: IndexMap::new(),
-            closed: IndexMap::new(),
+            closed_runs: IndexMap::new(),
             ended: Vec::new(),
-            numbers: 0,
+            end_count: 0,
             sequence: 0,
         }
     }
@@ -82,19 +82,19 @@
     /// Whether calls reach it.
     #[must_use]
     pub fn reachable(&self, now: Duration) -> bool {
-        self.up && now >= self.cut_until
+        self.up && now >= self.unreachable_until
     }
 
     /// Ends what is due, and everything once the lease is over.
     pub fn advance(&mut self, now: Duration) {
-        let lapsed = self.clock_ms(now) > self.deadline_ms;
+        let lapsed = self.clock_ms(now) > self.lease_deadline_ms;
         let due: Vec<(TaskId, EndKind)> = self
             .runs
             .iter()
             .filter(|(_, run)| lapsed || run.ends_at <= now)
             .map(|(task, run)| {
                 let kind = if run.ends_at <= now {
-                    run.kind
+                    run.end_kind
                 } else {
                     EndKind::Lapsed
                 };
@@ -111,19 +111,19 @@
             return;
         };
         self.close(task, run.run);
-        self.numbers += 1;
+        self.end_count += 1;
         let end = End {
             task,
             run: run.run,
             kind,
             checkpoint: "".into(),
         };
-        let number = self.numbers;
+        let number = self.end_count;
         self.ended.push(TaskEnd { number, end });
     }
 
     fn close(&mut self, task: TaskId, run: Run) {
-        let closed = self.closed.entry(task).or_insert(run);
+        let closed = self.closed_runs.entry(task).or_insert(run);
         *closed = (*closed).max(run);
     }
 
@@ -136,12 +136,12 @@
     }
 
     /// Carries an order out. A start tells how long and how it will run.
-    pub fn order(
+    pub fn execute_order(
         &mut self,
         now: Duration,
         token: u64,
         order: &TaskOrder,
-        planned: &ModelRun,
+        planned: &SimulatedRun,
     ) -> OrderAnswer {
         self.advance(now);
         if token < self.token {
@@ -169,12 +169,12 @@
         task: TaskId,
         run: Run,
         deadline_ms: u64,
-        planned: &ModelRun,
+        planned: &SimulatedRun,
     ) -> OrderAnswer {
         if self.clock_ms(now) > deadline_ms {
             return OrderAnswer::Late;
         }
-        self.deadline_ms = self.deadline_ms.max(deadline_ms);
+        self.lease_deadline_ms = self.lease_deadline_ms.max(deadline_ms);
         if let Some(known) = self.runs.get(&task) {
             return if known.run == run {
                 OrderAnswer::Done
@@ -182,11 +182,15 @@
                 OrderAnswer::Old
             };
         }
-        if self.closed.get(&task).is_some_and(|closed| run <= *closed) {
+        if self
+            .closed_runs
+            .get(&task)
+            .is_some_and(|closed| run <= *closed)
+        {
             return OrderAnswer::Old;
         }
         let room = self.record.capacity.saturating_sub(self.used());
-        if self.guards && !planned.size.fits(room) {
+        if self.enforces_capacity && !planned.size.fits(room) {
             return OrderAnswer::NoRoom;
         }
         self.runs.insert(task, planned.clone());
@@ -201,16 +205,16 @@
         }
         self.token = order.token;
         if let Some(deadline_ms) = order.deadline_ms {
-            self.deadline_ms = self.deadline_ms.max(deadline_ms);
+            self.lease_deadline_ms = self.lease_deadline_ms.max(deadline_ms);
         }
         self.ended.retain(|end| end.number > order.acked);
         true
     }
 
     /// What runs and ended.
-    pub fn list(&mut self, now: Duration) -> RenewalAnswer {
+    pub fn report(&mut self, now: Duration) -> RenewalAnswer {
         self.advance(now);
-        let running = |(task, run): (&TaskId, &ModelRun)| RunningTask {
+        let running = |(task, run): (&TaskId, &SimulatedRun)| RunningTask {
             task: *task,
             run: run.run,
             checkpoint: "".into(),
--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cleat_control::{ModelRun, ModelWorker};
+use cleat_control::{SimulatedRun, SimulatedWorker};
 use cleat_jobs::{
     Cap, Catalogue, Command, ControlState, Customer, CustomerDraft, Draft, Effect, EndKind, Event,
     Heartbeat, JobId, JobSpec, Order, OrderAnswer, Pool, Queue, RenewalOrder, Scheduler,
@@ -53,7 +53,7 @@
     state: ControlState,
     index: u64,
     owner: Scheduler,
-    workers: Vec<ModelWorker>,
+    workers: Vec<SimulatedWorker>,
     jobs: u64,
     /// How many customers send the jobs in turn; none if 0.
     customers: u64,
@@ -113,7 +113,7 @@
             spent: Duration::ZERO,
         };
         for at in 0..workers {
-            let worker = ModelWorker::new(record(at), 100, 1_000);
+            let worker = SimulatedWorker::new(record(at), 100, 1_000);
             let beat = Heartbeat {
                 record: worker.record.clone(),
                 draining: false,
@@ -150,7 +150,7 @@
                     worker: worker.record.name.clone(),
                     sent_at,
                     acked,
-                    answer: worker.list(self.now),
+                    answer: worker.report(self.now),
                 };
                 self.after(CALL, Happening::Tell(event));
             }
@@ -258,14 +258,14 @@
             Order::Start { spec, .. } => spec.steps[usize::from(order.task.step.step)].footprint(),
             _ => Size::default(),
         };
-        let planned = ModelRun {
+        let planned = SimulatedRun {
             run: order.run,
             ends_at: self.now + span,
-            kind: EndKind::Done,
+            end_kind: EndKind::Done,
             size,
         };
         let worker = &mut self.workers[at];
-        let answer: OrderAnswer = worker.order(self.now, token, &order, &planned);
+        let answer: OrderAnswer = worker.execute_order(self.now, token, &order, &planned);
         let event = Event::Ordered {
             worker: worker.record.name.clone(),
             order,
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_control::{ModelRun, ModelWorker};
+use cleat_control::{SimulatedRun, SimulatedWorker};
 use cleat_jobs::{
     Catalogue, Command, ControlState, Draft, Effect, EndKind, Event, Heartbeat, JobId, JobState,
     RenewalOrder, Scheduler, SchedulerConfig, Sharing, Size,
@@ -34,7 +34,7 @@
     owner: Scheduler,
     now: Duration,
     index: u64,
-    workers: IndexMap<Box<str>, (ModelWorker, Option<Held>)>,
+    workers: IndexMap<Box<str>, (SimulatedWorker, Option<Held>)>,
     events: Vec<Event>,
     came: IndexMap<JobId, (&'static str, Duration)>,
     done: IndexMap<JobId, Duration>,
@@ -63,7 +63,7 @@
         let owner = Scheduler::new(cfg, &state, Duration::ZERO, 1).expect("owned");
         let names = ["w1", "w2"].into_iter();
         let worker = |name: &str| {
-            let model = ModelWorker::new(record(name, "a"), 100, 1_000);
+            let model = SimulatedWorker::new(record(name, "a"), 100, 1_000);
             (Box::from(name), (model, None))
         };
         let mut play = Play {
@@ -136,7 +136,7 @@
                     worker: name.clone(),
                     sent_at: answered.sent_at,
                     acked: answered.order.acked,
-                    answer: model.list(now),
+                    answer: model.report(now),
                 });
             }
         }
@@ -158,17 +158,19 @@
                 order,
                 ..
             } => {
-                let planned = ModelRun {
+                let planned = SimulatedRun {
                     run: order.run,
                     ends_at: now + RUN,
-                    kind: EndKind::Done,
+                    end_kind: EndKind::Done,
                     size: Size {
                         cpu_milli: 1_000,
                         memory_mb: 100,
                         gpu: 0,
                     },
                 };
-                let answer = self.workers[&worker].0.order(now, token, &order, &planned);
+                let answer = self.workers[&worker]
+                    .0
+                    .execute_order(now, token, &order, &planned);
                 self.events.push(Event::Ordered {
                     worker,
                     order,
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -28,7 +28,8 @@
                 self.after(delay, Happening::TakeOver);
             }
             Fault::WorkerCut => {
-                self.workers[at].cut_until = self.now + ms(self.rng.random_range(300..9_000));
+                self.workers[at].unreachable_until =
+                    self.now + ms(self.rng.random_range(300..9_000));
             }
             Fault::WorkerLost => {
                 // One stays, or nothing can be finished.
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_control::{ModelRun, ModelWorker};
+use cleat_control::{SimulatedRun, SimulatedWorker};
 use cleat_jobs::{
     Command, ControlState, Effect, EndKind, Event, Heartbeat, JobId, JobState, Order, OrderAnswer,
     RenewalOrder, Run, Scheduler, SchedulerConfig, Size, TaskId, TaskOrder, WorkerHistory,
@@ -85,7 +85,7 @@
     pub(super) state: ControlState,
     index: u64,
     pub(super) owner: Option<Scheduler>,
-    pub(super) workers: Vec<ModelWorker>,
+    pub(super) workers: Vec<SimulatedWorker>,
     lives: u64,
     pub(super) accepted: IndexMap<TaskId, Run>,
     pub(super) cancelled: IndexMap<JobId, Duration>,
@@ -195,7 +195,7 @@
         self.plan.has(Fault::Cancels) && id.0.is_multiple_of(4)
     }
 
-    pub(super) fn new_life(&mut self, at: usize) -> ModelWorker {
+    pub(super) fn new_life(&mut self, at: usize) -> SimulatedWorker {
         self.lives += 1;
         let record = WorkerRecord {
             name: format!("w{at}-{}", self.lives).into(),
@@ -209,8 +209,8 @@
             history: WorkerHistory::default(),
         };
         let percent = self.rng.random_range(98..=100);
-        let mut worker = ModelWorker::new(record, percent, 1_000 * self.lives);
-        worker.guards = self.guards;
+        let mut worker = SimulatedWorker::new(record, percent, 1_000 * self.lives);
+        worker.enforces_capacity = self.guards;
         worker
     }
 
@@ -520,7 +520,7 @@
         let delay = self.delay();
         let worker = &mut self.workers[at];
         let event = if worker.reachable(now) && worker.record.name == life {
-            let answer = worker.list(now);
+            let answer = worker.report(now);
             if let Some(last) = answer.ended.last() {
                 self.heard[at] = last.number;
                 self.reach(Moment::Listed);
@@ -560,7 +560,7 @@
             OrderAnswer::OtherLife
         } else {
             let there = worker.runs.contains_key(&order.task);
-            let answer = worker.order(now, token, &order, &planned);
+            let answer = worker.execute_order(now, token, &order, &planned);
             let started = matches!(order.order, Order::Start { .. }) && answer == OrderAnswer::Done;
             if started && !there {
                 self.check_start(at, &order)?;
@@ -591,9 +591,9 @@
         Ok(())
     }
 
-    fn planned(&mut self, order: &TaskOrder) -> ModelRun {
+    fn planned(&mut self, order: &TaskOrder) -> SimulatedRun {
         let hopeless = self.hopeless.contains(&order.task.job());
-        let kind = if hopeless || self.rng.random_bool(0.03) {
+        let end_kind = if hopeless || self.rng.random_bool(0.03) {
             *self.failures.entry(order.task.job()).or_default() += 1;
             EndKind::Failed
         } else {
@@ -608,10 +608,10 @@
         } else {
             ms(self.rng.random_range(50..1_500))
         };
-        ModelRun {
+        SimulatedRun {
             run: order.run,
             ends_at: self.now + span,
-            kind,
+            end_kind,
             size,
         }
     }
