--- a/crates/cleat-control/src/leader.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -15,18 +15,18 @@
 use crate::PeerAddressing;
 use crate::clock::boot_time;
 use crate::events::{CallLabel, ControlEvent, KeyRefusal};
-use crate::keys::{KeyGuard, Refusals, Verdict};
+use crate::keys::{KeyFilter, RefusalLog, Verdict};
 use crate::links::Links;
 use crate::metrics::{Metrics, call_kind};
 
 /// How long one instance may take before another is asked. Far above the time
 /// of a commit (a sync of 6 to 9 ms and a round trip), as long as the longest
 /// wait before an election.
-const TRY_LIMIT: Duration = Duration::from_millis(600);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 /// The pause after an instance that knows no leader: a fraction of an election.
-const NO_LEADER_PAUSE: Duration = Duration::from_millis(40);
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
 /// No leader is known.
-const NOBODY: u32 = 0;
+const LEADER_UNKNOWN: u32 = 0;
 
 /// What a gateway is told.
 #[derive(Clone, Debug)]
@@ -52,39 +52,39 @@
     /// than theirs.
     leader: watch::Sender<u32>,
     /// What it remembers of its callers' keys.
-    keys: Mutex<KeyGuard>,
-    /// Refusals that are not logged yet.
-    refusals: Mutex<Refusals>,
+    keys: Mutex<KeyFilter>,
+    /// RefusalLog that are not logged yet.
+    refusals: Mutex<RefusalLog>,
     metrics: Metrics,
     events: EventLog,
 }
 
 /// What one try came to.
-enum Try {
+enum Attempt {
     Answered(ControlReply),
     /// Ask this instance.
-    Elsewhere(MemberId),
+    Redirected(MemberId),
     /// Another leads by now; the instance asked may have taken the call.
-    Replaced(MemberId),
+    LeaderChanged(MemberId),
     /// Ask any other.
     NoLeader {
         may_be_done: bool,
     },
-    Refused(ControlError),
+    Rejected(ControlError),
 }
 
 impl Gateway {
     /// Opens links to the seeds. Needs a tokio runtime.
     pub fn open(cfg: GatewayConfig) -> Gateway {
         let links = Arc::new(Links::new(cfg.address, Arc::new(LinkTraffic::default())));
-        let gateway = Gateway::over(links, cfg.seeds, cfg.metrics, cfg.events);
+        let gateway = Gateway::with_links(links, cfg.seeds, cfg.metrics, cfg.events);
         for seed in gateway.seeds.load().iter() {
-            gateway.links.to(*seed);
+            gateway.links.link_to(*seed);
         }
         gateway
     }
 
-    pub(crate) fn over(
+    pub(crate) fn with_links(
         links: Arc<Links>,
         seeds: Vec<MemberId>,
         metrics: Metrics,
@@ -93,8 +93,8 @@
         Gateway {
             seeds: ArcSwap::from_pointee(seeds),
             links,
-            leader: watch::Sender::new(NOBODY),
-            keys: Mutex::new(KeyGuard::new(boot_time())),
+            leader: watch::Sender::new(LEADER_UNKNOWN),
+            keys: Mutex::new(KeyFilter::new(boot_time())),
             refusals: Mutex::default(),
             metrics,
             events,
@@ -107,7 +107,7 @@
     }
 
     /// Sets who leads, if that is known from elsewhere.
-    pub(crate) fn expect_leader(&self, leader: Option<MemberId>) {
+    pub(crate) fn set_leader_hint(&self, leader: Option<MemberId>) {
         if let Some(MemberId(key)) = leader {
             // A belief: calls under way are not turned away for it.
             self.leader.send_if_modified(|leader| {
@@ -131,13 +131,13 @@
         let shown = call.shown_key();
         let answer = match &shown {
             Some(shown) => self.ask_with_key(call, shown, limit).await,
-            None => self.ask_in_turn(call, limit).await,
+            None => self.ask_with_retries(call, limit).await,
         };
         if matches!(answer, Ok(ControlReply::UnknownKey)) {
-            self.note_refusal(KeyRefusal::Unknown, shown.as_ref(), label.path());
+            self.record_refusal(KeyRefusal::Unknown, shown.as_ref(), label.path());
         }
         let took = began.elapsed();
-        self.metrics.call(kind, took, &answer);
+        self.metrics.record_call(kind, took, &answer);
         if let Some(event) = label.outcome(&answer, took) {
             self.events.emit(&event);
         }
@@ -152,26 +152,26 @@
         limit: Duration,
     ) -> Result<ControlReply, AskError> {
         let asked_at = boot_time();
-        match self.keys().judge(shown, asked_at) {
-            Verdict::Ask => {}
+        match self.keys().check(shown, asked_at) {
+            Verdict::Forward => {}
             Verdict::Unknown => return Ok(ControlReply::UnknownKey),
             Verdict::TooMany => {
-                self.note_refusal(KeyRefusal::TooMany, Some(shown), Some(&shown.prefix));
+                self.record_refusal(KeyRefusal::TooMany, Some(shown), Some(&shown.prefix));
                 return Err(AskError::TooManyKeys);
             }
         }
-        let answer = self.ask_in_turn(call, limit).await;
+        let answer = self.ask_with_retries(call, limit).await;
         if let Ok(reply) = &answer {
-            self.keys().learn(shown, reply, asked_at);
+            self.keys().record_reply(shown, reply, asked_at);
         }
         answer
     }
 
     /// Counts a call that was refused for its key, and logs so once a second.
-    fn note_refusal(&self, reason: KeyRefusal, shown: Option<&ShownKey>, path: Option<&str>) {
+    fn record_refusal(&self, reason: KeyRefusal, shown: Option<&ShownKey>, path: Option<&str>) {
         let key = shown.map(|shown| shown.key.to_string().into());
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        let line = refusals.note(reason, key, path.unwrap_or_default(), boot_time());
+        let line = refusals.record(reason, key, path.unwrap_or_default(), boot_time());
         drop(refusals);
         self.metrics.count("calls.key_refused");
         if let Some(line) = line {
@@ -179,11 +179,11 @@
         }
     }
 
-    fn keys(&self) -> std::sync::MutexGuard<'_, KeyGuard> {
+    fn keys(&self) -> std::sync::MutexGuard<'_, KeyFilter> {
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn ask_in_turn(
+    async fn ask_with_retries(
         &self,
         mut call: ControlCall,
         limit: Duration,
@@ -192,80 +192,82 @@
         let deadline = began + limit;
         let mut may_be_done = false;
         let mut next_seed = 0;
-        let mut at = self.known_leader();
+        let mut next_target = self.known_leader();
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(unanswered(may_be_done));
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(timeout_error(may_be_done));
             }
-            let target = at.take().unwrap_or_else(|| {
+            let target = next_target.take().unwrap_or_else(|| {
                 next_seed += 1;
                 self.seed(next_seed)
             });
             call.note_wait(began.elapsed());
-            let tried = tokio::select! {
-                tried = self.try_at(target, call.clone(), left.min(TRY_LIMIT)) => tried,
-                leader = self.another_leader(target) => Try::Replaced(leader),
+            let outcome = tokio::select! {
+                outcome = self.attempt(target, call.clone(), remaining.min(ATTEMPT_TIMEOUT)) => outcome,
+                leader = self.leader_other_than(target) => Attempt::LeaderChanged(leader),
             };
-            match tried {
-                Try::Answered(reply) => {
-                    self.note_leader(target);
+            match outcome {
+                Attempt::Answered(reply) => {
+                    self.set_leader(target);
                     return Ok(reply);
                 }
-                Try::Replaced(leader) => {
+                Attempt::LeaderChanged(leader) => {
                     may_be_done = true;
-                    at = Some(leader);
+                    next_target = Some(leader);
                 }
-                Try::Refused(source) => return Err(AskError::Refused { source }),
-                Try::Elsewhere(leader) if leader != target => at = Some(leader),
-                Try::Elsewhere(_) => sleep(NO_LEADER_PAUSE).await,
-                Try::NoLeader { may_be_done: maybe } => {
-                    may_be_done |= maybe;
+                Attempt::Rejected(source) => return Err(AskError::Refused { source }),
+                Attempt::Redirected(leader) if leader != target => next_target = Some(leader),
+                Attempt::Redirected(_) => sleep(NO_LEADER_RETRY_DELAY).await,
+                Attempt::NoLeader {
+                    may_be_done: uncertain,
+                } => {
+                    may_be_done |= uncertain;
                     // The others may already know a better one.
                     self.leader.send_if_modified(|leader| {
-                        let believed = *leader == target.0;
-                        if believed {
-                            *leader = NOBODY;
+                        let was_current = *leader == target.0;
+                        if was_current {
+                            *leader = LEADER_UNKNOWN;
                         }
-                        believed
+                        was_current
                     });
-                    sleep(NO_LEADER_PAUSE.min(left)).await;
+                    sleep(NO_LEADER_RETRY_DELAY.min(remaining)).await;
                 }
             }
         }
     }
 
-    async fn try_at(&self, target: MemberId, call: ControlCall, limit: Duration) -> Try {
-        match self.links.to(target).ask(call, limit).await {
-            Ok(reply) => Try::Answered(reply),
-            Err(CallError::NotSent { .. }) => Try::NoLeader { may_be_done: false },
-            Err(CallError::NoAnswer { .. }) => Try::NoLeader { may_be_done: true },
+    async fn attempt(&self, target: MemberId, call: ControlCall, limit: Duration) -> Attempt {
+        match self.links.link_to(target).ask(call, limit).await {
+            Ok(reply) => Attempt::Answered(reply),
+            Err(CallError::NotSent { .. }) => Attempt::NoLeader { may_be_done: false },
+            Err(CallError::NoAnswer { .. }) => Attempt::NoLeader { may_be_done: true },
             Err(CallError::Refused { source, .. }) => match source {
-                ControlError::NotLeader { leader: Some(key) } => Try::Elsewhere(MemberId(key)),
+                ControlError::NotLeader { leader: Some(key) } => Attempt::Redirected(MemberId(key)),
                 ControlError::NotLeader { leader: None }
                 | ControlError::NoQuorum
-                | ControlError::Stopping => Try::NoLeader { may_be_done: false },
-                ControlError::OutcomeUnknown => Try::NoLeader { may_be_done: true },
-                ControlError::TooLarge => Try::Refused(source),
+                | ControlError::Stopping => Attempt::NoLeader { may_be_done: false },
+                ControlError::OutcomeUnknown => Attempt::NoLeader { may_be_done: true },
+                ControlError::TooLarge => Attempt::Rejected(source),
             },
         }
     }
 
     fn known_leader(&self) -> Option<MemberId> {
         match *self.leader.borrow() {
-            NOBODY => None,
+            LEADER_UNKNOWN => None,
             key => Some(MemberId(key)),
         }
     }
 
     /// Notes who answered as the leader, and turns calls under way to it.
-    fn note_leader(&self, MemberId(key): MemberId) {
+    fn set_leader(&self, MemberId(key): MemberId) {
         self.leader
             .send_if_modified(|leader| std::mem::replace(leader, key) != key);
     }
 
     /// Waits until another leader than `target` is heard of.
-    async fn another_leader(&self, target: MemberId) -> MemberId {
+    async fn leader_other_than(&self, target: MemberId) -> MemberId {
         let mut changes = self.leader.subscribe();
         loop {
             // The sender is this gateway's own and lives as long as the wait.
@@ -273,21 +275,21 @@
                 std::future::pending::<()>().await;
             }
             let key = *changes.borrow_and_update();
-            if key != NOBODY && key != target.0 {
+            if key != LEADER_UNKNOWN && key != target.0 {
                 return MemberId(key);
             }
         }
     }
 
-    fn seed(&self, turn: usize) -> MemberId {
+    fn seed(&self, index: usize) -> MemberId {
         // The settings refuse an empty list.
         let seeds = self.seeds.load();
-        let seed = seeds.get(turn % seeds.len().max(1));
-        seed.copied().unwrap_or(MemberId(NOBODY))
+        let seed = seeds.get(index % seeds.len().max(1));
+        seed.copied().unwrap_or(MemberId(LEADER_UNKNOWN))
     }
 }
 
-fn unanswered(may_be_done: bool) -> AskError {
+fn timeout_error(may_be_done: bool) -> AskError {
     if may_be_done {
         AskError::Unknown
     } else {
--- a/crates/cleat-control/src/keys/mod.rs
+++ b/crates/cleat-control/src/keys/mod.rs
@@ -8,11 +8,11 @@
 //! a second: of 100,000 in ten seconds 800 at most (counted by the test of a flood).
 //! Keys that the leader knew lately are never held up by that.
 
-mod refusals;
+mod refusal_log;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use refusals::Refusals;
+pub(crate) use refusal_log::RefusalLog;
 
 use std::time::Duration;
 
@@ -23,23 +23,23 @@
 /// How long an unknown key is refused without asking again. A key that comes into
 /// force is refused for no longer; well below the quarter of a second within which
 /// a caller may turn from a gateway that has seen a change to one that has not.
-const MISS_REMEMBERED: Duration = Duration::from_millis(100);
+const UNKNOWN_KEY_TTL: Duration = Duration::from_millis(100);
 /// How many new keys a second a gateway sends on; a fleet of 150 customers has
 /// changes to 2,600 keys a day.
 const NEW_KEYS_PER_SECOND: f64 = 50.0;
 /// How many new keys a gateway may send on at once: all those of 150 customers,
 /// two each, as after a start.
-const NEW_KEYS_AT_ONCE: f64 = 300.0;
+const NEW_KEY_BURST: f64 = 300.0;
 /// How many keys are remembered as known: those of ten times as many customers.
-const KNOWN_KEYS: usize = 3_000;
+const MAX_KNOWN_KEYS: usize = 3_000;
 /// How many unknown keys are remembered: those that can be sent on meanwhile.
-const MISSES: usize = 400;
+const MAX_UNKNOWN_KEYS: usize = 400;
 
 /// What is to be done with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// The leader is asked.
-    Ask,
+    Forward,
     /// The leader said just now that nobody has this key.
     Unknown,
     /// Too many new keys came; whether somebody has this one is not known.
@@ -48,74 +48,80 @@
 
 /// What a gateway remembers of keys.
 #[derive(Debug)]
-pub(crate) struct KeyGuard {
+pub(crate) struct KeyFilter {
     /// Keys that the leader knew when it was asked last, in no order.
     known: IndexSet<KeyDigest>,
     /// When the leader last did not know a key, oldest first.
-    misses: IndexMap<ShownKey, Duration>,
+    unknown: IndexMap<ShownKey, Duration>,
     /// How many new keys may be sent on.
-    budget: f64,
-    /// When the budget was last added to.
-    refilled: Duration,
+    new_key_tokens: f64,
+    /// When the new_key_tokens was last added to.
+    refilled_at: Duration,
 }
 
-impl KeyGuard {
-    pub(crate) fn new(now: Duration) -> KeyGuard {
-        KeyGuard {
+impl KeyFilter {
+    pub(crate) fn new(now: Duration) -> KeyFilter {
+        KeyFilter {
             known: IndexSet::new(),
-            misses: IndexMap::new(),
-            budget: NEW_KEYS_AT_ONCE,
-            refilled: now,
+            unknown: IndexMap::new(),
+            new_key_tokens: NEW_KEY_BURST,
+            refilled_at: now,
         }
     }
 
     /// What to do with a call that shows a key.
-    pub(crate) fn judge(&mut self, shown: &ShownKey, now: Duration) -> Verdict {
+    pub(crate) fn check(&mut self, shown: &ShownKey, now: Duration) -> Verdict {
         if self.known.contains(&shown.key) {
-            return Verdict::Ask;
+            return Verdict::Forward;
         }
-        let missed = self.misses.get(shown);
-        if missed.is_some_and(|at| now < *at + MISS_REMEMBERED) {
+        let unknown_since = self.unknown.get(shown);
+        if unknown_since.is_some_and(|at| now < *at + UNKNOWN_KEY_TTL) {
             return Verdict::Unknown;
         }
         self.refill(now);
-        if self.budget < 1.0 {
+        if self.new_key_tokens < 1.0 {
             return Verdict::TooMany;
         }
-        self.budget -= 1.0;
-        Verdict::Ask
+        self.new_key_tokens -= 1.0;
+        Verdict::Forward
     }
 
     /// Learns from the leader's answer. `asked_at` is when the call was sent: a
     /// miss counts from then, as the leader may have looked that long ago.
-    pub(crate) fn learn(&mut self, shown: &ShownKey, reply: &ControlReply, asked_at: Duration) {
+    pub(crate) fn record_reply(
+        &mut self,
+        shown: &ShownKey,
+        reply: &ControlReply,
+        asked_at: Duration,
+    ) {
         match reply {
-            ControlReply::UnknownKey => self.note_miss(shown, asked_at),
+            ControlReply::UnknownKey => self.record_unknown(shown, asked_at),
             // Told before the key is looked at.
             ControlReply::NoSuchQueue | ControlReply::NoConfiguration => {}
-            _ => self.note_known(shown.key),
+            _ => self.record_known(shown.key),
         }
     }
 
-    fn note_miss(&mut self, shown: &ShownKey, asked_at: Duration) {
+    fn record_unknown(&mut self, shown: &ShownKey, asked_at: Duration) {
         self.known.swap_remove(&shown.key);
-        self.misses.shift_remove(shown);
-        if self.misses.len() >= MISSES {
-            self.misses.shift_remove_index(0);
+        self.unknown.shift_remove(shown);
+        if self.unknown.len() >= MAX_UNKNOWN_KEYS {
+            self.unknown.shift_remove_index(0);
         }
-        self.misses.insert(shown.clone(), asked_at);
+        self.unknown.insert(shown.clone(), asked_at);
     }
 
-    fn note_known(&mut self, key: KeyDigest) {
-        if self.known.len() >= KNOWN_KEYS && !self.known.contains(&key) {
+    fn record_known(&mut self, key: KeyDigest) {
+        if self.known.len() >= MAX_KNOWN_KEYS && !self.known.contains(&key) {
             self.known.swap_remove_index(0);
         }
         self.known.insert(key);
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = self.refilled.max(now);
-        self.budget = (self.budget + passed * NEW_KEYS_PER_SECOND).min(NEW_KEYS_AT_ONCE);
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.new_key_tokens =
+            (self.new_key_tokens + passed * NEW_KEYS_PER_SECOND).min(NEW_KEY_BURST);
     }
 }
--- a/crates/cleat-control/src/keys/refusals.rs
+++ b/crates/cleat-control/src/keys/refusal_log.rs
@@ -9,42 +9,42 @@
 
 use crate::events::{KeyRefusal, KeysRefused};
 
-/// How long refusals are gathered into one line: short enough for a caller who asks
+/// How long refusals are pending into one line: short enough for a caller who asks
 /// why it was refused a moment ago.
-const INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Refusals that are not logged yet.
+/// RefusalLog that are not logged yet.
 #[derive(Debug, Default)]
-pub(crate) struct Refusals {
-    by_reason: IndexMap<KeyRefusal, Gathered>,
+pub(crate) struct RefusalLog {
+    by_reason: IndexMap<KeyRefusal, PendingRefusals>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Gathered {
+struct PendingRefusals {
     count: u64,
     logged_at: Option<Duration>,
 }
 
-impl Refusals {
+impl RefusalLog {
     /// Counts a refusal; gives the line to write, if one is due.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         reason: KeyRefusal,
         key: Option<Box<str>>,
         path: &str,
         now: Duration,
     ) -> Option<KeysRefused> {
-        let gathered = self.by_reason.entry(reason).or_default();
-        gathered.count += 1;
-        let logged = gathered.logged_at;
-        if logged.is_some_and(|at| now < at + INTERVAL) {
+        let pending = self.by_reason.entry(reason).or_default();
+        pending.count += 1;
+        let logged = pending.logged_at;
+        if logged.is_some_and(|at| now < at + LOG_INTERVAL) {
             return None;
         }
-        gathered.logged_at = Some(now);
+        pending.logged_at = Some(now);
         let prefix = path.rfind('/').map_or(path, |end| &path[..=end]);
         Some(KeysRefused {
             reason,
-            count: std::mem::take(&mut gathered.count),
+            count: std::mem::take(&mut pending.count),
             key,
             path: prefix.into(),
         })
--- a/crates/cleat-control/src/lib.rs
+++ b/crates/cleat-control/src/lib.rs
@@ -9,19 +9,19 @@
 mod clock;
 mod error;
 mod events;
+mod gateway;
 mod keys;
-mod leader;
 mod links;
-mod machine;
 mod metrics;
 mod node;
 mod owner;
 mod platform;
 mod simulated;
+mod state_machine;
 
 pub use addressing::PeerAddressing;
 pub use error::StartError;
-pub use leader::{Gateway, GatewayConfig};
+pub use gateway::{Gateway, GatewayConfig};
 pub use metrics::Metrics;
 pub use node::{ControlConfig, ControlNode};
 pub use platform::{
--- a/crates/cleat-control/src/links.rs
+++ b/crates/cleat-control/src/links.rs
@@ -29,7 +29,7 @@
     }
 
     /// The link to an instance. It may not be connected yet.
-    pub(crate) fn to(&self, id: MemberId) -> Arc<ControlLink> {
+    pub(crate) fn link_to(&self, id: MemberId) -> Arc<ControlLink> {
         let mut by_id = self.by_id.lock().unwrap_or_else(PoisonError::into_inner);
         let link = by_id.entry(id).or_insert_with(|| {
             let address = self.address.socket_addr(id);
@@ -48,6 +48,6 @@
 
 impl Transport for LinkTransport {
     fn send(&self, to: MemberId, message: Message) {
-        self.0.to(to).send(message);
+        self.0.link_to(to).send(message);
     }
 }
--- a/crates/cleat-control/src/metrics.rs
+++ b/crates/cleat-control/src/metrics.rs
@@ -59,7 +59,7 @@
     }
 
     /// Counts a call and how long it took.
-    pub(crate) fn call<E: std::fmt::Debug>(
+    pub(crate) fn record_call<E: std::fmt::Debug>(
         &self,
         kind: &'static str,
         took: Duration,
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -17,26 +17,26 @@
 use crate::events::ControlEvent;
 
 /// A call that needs a commit, or its answer.
-enum Step {
-    Answer(ControlReply),
+enum Action {
+    Reply(ControlReply),
     Commit(Command),
 }
 
 /// What a call of a customer names.
-struct Address<'a> {
+struct JobAddress<'a> {
     host: &'a str,
     path: &'a str,
     key: Option<&'a KeyDigest>,
 }
 
-impl<'a> Address<'a> {
-    fn of(host: &'a str, path: &'a str, key: Option<&'a KeyDigest>) -> Address<'a> {
-        Address { host, path, key }
+impl<'a> JobAddress<'a> {
+    fn of(host: &'a str, path: &'a str, key: Option<&'a KeyDigest>) -> JobAddress<'a> {
+        JobAddress { host, path, key }
     }
 }
 
 /// What that leads to, for a caller who may go there.
-enum Place {
+enum Route {
     Queue(Arc<Queue>),
     Job(Arc<Queue>, JobId, Caller),
 }
@@ -52,19 +52,19 @@
         if !self.leads() || !self.state.read(|state| state.founded) {
             return Err(ControlError::NoQuorum);
         }
-        match self.first_step(call)? {
-            Step::Answer(reply) => Ok(reply),
-            Step::Commit(command) => {
+        match self.plan(call)? {
+            Action::Reply(reply) => Ok(reply),
+            Action::Commit(command) => {
                 let reply = self.commit(&command).await?;
-                self.tell_commit(&command);
+                self.log_commit(&command);
                 Ok(reply)
             }
         }
     }
 
-    fn first_step(&self, call: ControlCall) -> Result<Step, ControlError> {
-        let step = match call {
-            ControlCall::Leader => Step::Answer(ControlReply::Leading),
+    fn plan(&self, call: ControlCall) -> Result<Action, ControlError> {
+        let action = match call {
+            ControlCall::Leader => Action::Reply(ControlReply::Leading),
             ControlCall::Submit {
                 host,
                 path,
@@ -73,44 +73,46 @@
                 waited_ms,
             } => {
                 let came_ms = wall_ms().saturating_sub(waited_ms);
-                self.submit(&Address::of(&host, &path, key.as_ref()), spec, came_ms)
+                self.submit(&JobAddress::of(&host, &path, key.as_ref()), spec, came_ms)
             }
             ControlCall::Look { host, path, key } => {
-                Step::Answer(self.look(&Address::of(&host, &path, key.as_ref()))?)
+                Action::Reply(self.look(&JobAddress::of(&host, &path, key.as_ref()))?)
             }
             ControlCall::Cancel { host, path, key } => {
-                self.cancel(&Address::of(&host, &path, key.as_ref()))
+                self.cancel(&JobAddress::of(&host, &path, key.as_ref()))
             }
             ControlCall::SubmitTo { queue, id, spec } => self.submit_to(&queue, id, spec),
             ControlCall::LookAt { id } => {
-                Step::Answer(self.state.read(|state| self.job(state, id)))
+                Action::Reply(self.state.read(|state| self.job(state, id)))
             }
             ControlCall::CancelJob { id } => self.state.read(|state| cancel_job(state, id)),
-            ControlCall::Overview => Step::Answer(self.overview()?),
-            ControlCall::Heartbeat(beat) => self.heartbeat(beat)?,
-            ControlCall::Left { worker } => Step::Answer(self.hand_over(Event::Left { worker })?),
+            ControlCall::Overview => Action::Reply(self.overview()?),
+            ControlCall::Heartbeat(heartbeat) => self.heartbeat(heartbeat)?,
+            ControlCall::Left { worker } => {
+                Action::Reply(self.send_to_owner(Event::Left { worker })?)
+            }
             ControlCall::Configure(catalogue) => self.configure(catalogue),
-            ControlCall::Configuration => Step::Answer(self.configuration()),
+            ControlCall::Configuration => Action::Reply(self.configuration()),
             ControlCall::StartWave {
                 wave,
                 machines,
                 duration_ms,
                 max_at_once,
-            } => Step::Commit(Command::StartWave {
+            } => Action::Commit(Command::StartWave {
                 wave,
                 machines,
                 duration_ms,
                 max_at_once,
             }),
-            ControlCall::Wave { wave } => Step::Answer(self.wave(wave)),
+            ControlCall::Wave { wave } => Action::Reply(self.wave(wave)),
         };
-        Ok(step)
+        Ok(action)
     }
 
     /// Gives an event to the owner. It has to be there: whoever hears `Done`
     /// relies on it.
-    fn hand_over(&self, event: Event) -> Result<ControlReply, ControlError> {
-        if self.state.send(event) {
+    fn send_to_owner(&self, event: Event) -> Result<ControlReply, ControlError> {
+        if self.state.send_to_owner(event) {
             Ok(ControlReply::Done)
         } else {
             Err(ControlError::NoQuorum)
@@ -119,24 +121,24 @@
 
     /// Takes a heartbeat. That a worker is about to end is committed before it
     /// hears so: it relies on every later owner to give it no work.
-    fn heartbeat(&self, beat: Heartbeat) -> Result<Step, ControlError> {
-        let name = beat.record.name.clone();
-        let known = self.state.read(|state| state.draining.contains(&name));
-        let drains = beat.draining;
-        let reply = self.hand_over(Event::Heartbeat(beat))?;
-        Ok(if drains && !known {
-            Step::Commit(Command::Draining { name })
+    fn heartbeat(&self, heartbeat: Heartbeat) -> Result<Action, ControlError> {
+        let name = heartbeat.record.name.clone();
+        let already_committed = self.state.read(|state| state.draining.contains(&name));
+        let is_draining = heartbeat.draining;
+        let reply = self.send_to_owner(Event::Heartbeat(heartbeat))?;
+        Ok(if is_draining && !already_committed {
+            Action::Commit(Command::Draining { name })
         } else {
-            Step::Answer(reply)
+            Action::Reply(reply)
         })
     }
 
-    fn submit(&self, address: &Address<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Step {
-        self.state.read(|state| match place(state, address) {
-            Err(refusal) => Step::Answer(refusal),
-            Ok(Place::Queue(_)) => Step::Answer(ControlReply::NotAJob),
-            Ok(Place::Job(queue, id, caller)) => match state.owner_of(id) {
-                None => Step::Commit(Command::Submit {
+    fn submit(&self, address: &JobAddress<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Action {
+        self.state.read(|state| match resolve(state, address) {
+            Err(refusal) => Action::Reply(refusal),
+            Ok(Route::Queue(_)) => Action::Reply(ControlReply::NotAJob),
+            Ok(Route::Job(queue, id, caller)) => match state.owner_of(id) {
+                None => Action::Commit(Command::Submit {
                     id,
                     queue,
                     customer: caller.name().map(Into::into),
@@ -144,25 +146,25 @@
                     came_ms,
                 }),
                 // Sent again: it is stored already.
-                Some(owner) if owner == caller.name() => Step::Answer(ControlReply::Done),
-                Some(_) => Step::Answer(ControlReply::Taken),
+                Some(owner) if owner == caller.name() => Action::Reply(ControlReply::Done),
+                Some(_) => Action::Reply(ControlReply::Taken),
             },
         })
     }
 
-    fn look(&self, address: &Address<'_>) -> Result<ControlReply, ControlError> {
-        self.state.read(|state| match place(state, address) {
+    fn look(&self, address: &JobAddress<'_>) -> Result<ControlReply, ControlError> {
+        self.state.read(|state| match resolve(state, address) {
             Err(refusal) => Ok(refusal),
-            Ok(Place::Queue(queue)) => {
+            Ok(Route::Queue(queue)) => {
                 let count =
                     |s: &cleat_jobs::Scheduler| s.waiting(state, &queue.host, &queue.prefix);
                 let waiting = self.with_scheduler(count).ok_or(ControlError::NoQuorum)?;
                 Ok(ControlReply::Waiting(waiting as u64))
             }
-            Ok(Place::Job(_, id, caller)) if hidden(state, id, &caller) => {
+            Ok(Route::Job(_, id, caller)) if is_other_customers_job(state, id, &caller) => {
                 Ok(ControlReply::NoSuchJob)
             }
-            Ok(Place::Job(_, id, _)) => Ok(self.job(state, id)),
+            Ok(Route::Job(_, id, _)) => Ok(self.job(state, id)),
         })
     }
 
@@ -174,29 +176,29 @@
         ControlReply::Job(JobView::of(known, begun.unwrap_or_default()))
     }
 
-    fn cancel(&self, address: &Address<'_>) -> Step {
-        self.state.read(|state| match place(state, address) {
-            Err(refusal) => Step::Answer(refusal),
-            Ok(Place::Queue(_)) => Step::Answer(ControlReply::NotAJob),
-            Ok(Place::Job(_, id, caller)) if hidden(state, id, &caller) => {
-                Step::Answer(ControlReply::NoSuchJob)
+    fn cancel(&self, address: &JobAddress<'_>) -> Action {
+        self.state.read(|state| match resolve(state, address) {
+            Err(refusal) => Action::Reply(refusal),
+            Ok(Route::Queue(_)) => Action::Reply(ControlReply::NotAJob),
+            Ok(Route::Job(_, id, caller)) if is_other_customers_job(state, id, &caller) => {
+                Action::Reply(ControlReply::NoSuchJob)
             }
-            Ok(Place::Job(_, id, _)) => cancel_job(state, id),
+            Ok(Route::Job(_, id, _)) => cancel_job(state, id),
         })
     }
 
-    fn submit_to(&self, queue: &str, id: JobId, spec: Arc<JobSpec>) -> Step {
+    fn submit_to(&self, queue: &str, id: JobId, spec: Arc<JobSpec>) -> Action {
         self.state.read(|state| {
             let Some(catalogue) = &state.catalogue else {
-                return Step::Answer(ControlReply::NoConfiguration);
+                return Action::Reply(ControlReply::NoConfiguration);
             };
             let mut queues = catalogue.queues.iter();
             match queues.find(|known| *known.name == *queue) {
-                None => Step::Answer(ControlReply::NoSuchQueue),
-                Some(_) if state.job_state(id).is_some() => Step::Answer(ControlReply::Done),
+                None => Action::Reply(ControlReply::NoSuchQueue),
+                Some(_) if state.job_state(id).is_some() => Action::Reply(ControlReply::Done),
                 Some(queue) => {
                     let queue = queue.clone();
-                    Step::Commit(Command::Submit {
+                    Action::Commit(Command::Submit {
                         id,
                         queue,
                         customer: None,
@@ -229,15 +231,15 @@
         Ok(ControlReply::Overview(overview))
     }
 
-    fn configure(&self, catalogue: Arc<Catalogue>) -> Step {
-        let held = self.state.read(|state| {
-            let held = state.catalogue.as_ref();
-            held.is_some_and(|held| held.version >= catalogue.version)
+    fn configure(&self, catalogue: Arc<Catalogue>) -> Action {
+        let is_current = self.state.read(|state| {
+            let current = state.catalogue.as_ref();
+            current.is_some_and(|current| current.version >= catalogue.version)
         });
-        if held {
-            Step::Answer(ControlReply::Done)
+        if is_current {
+            Action::Reply(ControlReply::Done)
         } else {
-            Step::Commit(Command::Configure(catalogue))
+            Action::Commit(Command::Configure(catalogue))
         }
     }
 
@@ -260,7 +262,7 @@
         })
     }
 
-    fn tell_commit(&self, command: &Command) {
+    fn log_commit(&self, command: &Command) {
         if let Command::Configure(catalogue) = command {
             self.events.emit(&ControlEvent::Configured {
                 version: catalogue.version,
@@ -278,7 +280,7 @@
             .latencies
             .latency("commit")
             .record(began.elapsed());
-        let applied = applied.map_err(|error| refusal(&error))?;
+        let applied = applied.map_err(|error| control_error(&error))?;
         Ok(match Answer::decode(&applied.answer) {
             Some(Answer::Done) => ControlReply::Done,
             Some(Answer::NoSuchJob) => ControlReply::NoSuchJob,
@@ -289,12 +291,12 @@
     }
 }
 
-fn cancel_job(state: &ControlState, id: JobId) -> Step {
+fn cancel_job(state: &ControlState, id: JobId) -> Action {
     match state.job_state(id) {
-        None => Step::Answer(ControlReply::NoSuchJob),
-        Some(JobState::Active) => Step::Commit(Command::Cancel { id }),
-        Some(JobState::Cancelled) => Step::Answer(ControlReply::Done),
-        Some(_) => Step::Answer(ControlReply::Over),
+        None => Action::Reply(ControlReply::NoSuchJob),
+        Some(JobState::Active) => Action::Commit(Command::Cancel { id }),
+        Some(JobState::Cancelled) => Action::Reply(ControlReply::Done),
+        Some(_) => Action::Reply(ControlReply::Over),
     }
 }
 
@@ -356,7 +358,7 @@
 ///
 /// What is not there is told before the key is looked at: an unknown queue has no
 /// customers.
-fn place(state: &ControlState, address: &Address<'_>) -> Result<Place, ControlReply> {
+fn resolve(state: &ControlState, address: &JobAddress<'_>) -> Result<Route, ControlReply> {
     let Some(catalogue) = &state.catalogue else {
         return Err(ControlReply::NoConfiguration);
     };
@@ -369,21 +371,21 @@
     }
     let name = &address.path[queue.prefix.len()..];
     if name.is_empty() {
-        return Ok(Place::Queue(queue.clone()));
+        return Ok(Route::Queue(queue.clone()));
     }
     match name.parse() {
-        Ok(id) => Ok(Place::Job(queue.clone(), id, caller)),
+        Ok(id) => Ok(Route::Job(queue.clone(), id, caller)),
         Err(_) => Err(ControlReply::NotAJob),
     }
 }
 
 /// Whether a job is another customer's, who alone may know of it.
-fn hidden(state: &ControlState, id: JobId, caller: &Caller) -> bool {
+fn is_other_customers_job(state: &ControlState, id: JobId, caller: &Caller) -> bool {
     let owner = state.owner_of(id);
     owner.is_some_and(|owner| !caller.may_use(owner))
 }
 
-pub(crate) fn refusal(error: &ProposeError) -> ControlError {
+pub(crate) fn control_error(error: &ProposeError) -> ControlError {
     match error {
         ProposeError::NotLeader { leader } => ControlError::NotLeader {
             leader: leader.map(|id| id.0),
--- a/crates/cleat-control/src/node/disk.rs
+++ b/crates/cleat-control/src/node/disk_recovery.rs
@@ -22,14 +22,14 @@
 use crate::error::{DataFolderSnafu, ReplicaSnafu};
 use crate::events::ControlEvent;
 use crate::links::{LinkTransport, Links};
-use crate::machine::{JobsMachine, SharedState};
+use crate::state_machine::{JobsStateMachine, SharedState};
 
 /// How often it is tried whether the disk takes writes: a second without one of
 /// five voters costs callers nothing.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How much a disk has to take to count as well: the log of some seconds.
 const PROBE_BYTES: usize = 256 * 1024;
-const PROBE: &str = "probe.tmp";
+const PROBE_FILE: &str = "probe.tmp";
 
 /// Opens the replica from the data folder.
 pub(super) fn open_replica(
@@ -39,13 +39,17 @@
 ) -> Result<Replica, StartError> {
     let disk = Journal::open(&cfg.data_folder, &cfg.name).context(DataFolderSnafu)?;
     let transport = LinkTransport(links.clone());
-    let machine = JobsMachine(state.clone());
+    let machine = JobsStateMachine(state.clone());
     let replica = Replica::spawn(replica_config(cfg), disk, transport, machine);
     replica.context(ReplicaSnafu)
 }
 
 /// Opens the replica anew whenever its disk failed, until the instance stops.
-pub(super) async fn reopen_failed(shared: Arc<Shared>, cfg: ControlConfig, links: Arc<Links>) {
+pub(super) async fn reopen_after_disk_failure(
+    shared: Arc<Shared>,
+    cfg: ControlConfig,
+    links: Arc<Links>,
+) {
     loop {
         shared.replica().ended().await;
         if shared.is_stopping() {
@@ -55,7 +59,7 @@
         shared.events.emit(&ControlEvent::DiskFailed);
         let replica = loop {
             sleep(PROBE_INTERVAL).await;
-            if takes_writes(cfg.data_folder.clone()).await {
+            if is_writable(cfg.data_folder.clone()).await {
                 shared.state.clear();
                 match open_replica(&cfg, &links, &shared.state) {
                     Ok(replica) => break replica,
@@ -69,7 +73,7 @@
     }
 }
 
-async fn takes_writes(folder: PathBuf) -> bool {
+async fn is_writable(folder: PathBuf) -> bool {
     let probed = tokio::task::spawn_blocking(move || probe(&folder)).await;
     match probed {
         Ok(Ok(())) => true,
@@ -86,7 +90,7 @@
 
 /// Writes a file of its own, and removes it whatever came of that.
 fn probe(folder: &Path) -> io::Result<()> {
-    let path = folder.join(PROBE);
+    let path = folder.join(PROBE_FILE);
     let written = File::create(&path).and_then(|mut file| {
         file.write_all(&vec![0; PROBE_BYTES])?;
         file.sync_all()
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -2,7 +2,7 @@
 
 mod answer;
 mod config;
-mod disk;
+mod disk_recovery;
 
 pub use config::ControlConfig;
 
@@ -22,9 +22,9 @@
 use tokio::task::JoinHandle;
 
 use crate::error::ListenSnafu;
-use crate::leader::Gateway;
+use crate::gateway::Gateway;
 use crate::links::Links;
-use crate::machine::SharedState;
+use crate::state_machine::SharedState;
 use crate::{
     AdviceClient, MachineClient, Metrics, PlatformClients, StartError, WorkerClient, owner,
 };
@@ -57,19 +57,19 @@
         self.replica().status().leads(BootTime::now())
     }
 
-    pub(crate) fn with_scheduler<T>(&self, look: impl FnOnce(&Scheduler) -> T) -> Option<T> {
+    pub(crate) fn with_scheduler<T>(&self, read: impl FnOnce(&Scheduler) -> T) -> Option<T> {
         let scheduler = self
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        scheduler.as_ref().map(look)
+        scheduler.as_ref().map(read)
     }
 }
 
 /// A running control instance.
 pub struct ControlNode {
     shared: Arc<Shared>,
-    others: Gateway,
+    gateway: Gateway,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -89,7 +89,7 @@
         let traffic = Arc::new(LinkTraffic::default());
         let links = Arc::new(Links::new(cfg.address, traffic.clone()));
         let state = Arc::new(SharedState::default());
-        let replica = disk::open_replica(&cfg, &links, &state)?;
+        let replica = disk_recovery::open_replica(&cfg, &links, &state)?;
         let shared = Arc::new(Shared {
             id: cfg.id,
             voters: cfg.voters,
@@ -101,13 +101,17 @@
             metrics: metrics.clone(),
         });
         let owner = owner::spawn(shared.clone(), cfg.scheduler, clients);
-        let handler = Arc::new(PeerSide(shared.clone()));
+        let handler = Arc::new(PeerHandler(shared.clone()));
         let serving = listener.serve_control(handler, traffic);
-        let others = Gateway::over(links.clone(), cfg.seeds.clone(), metrics, events);
-        let reopening = tokio::spawn(disk::reopen_failed(shared.clone(), cfg, links));
+        let gateway = Gateway::with_links(links.clone(), cfg.seeds.clone(), metrics, events);
+        let reopening = tokio::spawn(disk_recovery::reopen_after_disk_failure(
+            shared.clone(),
+            cfg,
+            links,
+        ));
         Ok(ControlNode {
             shared,
-            others,
+            gateway,
             tasks: vec![owner, serving, reopening],
         })
     }
@@ -125,8 +129,8 @@
                 Err(_) => {}
             }
         }
-        self.others.expect_leader(self.leader());
-        self.others.ask(call, limit).await
+        self.gateway.set_leader_hint(self.leader());
+        self.gateway.ask(call, limit).await
     }
 
     /// The leader as far as this instance knows.
@@ -141,7 +145,7 @@
 
     /// Replaces the instances that are asked when no leader is known.
     pub fn set_seeds(&self, seeds: Vec<MemberId>) {
-        self.others.set_seeds(seeds);
+        self.gateway.set_seeds(seeds);
     }
 
     /// Hands the lead over, if it is here, and leaves the group's work. Calls
@@ -183,9 +187,9 @@
 }
 
 /// What other instances may ask.
-struct PeerSide(Arc<Shared>);
+struct PeerHandler(Arc<Shared>);
 
-impl ControlHandler for PeerSide {
+impl ControlHandler for PeerHandler {
     fn deliver(&self, messages: Vec<Message>) {
         let replica = self.0.replica();
         for message in messages {
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -11,18 +11,18 @@
 use log::warn;
 use tokio::time::sleep;
 
-use super::{Calls, OwnerTask, TICK};
+use super::{OwnerTask, PendingCalls, TICK};
 use crate::clock::boot_time;
 use crate::events::ControlEvent;
 use crate::node::Shared;
 use crate::platform::{AdviceClient, MachineClient, RenewalError, WorkerClient};
 
 /// A call under way, and the event that it ends with, if any.
-pub(super) type Call = Pin<Box<dyn Future<Output = Option<Event>> + Send>>;
+pub(super) type PendingCall = Pin<Box<dyn Future<Output = Option<Event>> + Send>>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
     /// False if another owner is known to have taken over.
-    pub(super) fn carry_out(&self, effect: Effect, calls: &Calls) -> bool {
+    pub(super) fn execute(&self, effect: Effect, calls: &PendingCalls) -> bool {
         match effect {
             Effect::Renew {
                 worker,
@@ -59,7 +59,7 @@
         true
     }
 
-    fn renew(&self, worker: Box<str>, address: Box<str>, order: RenewalOrder) -> Call {
+    fn renew(&self, worker: Box<str>, address: Box<str>, order: RenewalOrder) -> PendingCall {
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let sent_at = boot_time();
@@ -85,7 +85,13 @@
         })
     }
 
-    fn order(&self, worker: Box<str>, address: Box<str>, token: u64, order: TaskOrder) -> Call {
+    fn order(
+        &self,
+        worker: Box<str>,
+        address: Box<str>,
+        token: u64,
+        order: TaskOrder,
+    ) -> PendingCall {
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
@@ -102,7 +108,7 @@
         })
     }
 
-    fn advise(&self, step: StepId, asked: Vec<Box<str>>) -> Call {
+    fn advise(&self, step: StepId, asked: Vec<Box<str>>) -> PendingCall {
         let adviser = self.adviser.clone();
         Box::pin(async move {
             let sent_at = boot_time();
@@ -116,7 +122,7 @@
         })
     }
 
-    fn list_machines(&self) -> Call {
+    fn list_machines(&self) -> PendingCall {
         let (shared, machines) = (self.shared.clone(), self.machines.clone());
         Box::pin(async move {
             let sent_at = boot_time();
@@ -129,7 +135,7 @@
         })
     }
 
-    fn order_machine(&self, machine: Box<str>, token: u64, order: MachineOrder) -> Call {
+    fn order_machine(&self, machine: Box<str>, token: u64, order: MachineOrder) -> PendingCall {
         let (shared, machines) = (self.shared.clone(), self.machines.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
@@ -145,7 +151,7 @@
         })
     }
 
-    fn propose(&self, command: Command) -> Call {
+    fn propose(&self, command: Command) -> PendingCall {
         let (shared, commits) = (self.shared.clone(), self.commits.clone());
         Box::pin(async move {
             match shared.replica().propose(command.encode()).await {
--- a/crates/cleat-control/src/owner/mod.rs
+++ b/crates/cleat-control/src/owner/mod.rs
@@ -18,11 +18,11 @@
 use crate::events::{ControlEvent, OwnershipEnd};
 use crate::node::Shared;
 use crate::platform::{AdviceClient, MachineClient, PlatformClients, WorkerClient};
-use effects::{Call, end_commit_failures};
+use effects::{PendingCall, end_commit_failures};
 
 /// How often an instance that does not lead looks whether it does by now: well
 /// below the time of an election.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
+const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// How often the owner looks at what is due by time alone.
 const TICK: Duration = Duration::from_millis(50);
 /// How many events are taken before effects are carried out.
@@ -55,41 +55,41 @@
     commits: Arc<Condition>,
 }
 
-/// Calls under way.
-type Calls = FuturesUnordered<Call>;
+/// PendingCalls under way.
+type PendingCalls = FuturesUnordered<PendingCall>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
     async fn run(self) {
         loop {
             if self.shared.leads() {
-                self.own().await;
+                self.run_as_owner().await;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(LEADERSHIP_POLL_INTERVAL).await;
         }
     }
 
     /// Takes over and owns the workers until the lead is lost.
-    async fn own(&self) {
+    async fn run_as_owner(&self) {
         let (tx, mut rx) = unbounded_channel();
-        self.shared.state.tell(Some(tx));
+        self.shared.state.set_owner(Some(tx));
         if self.take_over().await {
-            let token = self.tell_takeover();
+            let token = self.log_takeover();
             let reason = self.serve(&mut rx).await;
             end_commit_failures(&self.shared, &self.commits);
             let end = ControlEvent::OwnsNoMore { token, reason };
             self.shared.events.emit(&end);
         }
-        self.shared.state.tell(None);
-        self.put(None);
+        self.shared.state.set_owner(None);
+        self.set_scheduler(None);
     }
 
-    fn put(&self, scheduler: Option<Scheduler>) {
-        let mut place = self
+    fn set_scheduler(&self, scheduler: Option<Scheduler>) {
+        let mut guard = self
             .shared
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *place = scheduler;
+        *guard = scheduler;
     }
 
     /// Commits the ownership, once the group has the voters it needs.
@@ -110,12 +110,12 @@
             Scheduler::new(self.cfg, state, boot_time(), wall_ms()).filter(|_| own)
         });
         let taken = scheduler.is_some();
-        self.put(scheduler);
+        self.set_scheduler(scheduler);
         taken
     }
 
     /// Logs the ownership and gives its token.
-    fn tell_takeover(&self) -> u64 {
+    fn log_takeover(&self) -> u64 {
         let owner = self.shared.with_scheduler(Scheduler::owner);
         let token = owner.map_or(0, |owner| owner.token);
         let event = self.shared.state.read(|state| ControlEvent::Owns {
@@ -139,7 +139,7 @@
     }
 
     async fn serve(&self, rx: &mut UnboundedReceiver<Event>) -> OwnershipEnd {
-        let mut calls = Calls::new();
+        let mut calls = PendingCalls::new();
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut events = Vec::with_capacity(BATCH);
@@ -153,7 +153,7 @@
                 Some(event) = calls.next(), if !calls.is_empty() => events.extend(event),
                 _ = ticks.tick() => events.push(Event::Tick { wall_ms: wall_ms() }),
             }
-            take_ready(&mut calls, &mut events);
+            collect_completed(&mut calls, &mut events);
             if !self.shared.replica().status().is_leader() {
                 return OwnershipEnd::LeadLost;
             }
@@ -165,13 +165,13 @@
 
     /// Decides on events and carries the decisions out; false once another
     /// owner is known.
-    fn handle(&self, events: &mut Vec<Event>, calls: &Calls) -> bool {
-        let mut place = self
+    fn handle(&self, events: &mut Vec<Event>, calls: &PendingCalls) -> bool {
+        let mut guard = self
             .shared
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let Some(scheduler) = place.as_mut() else {
+        let Some(scheduler) = guard.as_mut() else {
             return false;
         };
         let now = boot_time();
@@ -179,16 +179,16 @@
             .shared
             .state
             .read(|state| scheduler.handle(state, events.drain(..), now));
-        drop(place);
+        drop(guard);
         effects
             .into_iter()
-            .all(|effect| self.carry_out(effect, calls))
+            .all(|effect| self.execute(effect, calls))
     }
 }
 
 /// Takes the calls that have ended as well: one decision on many events costs
 /// little more than one on a single event.
-fn take_ready(calls: &mut Calls, events: &mut Vec<Event>) {
+fn collect_completed(calls: &mut PendingCalls, events: &mut Vec<Event>) {
     while events.len() < BATCH
         && let Some(Some(event)) = calls.next().now_or_never()
     {
--- a/crates/cleat-control/src/simulated/client.rs
+++ b/crates/cleat-control/src/simulated/client.rs
@@ -12,9 +12,9 @@
 use crate::{RenewalError, WorkerClient};
 
 /// How often a waiting renewal looks for ends.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long a task without an estimate runs.
-const DEFAULT_RUN: Duration = Duration::from_millis(100);
+const MIN_RUN_TIME: Duration = Duration::from_millis(100);
 
 /// Models of workers that are called without a network. A task runs for as
 /// long as its step estimates, and succeeds.
@@ -35,7 +35,7 @@
 
     /// Adds a worker and gives the heartbeat that announces it.
     pub fn add(&self, record: WorkerRecord) -> Heartbeat {
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             record: record.clone(),
             draining: false,
             sequence: 1,
@@ -44,7 +44,7 @@
         let full_speed = 100;
         let worker = SimulatedWorker::new(record, full_speed, 0);
         self.lock().insert(name, worker);
-        beat
+        heartbeat
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, IndexMap<Box<str>, SimulatedWorker>> {
@@ -56,12 +56,12 @@
     }
 
     /// What the worker lists, if it has an end to tell or `wait` is over.
-    fn list(&self, worker: &str, wait_over: bool) -> Option<RenewalAnswer> {
+    fn report(&self, worker: &str, wait_expired: bool) -> Option<RenewalAnswer> {
         let now = self.now();
         let mut workers = self.lock();
         let worker = workers.get_mut(worker)?;
         let answer = worker.report(now);
-        (wait_over || !answer.ended.is_empty()).then_some(answer)
+        (wait_expired || !answer.ended.is_empty()).then_some(answer)
     }
 
     fn planned(&self, order: &TaskOrder) -> SimulatedRun {
@@ -70,9 +70,9 @@
                 let step = spec.steps.get(usize::from(order.task.step.step));
                 let size = step.map_or(Size::default(), |step| step.footprint());
                 let estimate = step.map_or(0, |step| step.estimate_ms);
-                (size, Duration::from_millis(estimate).max(DEFAULT_RUN))
+                (size, Duration::from_millis(estimate).max(MIN_RUN_TIME))
             }
-            Order::Stop | Order::Pace(_) => (Size::default(), DEFAULT_RUN),
+            Order::Stop | Order::Pace(_) => (Size::default(), MIN_RUN_TIME),
         };
         SimulatedRun {
             run: order.run,
@@ -114,11 +114,11 @@
             Some(true) => {}
         }
         loop {
-            let wait_over = self.now() >= deadline;
-            if let Some(answer) = self.list(worker, wait_over) {
+            let wait_expired = self.now() >= deadline;
+            if let Some(answer) = self.report(worker, wait_expired) {
                 return Ok(answer);
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/cleat-control/src/simulated/worker.rs
+++ b/crates/cleat-control/src/simulated/worker.rs
@@ -152,8 +152,8 @@
         match order {
             Order::Start { deadline_ms, .. } => self.start(now, *task, *run, *deadline_ms, planned),
             Order::Stop => {
-                let there = self.runs.get(task).is_some_and(|known| known.run == *run);
-                if there {
+                let is_running = self.runs.get(task).is_some_and(|known| known.run == *run);
+                if is_running {
                     self.end(*task, EndKind::Stopped);
                 }
                 self.close(*task, *run);
@@ -189,8 +189,8 @@
         {
             return OrderAnswer::Old;
         }
-        let room = self.record.capacity.saturating_sub(self.used());
-        if self.enforces_capacity && !planned.size.fits(room) {
+        let free_capacity = self.record.capacity.saturating_sub(self.used());
+        if self.enforces_capacity && !planned.size.fits(free_capacity) {
             return OrderAnswer::NoRoom;
         }
         self.runs.insert(task, planned.clone());
--- a/crates/cleat-control/src/machine.rs
+++ b/crates/cleat-control/src/state_machine.rs
@@ -21,12 +21,12 @@
     }
 
     /// Names the owner's inbox, or that there is none any more.
-    pub(crate) fn tell(&self, owner: Option<UnboundedSender<Event>>) {
+    pub(crate) fn set_owner(&self, owner: Option<UnboundedSender<Event>>) {
         *self.owner.lock().unwrap_or_else(PoisonError::into_inner) = owner;
     }
 
     /// Hands an event to the owner; whether there is one.
-    pub(crate) fn send(&self, event: Event) -> bool {
+    pub(crate) fn send_to_owner(&self, event: Event) -> bool {
         let owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
         owner.as_ref().is_some_and(|tx| tx.send(event).is_ok())
     }
@@ -44,18 +44,18 @@
             state.apply(index, (*command).clone())
         };
         // Instances that do not own the workers need not hear of it.
-        self.send(Event::Applied { command });
+        self.send_to_owner(Event::Applied { command });
         answer
     }
 }
 
 /// Applies the log to the state.
-pub(crate) struct JobsMachine(pub(crate) Arc<SharedState>);
+pub(crate) struct JobsStateMachine(pub(crate) Arc<SharedState>);
 
 /// The answer to an entry that can't be read: one byte that no answer has.
 const UNREADABLE: u8 = u8::MAX;
 
-impl Machine for JobsMachine {
+impl Machine for JobsStateMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]> {
         match Command::decode(command) {
             Ok(command) => self.0.apply(index, command).encode(),
