--- a/crates/cleat-node/src/entry_control.rs
+++ b/crates/cleat-node/src/entry_control.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// How long a look-up may take to have what the leader has.
-const LOOK_UP_LIMIT: Duration = Duration::from_millis(500);
+const LOOK_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Control for Node {
     fn in_service(&self) -> bool {
@@ -22,15 +22,16 @@
     }
 
     async fn claim(&self, claim: ClaimKey) -> Result<KeyAnswer, ClaimError> {
-        self.key_command(CommandBody::ClaimKey(claim)).await
+        self.propose_key_command(CommandBody::ClaimKey(claim)).await
     }
 
     async fn settle(&self, settle: SettleKey) -> Result<KeyAnswer, ClaimError> {
-        self.key_command(CommandBody::SettleKey(settle)).await
+        self.propose_key_command(CommandBody::SettleKey(settle))
+            .await
     }
 
     async fn look_up(&self, key: &str, digest: u64) -> Result<Option<KeyAnswer>, ClaimError> {
-        let caught_up = timeout(LOOK_UP_LIMIT, self.catch_up_with_leader()).await;
+        let caught_up = timeout(LOOK_UP_TIMEOUT, self.catch_up_with_leader()).await;
         match caught_up {
             Ok(Ok(())) => Ok(self.world.read(|world| world.keys().look_up(key, digest))),
             Ok(Err(_)) | Err(_) => Err(ClaimError::OutcomeUnknown),
@@ -39,8 +40,8 @@
 }
 
 impl Node {
-    async fn key_command(&self, body: CommandBody) -> Result<KeyAnswer, ClaimError> {
-        match self.propose_anywhere(body).await {
+    async fn propose_key_command(&self, body: CommandBody) -> Result<KeyAnswer, ClaimError> {
+        match self.propose_to_leader(body).await {
             Ok(proposed) => match proposed.answer {
                 Answer::Key(answer) => Ok(answer),
                 _ => Err(ClaimError::OutcomeUnknown),
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -18,17 +18,17 @@
 use snafu::{ResultExt, Snafu};
 use tokio::task::JoinHandle;
 
-use crate::leases::{self, LeaseWatch};
+use crate::leases::{self, LeaseMonitor};
 use crate::links::{LinkTransport, Links};
-use crate::machine::FleetMachine;
 use crate::member::Members;
 use crate::node::Node;
-use crate::renewals::{self, Renewals};
+use crate::renewals::{self, RenewalQueue};
 use crate::slots;
+use crate::state_machine::FleetStateMachine;
 use crate::world::{SharedWorld, new_life};
 
 /// The pause before a new life is announced again.
-const BEGIN_LIFE_PAUSE: Duration = Duration::from_millis(100);
+const BEGIN_LIFE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why an instance could not start. Nothing was changed.
 #[derive(Debug, Snafu)]
@@ -61,7 +61,7 @@
     },
     /// Two instances' names have the same key in the consensus. Rename one.
     #[snafu(display("the names {first:?} and {second:?} cannot be used together; rename one"))]
-    NameClash {
+    NameCollision {
         /// One name.
         first: Box<str>,
         /// The other.
@@ -105,10 +105,11 @@
     /// # Errors
     /// [`StartError`]; nothing was changed then.
     pub async fn start(settings: &Settings, counters: Counters) -> Result<Instance, StartError> {
-        let members = Members::of(settings).map_err(|clash| StartError::NameClash {
-            first: clash.first,
-            second: clash.second,
-        })?;
+        let members =
+            Members::from_settings(settings).map_err(|collision| StartError::NameCollision {
+                first: collision.first,
+                second: collision.second,
+            })?;
         let peers = PeerListener::bind(settings.listen.peers).await;
         let peers = peers.context(ListenPeersSnafu)?;
         let operators = Listener::bind(settings.listen.operators).await;
@@ -116,9 +117,9 @@
         let targets = Listener::bind(settings.listen.targets).await;
         let targets = targets.context(ListenSnafu)?;
 
-        let entries = members.sorted_names();
-        let (node, waiting) = build_node(settings, members, counters)?;
-        let entry = bind_entry(settings, &node, entries).await?;
+        let entry_names = members.sorted_names();
+        let (node, pending_renewals) = build_node(settings, members, counters)?;
+        let entry = bind_entry(settings, &node, entry_names).await?;
         let addresses = Addresses {
             callers: entry.local_addr(),
             targets: targets.local_addr(),
@@ -127,8 +128,8 @@
         };
         let mut tasks = vec![
             peers.serve(node.clone(), node.links.traffic().clone()),
-            tokio::spawn(leases::watch(node.clone())),
-            tokio::spawn(renewals::send(node.clone(), waiting)),
+            tokio::spawn(leases::withdraw_lapsed_targets(node.clone())),
+            tokio::spawn(renewals::send_batches(node.clone(), pending_renewals)),
             tokio::spawn(begin_life(node.clone())),
             tokio::spawn(cleat_maintain::run(node.clone(), Arc::new(HttpPlatform))),
         ];
@@ -167,17 +168,17 @@
     }
 }
 
-type Waiting = tokio::sync::mpsc::Receiver<renewals::Waiting>;
+type PendingRenewals = tokio::sync::mpsc::Receiver<renewals::PendingRenewal>;
 
 fn build_node(
     settings: &Settings,
     members: Members,
     counters: Counters,
-) -> Result<(Arc<Node>, Waiting), StartError> {
+) -> Result<(Arc<Node>, PendingRenewals), StartError> {
     let links = Arc::new(Links::spawn(&members));
     let world = Arc::new(SharedWorld::new(&settings.name));
     let replica = spawn_replica(settings, &members, &links, &world)?;
-    let (renewals, waiting) = Renewals::new();
+    let (renewals, pending_renewals) = RenewalQueue::new();
     let node = Node {
         name: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
@@ -186,15 +187,15 @@
         links,
         replica,
         world,
-        leases: LeaseWatch::default(),
+        leases: LeaseMonitor::default(),
         renewals,
         counters,
         entry: OnceLock::new(),
-        started: Instant::now(),
+        started_at: Instant::now(),
         life_began: OnceLock::new(),
-        slots_moved: tokio::sync::Notify::new(),
+        slots_changed: tokio::sync::Notify::new(),
     };
-    Ok((Arc::new(node), waiting))
+    Ok((Arc::new(node), pending_renewals))
 }
 
 fn spawn_replica(
@@ -213,7 +214,7 @@
         rand::random(),
     );
     let transport = LinkTransport(links.clone());
-    let machine = FleetMachine {
+    let machine = FleetStateMachine {
         world: world.clone(),
     };
     let Some(folder) = &settings.data_folder else {
@@ -261,7 +262,7 @@
     };
     while !node.is_current_life() {
         let body = CommandBody::BeginLife(begin.clone());
-        match node.propose_anywhere(body).await {
+        match node.propose_to_leader(body).await {
             Ok(proposed) => {
                 // Only this task sets it.
                 let _ = node.life_began.set(proposed.index);
@@ -269,6 +270,6 @@
             }
             Err(error) => warn!("not in the fleet yet: {error}"),
         }
-        tokio::time::sleep(BEGIN_LIFE_PAUSE).await;
+        tokio::time::sleep(BEGIN_LIFE_RETRY_DELAY).await;
     }
 }
--- a/crates/cleat-node/src/leases.rs
+++ b/crates/cleat-node/src/leases.rs
@@ -11,30 +11,30 @@
 use crate::node::Node;
 
 /// How often lapsed leases are looked for.
-const TICK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The lease table of a leader, empty elsewhere.
 #[derive(Default)]
-pub(crate) struct LeaseWatch {
-    state: Mutex<WatchState>,
+pub(crate) struct LeaseMonitor {
+    state: Mutex<MonitorState>,
 }
 
 #[derive(Default)]
-struct WatchState {
+struct MonitorState {
     table: LeaseTable,
     /// The generation the table was filled from; unset while not leading.
     generation: Option<u64>,
 }
 
-impl LeaseWatch {
-    fn state(&self) -> MutexGuard<'_, WatchState> {
+impl LeaseMonitor {
+    fn state(&self) -> MutexGuard<'_, MonitorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Node {
     /// Renews leases, if this instance leads.
-    pub(crate) fn renew_here(
+    pub(crate) fn renew_local(
         &self,
         renewals: &[Renewal],
     ) -> Result<Vec<RenewalOutcome>, PeerError> {
@@ -42,9 +42,9 @@
             let leader = self.leader_name(&self.replica.status());
             return Err(PeerError::NotLeader { leader });
         }
-        let now = self.started.elapsed();
+        let now = self.started_at.elapsed();
         let mut state = self.leases.state();
-        self.fill(&mut state, now);
+        self.sync_table(&mut state, now);
         let mut renew =
             |renewal: &Renewal| match state.table.renew(&renewal.name, renewal.incarnation, now) {
                 true => RenewalOutcome::Renewed,
@@ -53,7 +53,7 @@
         Ok(renewals.iter().map(&mut renew).collect())
     }
 
-    fn fill(&self, state: &mut WatchState, now: Duration) {
+    fn sync_table(&self, state: &mut MonitorState, now: Duration) {
         self.world.read(|world| {
             if state.generation != Some(world.generation()) {
                 state.table.sync(world, now);
@@ -62,40 +62,40 @@
         });
     }
 
-    fn lapsed(&self) -> Vec<Lapsed> {
+    fn lapsed_leases(&self) -> Vec<Lapsed> {
         let mut state = self.leases.state();
         if !self.leads() {
             state.table.clear();
             state.generation = None;
             return Vec::new();
         }
-        let now = self.started.elapsed();
-        self.fill(&mut state, now);
+        let now = self.started_at.elapsed();
+        self.sync_table(&mut state, now);
         state.table.lapsed(now)
     }
 }
 
 /// Withdraws targets whose lease has lapsed, for as long as the node lives.
-pub(crate) async fn watch(node: Arc<Node>) {
-    let mut ticks = tokio::time::interval(TICK);
+pub(crate) async fn withdraw_lapsed_targets(node: Arc<Node>) {
+    let mut ticks = tokio::time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut last_tick = Instant::now();
     loop {
         ticks.tick().await;
         // After a pause of the process itself, renewals that waited outside
         // are let in before anything is judged.
-        let paused = last_tick.elapsed() > 4 * TICK;
+        let was_paused = last_tick.elapsed() > 4 * CHECK_INTERVAL;
         last_tick = Instant::now();
-        if paused {
+        if was_paused {
             continue;
         }
-        for lapsed in node.lapsed() {
-            withdraw(&node, lapsed).await;
+        for lapsed in node.lapsed_leases() {
+            withdraw_target(&node, lapsed).await;
         }
     }
 }
 
-async fn withdraw(node: &Node, lapsed: Lapsed) {
+async fn withdraw_target(node: &Node, lapsed: Lapsed) {
     let name = lapsed.name.clone();
     let cause = WithdrawCause::LeaseLapsed {
         incarnation: lapsed.incarnation,
@@ -104,7 +104,7 @@
         name: lapsed.name,
         cause,
     });
-    match node.propose_here(body).await {
+    match node.propose_local(body).await {
         Ok(_) => info!("the lease of target {name} lapsed"),
         Err(error) => warn!("target {name} could not be withdrawn: {error}"),
     }
--- a/crates/cleat-node/src/lib.rs
+++ b/crates/cleat-node/src/lib.rs
@@ -5,17 +5,17 @@
 
 mod entry_control;
 mod instance;
+mod leader_calls;
 mod leases;
 mod links;
-mod machine;
 mod maintenance;
 mod member;
 mod node;
 mod operator_control;
 mod peer_handler;
-mod propose;
 mod renewals;
 mod slots;
+mod state_machine;
 mod world;
 
 pub use instance::{Addresses, Instance, StartError};
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -19,12 +19,12 @@
     }
 
     async fn propose(&self, body: CommandBody) -> Result<(), ControlLost> {
-        let proposed = self.propose_here(body).await;
+        let proposed = self.propose_local(body).await;
         proposed.map(|_| ()).map_err(|_| ControlLost)
     }
 
     async fn wait_in_force(&self, index: u64) -> Result<(), ControlLost> {
-        let waited = self.wait_in_force_here(index).await;
+        let waited = self.wait_in_force_local(index).await;
         waited.map_err(|_| ControlLost)
     }
 }
--- a/crates/cleat-node/src/member.rs
+++ b/crates/cleat-node/src/member.rs
@@ -24,14 +24,14 @@
 
 /// Two names whose keys are equal.
 #[derive(Debug)]
-pub(crate) struct KeyClash {
+pub(crate) struct MemberIdCollision {
     pub(crate) first: Box<str>,
     pub(crate) second: Box<str>,
 }
 
 impl Members {
     /// The instances of `settings`; an instance without peers is alone.
-    pub(crate) fn of(settings: &Settings) -> Result<Members, KeyClash> {
+    pub(crate) fn from_settings(settings: &Settings) -> Result<Members, MemberIdCollision> {
         let mut members = Members {
             by_id: IndexMap::new(),
             own: member_id(&settings.name),
@@ -55,10 +55,10 @@
         Ok(members)
     }
 
-    fn add(&mut self, info: MemberInfo) -> Result<(), KeyClash> {
+    fn add(&mut self, info: MemberInfo) -> Result<(), MemberIdCollision> {
         let id = member_id(&info.name);
         if let Some(first) = self.by_id.get(&id) {
-            return Err(KeyClash {
+            return Err(MemberIdCollision {
                 first: first.name.clone(),
                 second: info.name,
             });
--- a/crates/cleat-node/src/node.rs
+++ b/crates/cleat-node/src/node.rs
@@ -9,10 +9,10 @@
 use cleat_telemetry::Counters;
 use tokio::sync::Notify;
 
-use crate::leases::LeaseWatch;
+use crate::leases::LeaseMonitor;
 use crate::links::Links;
 use crate::member::Members;
-use crate::renewals::Renewals;
+use crate::renewals::RenewalQueue;
 use crate::world::SharedWorld;
 
 /// One running instance's control side.
@@ -25,16 +25,16 @@
     pub(crate) links: Arc<Links>,
     pub(crate) replica: Replica,
     pub(crate) world: Arc<SharedWorld>,
-    pub(crate) leases: LeaseWatch,
-    pub(crate) renewals: Renewals,
+    pub(crate) leases: LeaseMonitor,
+    pub(crate) renewals: RenewalQueue,
     pub(crate) counters: Counters,
     /// The request path of this instance; set once it listens.
     pub(crate) entry: OnceLock<Weak<Entry<Node>>>,
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     /// The log index at which this life became known; set once.
     pub(crate) life_began: OnceLock<u64>,
     /// Wakes who looks for idle slots on loan.
-    pub(crate) slots_moved: Notify,
+    pub(crate) slots_changed: Notify,
 }
 
 impl Node {
--- a/crates/cleat-node/src/operator_control.rs
+++ b/crates/cleat-node/src/operator_control.rs
@@ -9,11 +9,11 @@
 use cleat_world::{CommandBody, World};
 use indexmap::IndexMap;
 
+use crate::leader_calls::{Leader, LeaderCallError, classify};
 use crate::node::Node;
-use crate::propose::{Failure, Leader, judge};
 
 /// How long the list of members may take.
-const MEMBERS_LIMIT: Duration = Duration::from_millis(1_000);
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl ControlPlane for Node {
     fn world<R>(&self, read: impl FnOnce(&World) -> R) -> R {
@@ -21,11 +21,11 @@
     }
 
     async fn propose(&self, body: CommandBody) -> Result<Proposed, ControlError> {
-        self.propose_anywhere(body).await
+        self.propose_to_leader(body).await
     }
 
     async fn wait_in_force(&self, index: u64) -> Result<(), ControlError> {
-        self.wait_in_force_anywhere(index).await
+        self.wait_in_force_on_leader(index).await
     }
 
     async fn catch_up(&self) -> Result<(), ControlError> {
@@ -50,12 +50,15 @@
     }
 
     async fn members(&self) -> Result<Vec<MemberReport>, ControlError> {
-        self.ask_leader(|leader| async move {
+        self.call_leader(|leader| async move {
             let result = match leader {
-                Leader::Here => self.members_here().map_err(Failure::Peer),
-                Leader::At(link) => link.members(MEMBERS_LIMIT).await.map_err(Failure::from),
+                Leader::Local => self.members_local().map_err(LeaderCallError::Peer),
+                Leader::Remote(link) => link
+                    .members(MEMBERS_TIMEOUT)
+                    .await
+                    .map_err(LeaderCallError::from),
             };
-            judge(result, true)
+            classify(result, true)
         })
         .await
     }
@@ -81,7 +84,7 @@
 
 impl Node {
     /// Every instance as this one sees it, if it leads.
-    pub(crate) fn members_here(&self) -> Result<Vec<MemberReport>, PeerError> {
+    pub(crate) fn members_local(&self) -> Result<Vec<MemberReport>, PeerError> {
         let status = self.replica.status();
         if !status.leads(BootTime::now()) {
             let leader = self.leader_name(&status);
--- a/crates/cleat-node/src/peer_handler.rs
+++ b/crates/cleat-node/src/peer_handler.rs
@@ -20,22 +20,22 @@
     }
 
     async fn propose(&self, body: CommandBody) -> Result<Proposed, PeerError> {
-        self.propose_here(body).await
+        self.propose_local(body).await
     }
 
     async fn wait_in_force(&self, index: u64) -> Result<(), PeerError> {
-        self.wait_in_force_here(index).await
+        self.wait_in_force_local(index).await
     }
 
     async fn read_index(&self) -> Result<u64, PeerError> {
-        self.read_index_here().await
+        self.read_index_local().await
     }
 
     fn renew(&self, renewals: &[Renewal]) -> Result<Vec<RenewalOutcome>, PeerError> {
-        self.renew_here(renewals)
+        self.renew_local(renewals)
     }
 
     fn members(&self) -> Result<Vec<MemberReport>, PeerError> {
-        self.members_here()
+        self.members_local()
     }
 }
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -16,13 +16,13 @@
 use crate::node::Node;
 
 /// The most messages in one call.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// How long one call may take before its messages count as lost.
-const CALL_LIMIT: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 /// How often idle slots on loan are looked for.
-const TICK: Duration = Duration::from_millis(20);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The same while nothing is on loan here. A message ends the pause.
-const REST: Duration = Duration::from_secs(1);
+const NO_LOANS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 type Queues = IndexMap<MemberId, mpsc::Sender<SlotMessage>>;
 
@@ -31,20 +31,20 @@
     let Some(messages) = entry.slot_messages() else {
         return Vec::new();
     };
-    let mut tasks = vec![tokio::spawn(tick(node.clone()))];
+    let mut tasks = vec![tokio::spawn(return_idle_slots(node.clone()))];
     let mut queues = Queues::new();
     let others = node.members.iter().map(|(id, _)| id);
     for id in others.filter(|id| *id != node.members.own()) {
-        let (tx, rx) = mpsc::channel(BATCH);
+        let (tx, rx) = mpsc::channel(MAX_BATCH);
         queues.insert(id, tx);
-        tasks.push(tokio::spawn(send(node.clone(), id, rx)));
+        tasks.push(tokio::spawn(send_to_instance(node.clone(), id, rx)));
     }
-    tasks.push(tokio::spawn(sort(messages, queues)));
+    tasks.push(tokio::spawn(dispatch(messages, queues)));
     tasks
 }
 
 /// Hands each message to the queue of the instance it is for.
-async fn sort(mut messages: mpsc::Receiver<cleat_entry::SlotMessage>, queues: Queues) {
+async fn dispatch(mut messages: mpsc::Receiver<cleat_entry::SlotMessage>, queues: Queues) {
     while let Some(message) = messages.recv().await {
         let Some(queue) = queues.get(&member_id(&message.to)) else {
             continue;
@@ -58,26 +58,26 @@
 }
 
 /// Sends one instance its messages, batch by batch.
-async fn send(node: Arc<Node>, to: MemberId, mut rx: mpsc::Receiver<SlotMessage>) {
+async fn send_to_instance(node: Arc<Node>, to: MemberId, mut rx: mpsc::Receiver<SlotMessage>) {
     let mut batch = Vec::new();
-    while rx.recv_many(&mut batch, BATCH).await > 0 {
+    while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
         let messages = std::mem::take(&mut batch);
         if let Some(link) = node.links.get(to) {
-            link.slots(&node.name, messages, CALL_LIMIT).await;
+            link.slots(&node.name, messages, CALL_TIMEOUT).await;
         }
     }
 }
 
 /// Gives back idle slots on loan.
-async fn tick(node: Arc<Node>) {
+async fn return_idle_slots(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
-        let borrowed = entry.tick_slots();
+        let has_borrowed_slots = entry.tick_slots();
         drop(entry);
-        if borrowed {
-            sleep(TICK).await;
+        if has_borrowed_slots {
+            sleep(IDLE_CHECK_INTERVAL).await;
         } else {
             // Woken when slots were lent.
-            let _ = timeout(REST, node.slots_moved.notified()).await;
+            let _ = timeout(NO_LOANS_CHECK_INTERVAL, node.slots_changed.notified()).await;
         }
     }
 }
@@ -91,7 +91,7 @@
         for SlotMessage { service, message } in messages {
             entry.receive_slots(from, &service, message);
         }
-        self.slots_moved.notify_one();
+        self.slots_changed.notify_one();
     }
 
     fn entry(&self) -> Option<Arc<Entry<Node>>> {
--- a/crates/cleat-node/src/machine.rs
+++ b/crates/cleat-node/src/state_machine.rs
@@ -9,11 +9,11 @@
 use crate::world::SharedWorld;
 
 /// Applies commands in the order of the log.
-pub(crate) struct FleetMachine {
+pub(crate) struct FleetStateMachine {
     pub(crate) world: Arc<SharedWorld>,
 }
 
-impl Machine for FleetMachine {
+impl Machine for FleetStateMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Box<[u8]> {
         let answer = match Command::decode(command) {
             Ok(command) => self.world.write(|world| world.apply(index, command)),
--- a/crates/cleat-node/tests/instance.rs
+++ b/crates/cleat-node/tests/instance.rs
@@ -10,7 +10,7 @@
 const REQUEST: &[u8] = b"GET /dock/x HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n";
 
 #[tokio::test]
-async fn start_counts_where_it_was_told() {
+async fn start_counts_requests_in_the_given_registry() {
     let counters = Counters::default();
     let started = Instance::start(&Settings::dev(), counters.clone()).await;
     let instance = started.unwrap();
