--- a/crates/cleat-control/src/addressing.rs
+++ b/crates/cleat-control/src/addressing.rs
@@ -1,31 +1,32 @@
-//! Keys of members that are addresses.
+//! Member IDs that encode an IPv4 address.
 //!
-//! Where the settings do not list the members, a member's key is its IPv4
-//! address, and all listen on one port: so whoever knows a key can call.
+//! The settings of a control instance or a gateway list only seeds, not all
+//! members. A member's ID is therefore its IPv4 address, and all members listen
+//! on the same port, so that an ID is enough to connect to a member.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use cleat_quorum::MemberId;
 
-/// How to reach a member by its key.
+/// Derives the socket address of a member from its ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerAddressing {
-    /// The port on which every member listens for the others.
+    /// The port on which every member listens for the other members.
     pub port: u16,
 }
 
 impl PeerAddressing {
-    /// The key of the member at an address.
+    /// The ID of the member at an IP address.
     pub fn member_id(ip: Ipv4Addr) -> MemberId {
         MemberId(ip.to_bits())
     }
 
-    /// The IP address of a member.
+    /// The IP address that a member ID encodes.
     pub fn ip(id: MemberId) -> Ipv4Addr {
         Ipv4Addr::from_bits(id.0)
     }
 
-    /// Where a member listens.
+    /// The socket address on which a member listens.
     pub fn socket_addr(self, id: MemberId) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(PeerAddressing::ip(id)), self.port)
     }
--- a/crates/cleat-control/src/events.rs
+++ b/crates/cleat-control/src/events.rs
@@ -1,4 +1,5 @@
-//! What control instances and gateways log beside the scheduler's decisions.
+//! Events that control instances and gateways log in addition to the scheduler's
+//! decisions.
 
 use std::time::Duration;
 
@@ -7,77 +8,83 @@
 
 use crate::metrics::call_kind;
 
-/// One decision or change of belief. Field names are those of the scheduler's
-/// decisions where they mean the same.
+/// An event of the structured log. Fields that also occur in the scheduler's
+/// decisions have the same names there.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum ControlEvent {
-    /// A call was not done, or it is not known.
+    /// A call was not carried out, or its outcome is unknown.
     CallFailed(CallOutcome),
-    /// A call was refused by what the fleet knows.
+    /// The leader rejected a call because of the replicated state.
     CallRefused(CallOutcome),
-    /// Calls were refused for their keys, once a second at most.
+    /// Calls were refused because of their API keys; logged at most once a second
+    /// for each reason.
     KeysRefused(KeysRefused),
-    /// The disk refused a write: this instance takes no part in the group.
+    /// A write to disk failed: this instance no longer takes part in the
+    /// consensus group.
     DiskFailed,
-    /// The disk takes writes again, and this instance its part.
+    /// The disk is writable again, and this instance has rejoined the group.
     DiskWell { lasted_ms: u128 },
-    /// A configuration is in force.
+    /// A configuration took effect.
     Configured {
         version: u64,
         queues: usize,
         pools: usize,
-        /// None where calls need no key.
+        /// `None` if calls need no API key.
         customers: Option<usize>,
     },
-    /// This instance gives orders to the workers from now on.
+    /// This instance became the owner of the workers.
     Owns {
         token: u64,
         ordinal: u32,
         workers: usize,
         jobs: usize,
     },
-    /// A command of the owner was not committed, the first after one that was.
+    /// A command of the owner failed to commit; logged for the first failure
+    /// after a success.
     CommitsFail { reason: Box<str> },
-    /// Commands of the owner are committed again, or it is the owner no more.
+    /// Commands of the owner commit again, or this instance is no longer the
+    /// owner.
     CommitsFailEnd { failed: u64, lasted_ms: u128 },
-    /// This instance gives no more orders.
+    /// This instance is no longer the owner of the workers.
     OwnsNoMore { token: u64, reason: OwnershipEnd },
 }
 
-/// Calls that were refused since the line before.
+/// Calls that were refused for the same reason since the last event.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct KeysRefused {
     pub(crate) reason: KeyRefusal,
-    /// How many.
+    /// The number of refused calls.
     pub(crate) count: u64,
-    /// The fingerprint of the latest one's key; none if it showed none.
+    /// The fingerprint of the latest call's key; `None` if the call had no key.
     pub(crate) key: Option<Box<str>>,
-    /// The latest one's path without the job's name.
+    /// The path of the latest call without the job ID.
     pub(crate) path: Box<str>,
 }
 
-/// Why a call was refused for its key.
+/// Why a call was refused because of its API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum KeyRefusal {
-    /// No customer has the key, or the call showed none.
+    /// No customer has the key, or the call had no key.
     Unknown,
-    /// Too many new keys came to ask about this one.
+    /// The rate limit for keys that were not seen before was exceeded, so the
+    /// leader was not asked about this one.
     TooMany,
 }
 
-/// Why an owner stopped giving orders.
+/// Why an instance is no longer the owner of the workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum OwnershipEnd {
-    /// The lead was lost.
+    /// It lost the leadership of the group.
     LeadLost,
-    /// A worker or the platform knows a later owner.
+    /// A worker or the platform rejected its fencing token in favour of a later
+    /// owner's.
     Fenced,
 }
 
-/// A call that was no success, and why.
+/// A call that did not succeed, and the reason.
 #[derive(Debug, Serialize)]
 pub(crate) struct CallOutcome {
     #[serde(flatten)]
@@ -86,7 +93,7 @@
     took_ms: u128,
 }
 
-/// What of a call is logged with its outcome.
+/// The part of a call that is logged with its outcome.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CallLabel {
     call: &'static str,
@@ -125,12 +132,13 @@
         }
     }
 
-    /// The path that the call named.
+    /// The path of the call.
     pub(crate) fn path(&self) -> Option<&str> {
         self.path.as_deref()
     }
 
-    /// The line about an outcome that is no success, if there is one to write.
+    /// The event to log for this outcome; `None` for a success, and for refused
+    /// API keys, which are logged in aggregate.
     pub(crate) fn outcome(
         self,
         answer: &Result<ControlReply, AskError>,
@@ -143,7 +151,7 @@
             took_ms,
         };
         match answer {
-            // Gathered into one line a second.
+            // Logged as an aggregated `KeysRefused` event at most once a second.
             Err(AskError::TooManyKeys) => None,
             Err(error) => Some(ControlEvent::CallFailed(outcome(error.to_string().into()))),
             Ok(
--- a/crates/cleat-control/src/gateway.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Finding the leader and asking it.
+//! Forwards calls to the leader.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -19,54 +19,56 @@
 use crate::links::Links;
 use crate::metrics::{Metrics, call_kind};
 
-/// How long one instance may take before another is asked. Far above the time
-/// of a commit (a sync of 6 to 9 ms and a round trip), as long as the longest
-/// wait before an election.
+/// The time limit of one attempt at one instance. Far above the time of a commit
+/// (a sync of 6 to 9 ms and a round trip), and equal to the longest election
+/// timeout.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
-/// The pause after an instance that knows no leader: a fraction of an election.
+/// The delay before the next attempt if no leader is known: a fraction of the
+/// time of an election.
 const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// No leader is known.
+/// Stands for an unknown leader.
 const LEADER_UNKNOWN: u32 = 0;
 
-/// What a gateway is told.
+/// The configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// Control instances to begin with.
+    /// Control instances to call while the leader is unknown.
     pub seeds: Vec<MemberId>,
-    /// How they are reached.
+    /// How control instances are addressed.
     pub address: PeerAddressing,
-    /// Where calls are counted.
+    /// Receives the counts and latencies of calls.
     pub metrics: Metrics,
-    /// Where calls that fail are logged.
+    /// Receives the events of failed calls.
     pub events: EventLog,
 }
 
-/// Asks the leader, whoever it is.
+/// Forwards calls to the current leader and retries them when it changes.
 #[derive(Debug)]
 pub struct Gateway {
     seeds: ArcSwap<Vec<MemberId>>,
     links: Arc<Links>,
-    /// The key of the leader as last heard of. Calls that wait for an earlier one
-    /// turn to the new one at once: else one that a frozen leader holds would be
-    /// answered 0.6 s after others that came later, and by a newer configuration
-    /// than theirs.
+    /// The ID of the last known leader. Calls that wait for an earlier leader are
+    /// sent to the new one as soon as it is known. Otherwise a call to a frozen
+    /// leader would be answered 0.6 s later than calls that arrived after it, and
+    /// under a newer configuration than theirs.
     leader: watch::Sender<u32>,
-    /// What it remembers of its callers' keys.
+    /// Limits the calls with unknown API keys that reach the leader.
     keys: Mutex<KeyFilter>,
-    /// RefusalLog that are not logged yet.
+    /// Aggregates the log events of refused API keys.
     refusals: Mutex<RefusalLog>,
     metrics: Metrics,
     events: EventLog,
 }
 
-/// What one try came to.
+/// The outcome of one attempt.
 enum Attempt {
     Answered(ControlReply),
-    /// Ask this instance.
+    /// The instance named another one as the leader.
     Redirected(MemberId),
-    /// Another leads by now; the instance asked may have taken the call.
+    /// Another leader became known during the attempt; the called instance may have
+    /// carried out the call.
     LeaderChanged(MemberId),
-    /// Ask any other.
+    /// The instance did not answer, or knows no leader.
     NoLeader {
         may_be_done: bool,
     },
@@ -74,7 +76,8 @@
 }
 
 impl Gateway {
-    /// Opens links to the seeds. Needs a tokio runtime.
+    /// Creates a gateway and connects to the seeds. Must be called within a tokio
+    /// runtime.
     pub fn open(cfg: GatewayConfig) -> Gateway {
         let links = Arc::new(Links::new(cfg.address, Arc::new(LinkTraffic::default())));
         let gateway = Gateway::with_links(links, cfg.seeds, cfg.metrics, cfg.events);
@@ -101,15 +104,15 @@
         }
     }
 
-    /// Replaces the instances to begin with.
+    /// Replaces the control instances to call while the leader is unknown.
     pub fn set_seeds(&self, seeds: Vec<MemberId>) {
         self.seeds.store(Arc::new(seeds));
     }
 
-    /// Sets who leads, if that is known from elsewhere.
+    /// Sets the leader that the local replica knows, if any.
     pub(crate) fn set_leader_hint(&self, leader: Option<MemberId>) {
         if let Some(MemberId(key)) = leader {
-            // A belief: calls under way are not turned away for it.
+            // Only a hint, so pending calls are not redirected.
             self.leader.send_if_modified(|leader| {
                 *leader = key;
                 false
@@ -117,12 +120,13 @@
         }
     }
 
-    /// Whether a leader answers now.
+    /// Whether a leader answers within the time limit.
     pub async fn reaches_leader(&self, limit: Duration) -> bool {
         self.ask(ControlCall::Leader, limit).await.is_ok()
     }
 
-    /// Asks the leader, and again whoever leads next, until the limit.
+    /// Sends a call to the leader, and retries it at the next leader until the time
+    /// limit.
     ///
     /// # Errors
     /// See [`AskError`].
@@ -144,7 +148,8 @@
         answer
     }
 
-    /// Asks unless nobody can have the key, as far as is known.
+    /// Forwards a call with an API key, unless the key is known to be unknown or
+    /// the rate limit for new keys is exceeded.
     async fn ask_with_key(
         &self,
         call: ControlCall,
@@ -167,7 +172,8 @@
         answer
     }
 
-    /// Counts a call that was refused for its key, and logs so once a second.
+    /// Counts a call that was refused because of its API key, and logs an aggregated
+    /// event at most once a second.
     fn record_refusal(&self, reason: KeyRefusal, shown: Option<&ShownKey>, path: Option<&str>) {
         let key = shown.map(|shown| shown.key.to_string().into());
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
@@ -223,7 +229,7 @@
                     may_be_done: uncertain,
                 } => {
                     may_be_done |= uncertain;
-                    // The others may already know a better one.
+                    // Unless another call has already found a new leader.
                     self.leader.send_if_modified(|leader| {
                         let was_current = *leader == target.0;
                         if was_current {
@@ -260,17 +266,17 @@
         }
     }
 
-    /// Notes who answered as the leader, and turns calls under way to it.
+    /// Records the leader, and redirects pending calls to it if it changed.
     fn set_leader(&self, MemberId(key): MemberId) {
         self.leader
             .send_if_modified(|leader| std::mem::replace(leader, key) != key);
     }
 
-    /// Waits until another leader than `target` is heard of.
+    /// Waits until a leader other than `target` is known.
     async fn leader_other_than(&self, target: MemberId) -> MemberId {
         let mut changes = self.leader.subscribe();
         loop {
-            // The sender is this gateway's own and lives as long as the wait.
+            // Does not happen: the sender belongs to this gateway and outlives the wait.
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
@@ -282,7 +288,7 @@
     }
 
     fn seed(&self, index: usize) -> MemberId {
-        // The settings refuse an empty list.
+        // The settings do not allow an empty list.
         let seeds = self.seeds.load();
         let seed = seeds.get(index % seeds.len().max(1));
         seed.copied().unwrap_or(MemberId(LEADER_UNKNOWN))
--- a/crates/cleat-control/src/keys/mod.rs
+++ b/crates/cleat-control/src/keys/mod.rs
@@ -1,12 +1,12 @@
-//! What a gateway does about the keys that its callers carry.
+//! Protects the leader from floods of calls with unknown API keys.
 //!
-//! The leader says whose a key is, with the call that carries it: a gateway has
-//! no copy of the customers that could be older than a change which others have
-//! seen. The load that this answers is a flood of keys that nobody has: sent on, each
-//! call would cost the leader as much as one of a customer. So a gateway remembers
-//! for a moment which keys the leader did not know, and sends only so many new ones
-//! a second: of 100,000 in ten seconds 800 at most (counted by the test of a flood).
-//! Keys that the leader knew lately are never held up by that.
+//! The leader resolves the API key of each call: a gateway has no copy of the
+//! customers, as a copy could be older than a change that others have already
+//! seen. A forwarded call with an unknown key costs the leader as much as a call of
+//! a customer. A gateway therefore caches for a short time which keys the leader did
+//! not know, and limits the rate of keys that it has not seen before: of 100,000 new
+//! keys in ten seconds it forwards 800 at most (checked by the test of a flood).
+//! Keys that the leader knew recently are not limited.
 
 mod refusal_log;
 #[cfg(test)]
@@ -20,42 +20,45 @@
 use cleat_link::{ControlReply, ShownKey};
 use indexmap::{IndexMap, IndexSet};
 
-/// How long an unknown key is refused without asking again. A key that comes into
-/// force is refused for no longer; well below the quarter of a second within which
-/// a caller may turn from a gateway that has seen a change to one that has not.
+/// How long an unknown key is refused without asking the leader again, and thus how
+/// long a newly added key may still be refused. Well below the quarter of a second
+/// within which a caller may switch from a gateway that has seen a change to one
+/// that has not.
 const UNKNOWN_KEY_TTL: Duration = Duration::from_millis(100);
-/// How many new keys a second a gateway sends on; a fleet of 150 customers has
-/// changes to 2,600 keys a day.
+/// The rate at which a gateway forwards new keys. A fleet of 150 customers changes
+/// 2,600 keys a day.
 const NEW_KEYS_PER_SECOND: f64 = 50.0;
-/// How many new keys a gateway may send on at once: all those of 150 customers,
-/// two each, as after a start.
+/// The number of new keys that a gateway may forward in a burst: after a start, all
+/// keys of 150 customers with two keys each are new.
 const NEW_KEY_BURST: f64 = 300.0;
-/// How many keys are remembered as known: those of ten times as many customers.
+/// The maximum number of cached known keys: the keys of ten times as many customers.
 const MAX_KNOWN_KEYS: usize = 3_000;
-/// How many unknown keys are remembered: those that can be sent on meanwhile.
+/// The maximum number of cached unknown keys: more than can be forwarded before the
+/// first one expires.
 const MAX_UNKNOWN_KEYS: usize = 400;
 
-/// What is to be done with a call.
+/// How a call with an API key is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// The leader is asked.
+    /// The call is forwarded to the leader.
     Forward,
-    /// The leader said just now that nobody has this key.
+    /// The call is refused: the leader recently did not know the key.
     Unknown,
-    /// Too many new keys came; whether somebody has this one is not known.
+    /// The call is refused: the rate limit for new keys is exceeded. Whether a customer
+    /// has this key was not checked.
     TooMany,
 }
 
-/// What a gateway remembers of keys.
+/// Caches which API keys the leader knows, and limits the rate of new ones.
 #[derive(Debug)]
 pub(crate) struct KeyFilter {
-    /// Keys that the leader knew when it was asked last, in no order.
+    /// Keys that the leader knew when it was last asked, in no particular order.
     known: IndexSet<KeyDigest>,
-    /// When the leader last did not know a key, oldest first.
+    /// Keys that the leader did not know, with the time of the call, oldest first.
     unknown: IndexMap<ShownKey, Duration>,
-    /// How many new keys may be sent on.
+    /// How many new keys may be forwarded now (token bucket).
     new_key_tokens: f64,
-    /// When the new_key_tokens was last added to.
+    /// When tokens were last added.
     refilled_at: Duration,
 }
 
@@ -69,7 +72,7 @@
         }
     }
 
-    /// What to do with a call that shows a key.
+    /// Decides how to handle a call with this key.
     pub(crate) fn check(&mut self, shown: &ShownKey, now: Duration) -> Verdict {
         if self.known.contains(&shown.key) {
             return Verdict::Forward;
@@ -86,8 +89,9 @@
         Verdict::Forward
     }
 
-    /// Learns from the leader's answer. `asked_at` is when the call was sent: a
-    /// miss counts from then, as the leader may have looked that long ago.
+    /// Records what the leader's reply says about the key. `asked_at` is when the call
+    /// was sent: an unknown key is cached from then on, as the leader may have looked it
+    /// up that early.
     pub(crate) fn record_reply(
         &mut self,
         shown: &ShownKey,
@@ -96,7 +100,7 @@
     ) {
         match reply {
             ControlReply::UnknownKey => self.record_unknown(shown, asked_at),
-            // Told before the key is looked at.
+            // The leader returns these before it looks up the key.
             ControlReply::NoSuchQueue | ControlReply::NoConfiguration => {}
             _ => self.record_known(shown.key),
         }
--- a/crates/cleat-control/src/keys/refusal_log.rs
+++ b/crates/cleat-control/src/keys/refusal_log.rs
@@ -1,7 +1,7 @@
-//! How calls that are refused for their keys are logged.
+//! Aggregates the log events of calls that were refused because of their API keys.
 //!
-//! A flood of 10,000 calls a second would write as many lines: one a second for
-//! each reason says as much, with their number.
+//! A flood of 10,000 calls a second would otherwise write as many lines. One line a
+//! second for each reason, with the number of calls, carries the same information.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 
 use crate::events::{KeyRefusal, KeysRefused};
 
-/// How long refusals are pending into one line: short enough for a caller who asks
-/// why it was refused a moment ago.
+/// The minimum interval between two lines for one reason: short enough that the log
+/// explains a refusal a moment after it happened.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// RefusalLog that are not logged yet.
+/// Refusals that were counted but not logged yet.
 #[derive(Debug, Default)]
 pub(crate) struct RefusalLog {
     by_reason: IndexMap<KeyRefusal, PendingRefusals>,
@@ -26,7 +26,7 @@
 }
 
 impl RefusalLog {
-    /// Counts a refusal; gives the line to write, if one is due.
+    /// Counts a refusal; returns the event to log, if one is due.
     pub(crate) fn record(
         &mut self,
         reason: KeyRefusal,
--- a/crates/cleat-control/src/keys/tests.rs
+++ b/crates/cleat-control/src/keys/tests.rs
@@ -1,4 +1,5 @@
-//! Floods of keys, and keys that come into force.
+//! Tests of the key filter: floods of unknown keys, and keys that are added or
+//! removed.
 
 use std::time::Duration;
 
@@ -64,7 +65,8 @@
     assert!(filter.known.is_empty());
 }
 
-/// 10,000 keys a second that nobody has, for ten seconds, beside a customer's own.
+/// 10,000 unknown keys a second for ten seconds, while a customer calls with its own
+/// key.
 #[test]
 fn check_flood_of_unknown_keys_is_rate_limited() {
     let mut filter = KeyFilter::new(ms(0));
@@ -86,7 +88,7 @@
         forwarded <= 300 + 500,
         "{forwarded} of 100,000 reached the leader"
     );
-    assert_eq!(served, 100_000, "the customer is not held up");
+    assert_eq!(served, 100_000, "the customer's calls are not limited");
 }
 
 #[test]
@@ -124,5 +126,5 @@
     assert_eq!(counts, [1, 10_000, 10_000]);
     assert!(lines.iter().all(|line| *line.path == *"/q/"));
     let other = refusals.record(KeyRefusal::TooMany, None, "/q/", ms(2_500));
-    assert_eq!(other.map(|line| line.count), Some(1), "a reason of its own");
+    assert_eq!(other.map(|line| line.count), Some(1), "another reason");
 }
--- a/crates/cleat-control/src/lib.rs
+++ b/crates/cleat-control/src/lib.rs
@@ -1,9 +1,11 @@
-//! Control instances and gateways: the shells around `cleat-jobs`.
+//! Control instances and gateways: the I/O around the scheduler of `cleat-jobs`.
 //!
-//! A [`ControlNode`] holds the replicated state and, while it leads, runs the
-//! jobs of all pools. A [`Gateway`] stands before callers and finds the
-//! leader. Both speak [`ControlCall`](cleat_link::ControlCall)s; what the
-//! platform speaks is translated elsewhere, behind [`WorkerClient`].
+//! A [`ControlNode`] holds the replicated state and, while it is the leader,
+//! schedules the jobs of all pools. A [`Gateway`] accepts the calls of callers
+//! and forwards them to the leader. Both exchange
+//! [`ControlCall`](cleat_link::ControlCall)s; the platform's own protocol is
+//! implemented by other crates behind [`WorkerClient`], [`MachineClient`] and
+//! [`AdviceClient`].
 
 mod addressing;
 mod clock;
--- a/crates/cleat-control/src/links.rs
+++ b/crates/cleat-control/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to other control instances, opened when first needed.
+//! Links to other control instances, connected on first use.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -8,10 +8,10 @@
 
 use crate::PeerAddressing;
 
-/// A link to a control instance.
+/// A link for the calls of control instances.
 pub(crate) type ControlLink = Link<ControlClient>;
 
-/// One link to each control instance that was ever needed.
+/// One link to each control instance that was called so far.
 #[derive(Debug)]
 pub(crate) struct Links {
     address: PeerAddressing,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The link to an instance. It may not be connected yet.
+    /// Returns the link to an instance, which may not be connected yet.
     pub(crate) fn link_to(&self, id: MemberId) -> Arc<ControlLink> {
         let mut by_id = self.by_id.lock().unwrap_or_else(PoisonError::into_inner);
         let link = by_id.entry(id).or_insert_with(|| {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Consensus messages over the links.
+/// Sends consensus messages over the links.
 pub(crate) struct LinkTransport(pub(crate) Arc<Links>);
 
 impl Transport for LinkTransport {
--- a/crates/cleat-control/src/metrics.rs
+++ b/crates/cleat-control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control instance and a gateway count.
+//! Metrics of control instances and gateways.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use cleat_link::{ControlCall, ControlReply};
 use cleat_telemetry::{Counter, Counters, Latencies};
 
-/// Counters and histograms of one process.
+/// The counters and latency histograms of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    /// Numbers.
+    /// Counters and gauges.
     pub counters: Counters,
-    /// Durations.
+    /// Latency histograms.
     pub latencies: Latencies,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts a call and how long it took.
+    /// Records the latency of a call, and counts it if it failed.
     pub(crate) fn record_call<E: std::fmt::Debug>(
         &self,
         kind: &'static str,
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Counts one of a kind.
+    /// Increments the counter with this name.
     pub(crate) fn count(&self, name: &str) {
         self.counter(name).incr();
     }
 
     fn count_by(&self, name: &str, kind: &impl std::fmt::Debug) {
         let kind = format!("{kind:?}").to_lowercase();
-        // Only the name of a variant, not what it holds.
+        // Only the variant's name, without its fields.
         let end = kind.find(|c: char| !c.is_ascii_alphanumeric());
         let kind = &kind[..end.unwrap_or(kind.len())];
         self.count(&format!("{name}.{kind}"));
@@ -89,7 +89,7 @@
     }
 }
 
-/// The kind of a call, as it is counted.
+/// The kind of a call as it appears in the names of metrics and in the log.
 pub(crate) fn call_kind(call: &ControlCall) -> &'static str {
     match call {
         ControlCall::Leader => "leader",
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -1,4 +1,4 @@
-//! How the leader answers calls.
+//! Handles calls on the leader.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,13 +16,15 @@
 use crate::clock::wall_ms;
 use crate::events::ControlEvent;
 
-/// A call that needs a commit, or its answer.
+/// What the leader does for a call.
 enum Action {
+    /// Returns a reply at once.
     Reply(ControlReply),
+    /// Commits a command, and replies with its answer.
     Commit(Command),
 }
 
-/// What a call of a customer names.
+/// The host, path and API key of a caller's request.
 struct JobAddress<'a> {
     host: &'a str,
     path: &'a str,
@@ -35,7 +37,7 @@
     }
 }
 
-/// What that leads to, for a caller who may go there.
+/// What a request addresses, after its API key was accepted.
 enum Route {
     Queue(Arc<Queue>),
     Job(Arc<Queue>, JobId, Caller),
@@ -48,7 +50,7 @@
             let leader = status.leader().map(|id| id.0);
             return Err(ControlError::NotLeader { leader });
         }
-        // A leader that others may have replaced can't be sure of anything.
+        // Without a valid leader lease, another instance may already lead.
         if !self.leads() || !self.state.read(|state| state.founded) {
             return Err(ControlError::NoQuorum);
         }
@@ -109,8 +111,8 @@
         Ok(action)
     }
 
-    /// Gives an event to the owner. It has to be there: whoever hears `Done`
-    /// relies on it.
+    /// Sends an event to the owner task. Fails if none runs here, as the receiver of
+    /// `Done` relies on the event being handled.
     fn send_to_owner(&self, event: Event) -> Result<ControlReply, ControlError> {
         if self.state.send_to_owner(event) {
             Ok(ControlReply::Done)
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Takes a heartbeat. That a worker is about to end is committed before it
-    /// hears so: it relies on every later owner to give it no work.
+    /// Handles a heartbeat. That a worker drains is committed before the heartbeat is
+    /// acknowledged: the worker relies on later owners not to assign work to it either.
     fn heartbeat(&self, heartbeat: Heartbeat) -> Result<Action, ControlError> {
         let name = heartbeat.record.name.clone();
         let already_committed = self.state.read(|state| state.draining.contains(&name));
@@ -145,7 +147,7 @@
                     spec,
                     came_ms,
                 }),
-                // Sent again: it is stored already.
+                // A repeated submission: the job is already stored.
                 Some(owner) if owner == caller.name() => Action::Reply(ControlReply::Done),
                 Some(_) => Action::Reply(ControlReply::Taken),
             },
@@ -312,7 +314,7 @@
     }
 }
 
-/// The customers of the configuration in force, in its order.
+/// The customers of the current configuration, in its order.
 fn customer_lines(state: &ControlState, scheduler: &Scheduler) -> Vec<CustomerLine> {
     let catalogue = state.catalogue.as_deref();
     let Some(customers) = catalogue.and_then(|catalogue| catalogue.customers.as_ref()) else {
@@ -353,11 +355,10 @@
     }
 }
 
-/// Where a call leads, by the configuration in force on the leader, which is the
-/// newest: a gateway keeps no copy that could be older.
+/// Resolves a request by the current configuration of the leader, which is the
+/// newest one: a gateway keeps no copy, as it could be older.
 ///
-/// What is not there is told before the key is looked at: an unknown queue has no
-/// customers.
+/// An unknown queue is reported before the key is checked, as it has no customers.
 fn resolve(state: &ControlState, address: &JobAddress<'_>) -> Result<Route, ControlReply> {
     let Some(catalogue) = &state.catalogue else {
         return Err(ControlReply::NoConfiguration);
@@ -379,7 +380,8 @@
     }
 }
 
-/// Whether a job is another customer's, who alone may know of it.
+/// Whether a job belongs to another customer. Callers must not learn that such a
+/// job exists.
 fn is_other_customers_job(state: &ControlState, id: JobId, caller: &Caller) -> bool {
     let owner = state.owner_of(id);
     owner.is_some_and(|owner| !caller.may_use(owner))
--- a/crates/cleat-control/src/node/config.rs
+++ b/crates/cleat-control/src/node/config.rs
@@ -1,4 +1,4 @@
-//! What a control instance is told.
+//! The configuration of a control instance.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,29 +9,30 @@
 
 use crate::PeerAddressing;
 
-/// What a control instance is told at its start.
+/// The configuration of a control instance, read at its start.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// Its name, which its data folder is bound to.
+    /// The name of the instance. Its data folder can be opened only under this name.
     pub name: Box<str>,
-    /// Its key.
+    /// The member ID of the instance.
     pub id: MemberId,
-    /// Where it listens for other instances.
+    /// The address on which it listens for other instances.
     pub listen: SocketAddr,
-    /// How others are reached.
+    /// How other instances are addressed.
     pub address: PeerAddressing,
-    /// The instances that may found the group.
+    /// The instances that may bootstrap the group.
     pub seeds: Vec<MemberId>,
-    /// Whether this instance may take part in founding it.
+    /// Whether this instance may take part in bootstrapping the group.
     pub may_found: bool,
-    /// How many voters the group needs: twice the losses to bear, and one.
+    /// The number of voters in the group: twice the number of tolerated losses, plus
+    /// one.
     pub voters: usize,
-    /// How long a voter beyond that number may be silent before it is removed.
+    /// How long a surplus voter may be silent before it is removed from the group.
     pub remove_silent_after: Duration,
-    /// Where its part of the state is kept.
+    /// The folder of its log and snapshots.
     pub data_folder: PathBuf,
-    /// Time-outs and leases of the group.
+    /// The timeouts and leases of the consensus group.
     pub timing: Timing,
-    /// The durations of the owner.
+    /// The configuration of the scheduler.
     pub scheduler: SchedulerConfig,
 }
--- a/crates/cleat-control/src/node/disk_recovery.rs
+++ b/crates/cleat-control/src/node/disk_recovery.rs
@@ -1,9 +1,9 @@
-//! What becomes of an instance whose disk refuses writes.
+//! Recovery of an instance whose disk failed a write.
 //!
-//! It takes no part in the group, but passes calls on to the leader. Once the disk
-//! takes writes again, the replica is opened anew from what the data folder holds,
-//! as a start of the process would: workers and operators that call this instance
-//! meanwhile get their answers, which they would not while it is started again.
+//! The instance stops its replica, but still forwards calls to the leader. Once the
+//! disk is writable again, it reopens the replica from the data folder, as a restart
+//! of the process would. Unlike during a restart, workers and operators that call this
+//! instance in the meantime get answers.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -24,10 +24,11 @@
 use crate::links::{LinkTransport, Links};
 use crate::state_machine::{JobsStateMachine, SharedState};
 
-/// How often it is tried whether the disk takes writes: a second without one of
-/// five voters costs callers nothing.
+/// The interval between write probes. Callers do not notice that one of five voters
+/// is missing for a second longer.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How much a disk has to take to count as well: the log of some seconds.
+/// The number of bytes that a probe must write: as much as the log grows in a few
+/// seconds.
 const PROBE_BYTES: usize = 256 * 1024;
 const PROBE_FILE: &str = "probe.tmp";
 
@@ -44,7 +45,7 @@
     replica.context(ReplicaSnafu)
 }
 
-/// Opens the replica anew whenever its disk failed, until the instance stops.
+/// Reopens the replica after each disk failure, until the instance stops.
 pub(super) async fn reopen_after_disk_failure(
     shared: Arc<Shared>,
     cfg: ControlConfig,
@@ -63,7 +64,9 @@
                 shared.state.clear();
                 match open_replica(&cfg, &links, &shared.state) {
                     Ok(replica) => break replica,
-                    Err(error) => warn!("the disk takes writes, but {error}"),
+                    Err(error) => {
+                        warn!("the disk is writable, but the replica can't be reopened: {error}");
+                    }
                 }
             }
         };
@@ -78,17 +81,17 @@
     match probed {
         Ok(Ok(())) => true,
         Ok(Err(error)) => {
-            warn!("the disk takes no writes: {error}");
+            warn!("the data folder is not writable: {error}");
             false
         }
         Err(error) => {
-            warn!("the disk can't be tried: {error}");
+            warn!("the write probe of the data folder did not complete: {error}");
             false
         }
     }
 }
 
-/// Writes a file of its own, and removes it whatever came of that.
+/// Writes and syncs a probe file, and removes it whether or not that succeeded.
 fn probe(folder: &Path) -> io::Result<()> {
     let path = folder.join(PROBE_FILE);
     let written = File::create(&path).and_then(|mut file| {
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A control instance.
+//! A control instance: a replica of the group, and the owner task while it leads.
 
 mod answer;
 mod config;
@@ -29,15 +29,15 @@
     AdviceClient, MachineClient, Metrics, PlatformClients, StartError, WorkerClient, owner,
 };
 
-/// What the parts of a control instance share.
+/// The state shared by the tasks of a control instance.
 pub(crate) struct Shared {
     pub(crate) id: MemberId,
     pub(crate) voters: usize,
-    /// Another one after the disk had failed.
+    /// Replaced by a new replica after a disk failure.
     replica: ArcSwap<Replica>,
     stopping: AtomicBool,
     pub(crate) state: Arc<SharedState>,
-    /// The owner's decisions, while this instance leads.
+    /// The scheduler of the owner task; `None` while this instance does not lead.
     pub(crate) scheduler: Mutex<Option<Scheduler>>,
     pub(crate) events: EventLog,
     pub(crate) metrics: Metrics,
@@ -52,7 +52,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether this instance leads and no other can.
+    /// Whether this instance leads and its lease excludes any other leader.
     pub(crate) fn leads(&self) -> bool {
         self.replica().status().leads(BootTime::now())
     }
@@ -74,8 +74,8 @@
 }
 
 impl ControlNode {
-    /// Opens the data folder, listens for other instances, and takes part in
-    /// the group. Needs a tokio runtime.
+    /// Opens the data folder, listens for other instances, and joins the group. Must
+    /// be called within a tokio runtime.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Answers a call here if this instance leads, else asks the leader.
+    /// Handles a call if this instance leads; otherwise forwards it to the leader.
     ///
     /// # Errors
     /// See [`AskError`].
@@ -133,23 +133,23 @@
         self.gateway.ask(call, limit).await
     }
 
-    /// The leader as far as this instance knows.
+    /// The leader that the local replica knows, if any.
     pub fn leader(&self) -> Option<MemberId> {
         self.shared.replica().status().leader()
     }
 
-    /// Whether this instance leads and no other can.
+    /// Whether this instance leads and its lease excludes any other leader.
     pub fn leads(&self) -> bool {
         self.shared.leads()
     }
 
-    /// Replaces the instances that are asked when no leader is known.
+    /// Replaces the control instances to call while the leader is unknown.
     pub fn set_seeds(&self, seeds: Vec<MemberId>) {
         self.gateway.set_seeds(seeds);
     }
 
-    /// Hands the lead over, if it is here, and leaves the group's work. Calls
-    /// are still passed on.
+    /// Stops the replica; if this instance leads, the leadership is transferred
+    /// first. Calls are still forwarded to the leader.
     pub async fn stop_replica(&self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.replica().stop().await;
@@ -186,7 +186,7 @@
         .with_joining(joining)
 }
 
-/// What other instances may ask.
+/// Handles the messages and calls of other instances.
 struct PeerHandler(Arc<Shared>);
 
 impl ControlHandler for PeerHandler {
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the scheduler decided.
+//! Executes the effects that the scheduler returns.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,11 +17,12 @@
 use crate::node::Shared;
 use crate::platform::{AdviceClient, MachineClient, RenewalError, WorkerClient};
 
-/// A call under way, and the event that it ends with, if any.
+/// A pending call; it resolves to the event to handle, if there is one.
 pub(super) type PendingCall = Pin<Box<dyn Future<Output = Option<Event>> + Send>>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
-    /// False if another owner is known to have taken over.
+    /// Executes an effect; false if a worker has rejected this owner in favour of a
+    /// later one.
     pub(super) fn execute(&self, effect: Effect, calls: &PendingCalls) -> bool {
         match effect {
             Effect::Renew {
@@ -52,7 +53,7 @@
                 }
             }
             Effect::Fenced { worker } => {
-                warn!("worker {worker} knows a later owner; this one gives no more orders");
+                warn!("worker {worker} knows a later owner; this instance stops sending orders");
                 return false;
             }
         }
@@ -63,7 +64,7 @@
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let sent_at = boot_time();
-            // Only a certain leader gives orders: another may have begun.
+            // Without a valid leader lease, another owner may already send orders.
             if !shared.leads() {
                 sleep(TICK).await;
                 let other_life = false;
@@ -173,7 +174,8 @@
     }
 }
 
-/// Logs that commands are committed again, or not tried any more, if some failed.
+/// Logs the end of a series of failed commits, if there is one: commands commit
+/// again, or this owner stops.
 pub(super) fn end_commit_failures(shared: &Shared, commits: &Condition) {
     if let Some(outage) = commits.end(boot_time()) {
         shared.events.emit(&ControlEvent::CommitsFailEnd {
--- a/crates/cleat-control/src/owner/mod.rs
+++ b/crates/cleat-control/src/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The task that owns the workers while this instance leads.
+//! The owner task, which runs the scheduler and sends orders to the workers while this
+//! instance leads.
 
 mod effects;
 
@@ -20,15 +21,15 @@
 use crate::platform::{AdviceClient, MachineClient, PlatformClients, WorkerClient};
 use effects::{PendingCall, end_commit_failures};
 
-/// How often an instance that does not lead looks whether it does by now: well
-/// below the time of an election.
+/// How often an instance that does not lead checks whether it became the leader:
+/// well below the time of an election.
 const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// How often the owner looks at what is due by time alone.
+/// The interval of the scheduler's tick events, which trigger what is due by time.
 const TICK: Duration = Duration::from_millis(50);
-/// How many events are taken before effects are carried out.
+/// The maximum number of events that are handled before effects are executed.
 const BATCH: usize = 256;
 
-/// Starts the task.
+/// Spawns the owner task.
 pub(crate) fn spawn<W: WorkerClient, M: MachineClient, A: AdviceClient>(
     shared: Arc<Shared>,
     cfg: SchedulerConfig,
@@ -51,11 +52,11 @@
     workers: Arc<W>,
     machines: Arc<M>,
     adviser: Arc<A>,
-    /// Whether its commands are committed.
+    /// Tracks whether proposed commands fail to commit.
     commits: Arc<Condition>,
 }
 
-/// PendingCalls under way.
+/// The calls that have not completed yet.
 type PendingCalls = FuturesUnordered<PendingCall>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Takes over and owns the workers until the lead is lost.
+    /// Takes over the workers, and runs the scheduler until the leadership is lost.
     async fn run_as_owner(&self) {
         let (tx, mut rx) = unbounded_channel();
         self.shared.state.set_owner(Some(tx));
@@ -92,7 +93,8 @@
         *guard = scheduler;
     }
 
-    /// Commits the ownership, once the group has the voters it needs.
+    /// Commits that this instance is the owner, once the group has enough voters;
+    /// false if that failed.
     async fn take_over(&self) -> bool {
         if !self.shared.state.read(|state| state.founded) {
             let status = self.shared.replica().status();
@@ -114,7 +116,7 @@
         taken
     }
 
-    /// Logs the ownership and gives its token.
+    /// Logs the takeover, and returns the fencing token of this owner.
     fn log_takeover(&self) -> u64 {
         let owner = self.shared.with_scheduler(Scheduler::owner);
         let token = owner.map_or(0, |owner| owner.token);
@@ -132,7 +134,7 @@
         match self.shared.replica().propose(command.encode()).await {
             Ok(_) => true,
             Err(error) => {
-                warn!("the workers can't be taken over yet: {error}");
+                warn!("could not commit the takeover of the workers; retrying: {error}");
                 false
             }
         }
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Decides on events and carries the decisions out; false once another
+    /// Passes events to the scheduler and executes its effects; false once a later
     /// owner is known.
     fn handle(&self, events: &mut Vec<Event>, calls: &PendingCalls) -> bool {
         let mut guard = self
@@ -186,8 +188,8 @@
     }
 }
 
-/// Takes the calls that have ended as well: one decision on many events costs
-/// little more than one on a single event.
+/// Adds the events of calls that have already completed, as the scheduler handles a
+/// batch of events at little more cost than a single one.
 fn collect_completed(calls: &mut PendingCalls, events: &mut Vec<Event>) {
     while events.len() < BATCH
         && let Some(Some(event)) = calls.next().now_or_never()
--- a/crates/cleat-control/src/platform.rs
+++ b/crates/cleat-control/src/platform.rs
@@ -1,4 +1,4 @@
-//! What this crate needs of the platform.
+//! The interfaces to the platform that this crate calls.
 
 use std::future::Future;
 
@@ -7,31 +7,31 @@
     TaskOrder,
 };
 
-/// All that a control instance calls.
+/// The clients through which a control instance calls the platform.
 pub struct PlatformClients<W, M, A> {
-    /// Workers.
+    /// Calls workers.
     pub workers: W,
-    /// Machines.
+    /// Lists machines and sends orders for them.
     pub machines: M,
-    /// The adviser.
+    /// Calls the adviser.
     pub adviser: A,
 }
 
-/// Why a renewal has no answer.
+/// Why the renewal of a worker's lease failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalError {
-    /// Another life of a worker answers at the address.
+    /// Another life of a worker answered at the address.
     OtherLife,
-    /// There was no answer, or none that can be read.
+    /// There was no answer, or it could not be decoded.
     NoAnswer,
 }
 
-/// Speaks to the platform about machines.
+/// Calls the platform's machine API.
 pub trait MachineClient: Send + Sync + 'static {
-    /// All machines; none if there was no whole answer.
+    /// Lists all machines; `None` if the list could not be read completely.
     fn list(&self) -> impl Future<Output = Option<Vec<MachineView>>> + Send;
 
-    /// Orders something for a machine.
+    /// Sends an order for a machine, fenced by the owner's token.
     fn send_order(
         &self,
         machine: &str,
@@ -40,10 +40,10 @@
     ) -> impl Future<Output = MachineAnswer> + Send;
 }
 
-/// Speaks to the adviser, which knows the workers that may run a step.
+/// Calls the adviser, which decides which workers may run a step.
 pub trait AdviceClient: Send + Sync + 'static {
-    /// The workers among `workers` that may run the step, each with a ticket;
-    /// none if there was no answer.
+    /// The workers among `workers` that are permitted to run the step, each with
+    /// its ticket; `None` if there was no answer.
     fn advise(
         &self,
         step: StepId,
@@ -51,9 +51,10 @@
     ) -> impl Future<Output = Option<Vec<(Box<str>, Box<str>)>>> + Send;
 }
 
-/// Speaks to workers.
+/// Calls workers.
 pub trait WorkerClient: Send + Sync + 'static {
-    /// Asks a worker to go on and what it runs.
+    /// Renews the lease of a worker, which answers with its running and ended
+    /// runs.
     fn renew(
         &self,
         worker: &str,
@@ -61,7 +62,7 @@
         order: RenewalOrder,
     ) -> impl Future<Output = Result<RenewalAnswer, RenewalError>> + Send;
 
-    /// Tells a worker something about a run.
+    /// Sends an order about one run to a worker, fenced by the owner's token.
     fn send_order(
         &self,
         worker: &str,
@@ -71,7 +72,7 @@
     ) -> impl Future<Output = OrderAnswer> + Send;
 }
 
-/// A platform without machines to move or maintain.
+/// A [`MachineClient`] for platforms without machine management.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoMachines;
 
@@ -85,7 +86,8 @@
     }
 }
 
-/// A platform without an adviser: steps that need its permission wait.
+/// An [`AdviceClient`] for platforms without an adviser: steps that need its
+/// permission wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoAdviser;
 
--- a/crates/cleat-control/src/simulated/client.rs
+++ b/crates/cleat-control/src/simulated/client.rs
@@ -1,4 +1,4 @@
-//! Workers within the process of their owner.
+//! A worker client that calls simulated workers within the same process.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use super::{SimulatedRun, SimulatedWorker};
 use crate::{RenewalError, WorkerClient};
 
-/// How often a waiting renewal looks for ends.
+/// How often a waiting renewal checks for ended runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a task without an estimate runs.
+/// The minimum run time of a task, used in particular if its step has no estimate.
 const MIN_RUN_TIME: Duration = Duration::from_millis(100);
 
-/// Models of workers that are called without a network. A task runs for as
-/// long as its step estimates, and succeeds.
+/// Simulated workers that are called without a network. Each run takes the estimated
+/// time of its step, and succeeds.
 #[derive(Clone, Debug)]
 pub struct InProcessWorkers {
     origin: Instant,
@@ -25,7 +25,7 @@
 }
 
 impl InProcessWorkers {
-    /// No workers yet.
+    /// Creates a client without workers.
     pub fn new() -> InProcessWorkers {
         InProcessWorkers {
             origin: Instant::now(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Adds a worker and gives the heartbeat that announces it.
+    /// Adds a worker, and returns the heartbeat that announces it.
     pub fn add(&self, record: WorkerRecord) -> Heartbeat {
         let heartbeat = Heartbeat {
             record: record.clone(),
@@ -55,7 +55,7 @@
         self.origin.elapsed()
     }
 
-    /// What the worker lists, if it has an end to tell or `wait` is over.
+    /// The worker's report, if it contains an ended run or the wait has expired.
     fn report(&self, worker: &str, wait_expired: bool) -> Option<RenewalAnswer> {
         let now = self.now();
         let mut workers = self.lock();
--- a/crates/cleat-control/src/simulated/mod.rs
+++ b/crates/cleat-control/src/simulated/mod.rs
@@ -1,5 +1,5 @@
-//! Workers within the process of their owner: for trying things out, and for
-//! tests. They run nothing and say that they do.
+//! Simulated workers within the owner's process, for development and tests. They
+//! report runs, but execute nothing.
 
 mod client;
 mod worker;
--- a/crates/cleat-control/src/simulated/worker.rs
+++ b/crates/cleat-control/src/simulated/worker.rs
@@ -1,4 +1,4 @@
-//! A model of a worker: what it runs, under which lease, for which owner.
+//! A simulated worker: its runs, its lease, and the fencing token of its owner.
 
 use std::time::Duration;
 
@@ -8,52 +8,54 @@
 };
 use indexmap::IndexMap;
 
-/// One run on a worker.
+/// A run on a simulated worker.
 #[derive(Clone, Debug)]
 pub struct SimulatedRun {
-    /// Its number.
+    /// The number of the run.
     pub run: Run,
-    /// When it ends by itself.
+    /// When the run ends if it is not stopped before.
     pub ends_at: Duration,
-    /// How it ends then.
+    /// The result that it reports then.
     pub end_kind: EndKind,
-    /// What it takes up.
+    /// The resources that it uses.
     pub size: Size,
 }
 
-/// One life of a worker.
+/// One life of a simulated worker.
 #[derive(Clone, Debug)]
 pub struct SimulatedWorker {
-    /// What it says of itself.
+    /// The record that its heartbeats carry.
     pub record: WorkerRecord,
-    /// Whether it is there at all.
+    /// Whether the worker process is running.
     pub up: bool,
-    /// Whether it refuses what does not fit; else it starts whatever it is told to.
+    /// Whether it rejects a start that exceeds its free capacity; otherwise it
+    /// starts every run.
     pub enforces_capacity: bool,
-    /// Until when nothing reaches it or leaves it.
+    /// Until when it is cut off from the network in both directions.
     pub unreachable_until: Duration,
-    /// How fast its clock is, in percent.
+    /// The speed of its clock, in percent of the real time.
     pub clock_percent: u32,
-    /// What its clock showed at the beginning, in milliseconds.
+    /// The reading of its clock at the start, in milliseconds.
     pub clock_offset_ms: u64,
-    /// The highest fencing token seen.
+    /// The highest fencing token received so far.
     pub token: u64,
-    /// The end of its lease, on its clock in milliseconds.
+    /// The end of its lease, in milliseconds of its own clock.
     pub lease_deadline_ms: u64,
-    /// What runs.
+    /// The current runs.
     pub runs: IndexMap<TaskId, SimulatedRun>,
-    /// The highest run of each task that was stopped or ended here.
+    /// The highest run of each task that ended or was stopped on this worker.
     pub closed_runs: IndexMap<TaskId, Run>,
-    /// Ends that were not acknowledged.
+    /// Ended runs that the owner has not acknowledged yet.
     pub ended: Vec<TaskEnd>,
-    /// How many ends there were in this life.
+    /// The number of runs that ended in this life.
     pub end_count: u64,
-    /// How many heartbeats it sent.
+    /// The number of heartbeats sent.
     pub sequence: u64,
 }
 
 impl SimulatedWorker {
-    /// A worker without runs, whose clock runs at `clock_percent`.
+    /// Creates a worker without runs, whose clock runs at `clock_percent` of the real
+    /// speed.
     pub fn new(record: WorkerRecord, clock_percent: u32, clock_offset_ms: u64) -> SimulatedWorker {
         SimulatedWorker {
             record,
@@ -72,20 +74,20 @@
         }
     }
 
-    /// What its clock shows.
+    /// The reading of its clock, in milliseconds.
     #[must_use]
     pub fn clock_ms(&self, now: Duration) -> u64 {
         let ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         self.clock_offset_ms + ms * u64::from(self.clock_percent) / 100
     }
 
-    /// Whether calls reach it.
+    /// Whether calls reach this worker.
     #[must_use]
     pub fn reachable(&self, now: Duration) -> bool {
         self.up && now >= self.unreachable_until
     }
 
-    /// Ends what is due, and everything once the lease is over.
+    /// Ends the runs that are due, and all runs once the lease has expired.
     pub fn advance(&mut self, now: Duration) {
         let lapsed = self.clock_ms(now) > self.lease_deadline_ms;
         let due: Vec<(TaskId, EndKind)> = self
@@ -127,7 +129,7 @@
         *closed = (*closed).max(run);
     }
 
-    /// What its runs take up.
+    /// The resources used by its runs.
     #[must_use]
     pub fn used(&self) -> Size {
         self.runs
@@ -135,7 +137,7 @@
             .fold(Size::default(), |sum, run| sum + run.size)
     }
 
-    /// Carries an order out. A start tells how long and how it will run.
+    /// Executes an order. A start creates the run `planned`.
     pub fn execute_order(
         &mut self,
         now: Duration,
@@ -197,7 +199,8 @@
         OrderAnswer::Done
     }
 
-    /// Takes a renewal; the caller decides when it is answered.
+    /// Renews the lease; false if the owner is fenced. The caller decides when to
+    /// answer with [`SimulatedWorker::report`].
     pub fn renew(&mut self, now: Duration, order: &RenewalOrder) -> bool {
         self.advance(now);
         if order.token < self.token {
@@ -211,7 +214,7 @@
         true
     }
 
-    /// What runs and ended.
+    /// Reports the current runs and the ended runs that are not acknowledged.
     pub fn report(&mut self, now: Duration) -> RenewalAnswer {
         self.advance(now);
         let running = |(task, run): (&TaskId, &SimulatedRun)| RunningTask {
--- a/crates/cleat-control/src/state_machine.rs
+++ b/crates/cleat-control/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state as this instance holds it.
+//! The local copy of the replicated state, to which the log is applied.
 
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
@@ -7,11 +7,11 @@
 use log::error;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The state, and who wants to know of its changes.
+/// The replicated state, and the owner task that is notified of its changes.
 #[derive(Debug, Default)]
 pub(crate) struct SharedState {
     state: RwLock<ControlState>,
-    /// The owner's inbox while this instance leads.
+    /// The event channel of the owner task while this instance leads.
     owner: Mutex<Option<UnboundedSender<Event>>>,
 }
 
@@ -20,18 +20,18 @@
         read(&self.state.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Names the owner's inbox, or that there is none any more.
+    /// Sets the event channel of the owner task; `None` if no owner runs here.
     pub(crate) fn set_owner(&self, owner: Option<UnboundedSender<Event>>) {
         *self.owner.lock().unwrap_or_else(PoisonError::into_inner) = owner;
     }
 
-    /// Hands an event to the owner; whether there is one.
+    /// Sends an event to the owner task; false if no owner runs here.
     pub(crate) fn send_to_owner(&self, event: Event) -> bool {
         let owner = self.owner.lock().unwrap_or_else(PoisonError::into_inner);
         owner.as_ref().is_some_and(|tx| tx.send(event).is_ok())
     }
 
-    /// Forgets everything: the log is to be applied anew from its beginning.
+    /// Resets the state before the log is applied again from its beginning.
     pub(crate) fn clear(&self) {
         let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
         *state = ControlState::default();
@@ -43,16 +43,17 @@
             let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
             state.apply(index, (*command).clone())
         };
-        // Instances that do not own the workers need not hear of it.
+        // Where no owner runs, nobody needs the event.
         self.send_to_owner(Event::Applied { command });
         answer
     }
 }
 
-/// Applies the log to the state.
+/// Applies log entries to the shared state.
 pub(crate) struct JobsStateMachine(pub(crate) Arc<SharedState>);
 
-/// The answer to an entry that can't be read: one byte that no answer has.
+/// The answer to an entry that can't be decoded: a byte that starts no encoded
+/// [`Answer`].
 const UNREADABLE: u8 = u8::MAX;
 
 impl Machine for JobsStateMachine {
@@ -60,7 +61,7 @@
         match Command::decode(command) {
             Ok(command) => self.0.apply(index, command).encode(),
             Err(error) => {
-                error!("log entry {index}: {error}");
+                error!("log entry {index} can't be decoded: {error}");
                 Box::new([UNREADABLE])
             }
         }
