--- a/crates/cleat-node/src/entry_control.rs
+++ b/crates/cleat-node/src/entry_control.rs
@@ -1,4 +1,4 @@
-//! What the request path asks of control.
+//! The control interface of the request path.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 
 use crate::node::Node;
 
-/// How long a look-up may take to have what the leader has.
+/// How long a look-up may wait until the local replica has caught up with the
+/// leader.
 const LOOK_UP_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Control for Node {
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -27,65 +27,66 @@
 use crate::state_machine::FleetStateMachine;
 use crate::world::{SharedWorld, new_life};
 
-/// The pause before a new life is announced again.
+/// The delay before the announcement of a new life is retried.
 const BEGIN_LIFE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why an instance could not start. Nothing was changed.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The data folder cannot be used: see the source for what to mend.
+    /// The data folder can't be opened; the source says what to correct.
     #[snafu(display("the data folder {} cannot be used", folder.display()))]
     DataFolder {
         /// The folder.
         folder: PathBuf,
-        /// Why.
+        /// The cause.
         source: cleat_log::OpenError,
     },
     /// The listener for other instances could not be bound.
     #[snafu(display("listen.peers cannot be used"))]
     ListenPeers {
-        /// Why.
+        /// The cause.
         source: cleat_link::ServeError,
     },
     /// The listener for operators or targets could not be bound.
     #[snafu(display("listen.operators or listen.targets cannot be used"))]
     Listen {
-        /// Why.
+        /// The cause.
         source: cleat_operate::ListenError,
     },
     /// The listener for callers could not be bound.
     #[snafu(display("listen.callers cannot be used"))]
     ListenCallers {
-        /// Why.
+        /// The cause.
         source: cleat_entry::BindError,
     },
-    /// Two instances' names have the same key in the consensus. Rename one.
-    #[snafu(display("the names {first:?} and {second:?} cannot be used together; rename one"))]
+    /// The names of two instances hash to the same member ID. Rename one of them.
+    #[snafu(display(
+        "the instance names {first:?} and {second:?} have the same member ID; rename one"
+    ))]
     NameCollision {
-        /// One name.
+        /// One of the names.
         first: Box<str>,
-        /// The other.
+        /// The other name.
         second: Box<str>,
     },
-    /// The replicated log could not be started from what the data folder
-    /// holds.
+    /// The replica could not be restored from the content of the data folder.
     #[snafu(display("the replicated log cannot be started"))]
     Replica {
-        /// Why.
+        /// The cause.
         source: cleat_quorum::SpawnError,
     },
 }
 
-/// Where a running instance listens.
+/// The addresses on which a running instance listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For targets.
+    /// The address for targets.
     pub targets: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// For the other instances.
+    /// The address for other instances.
     pub peers: SocketAddr,
 }
 
@@ -99,11 +100,11 @@
 }
 
 impl Instance {
-    /// Starts an instance. It listens when this returns, and takes requests
-    /// once it has a lease.
+    /// Starts an instance. It listens when this returns, and accepts requests
+    /// once it holds a lease.
     ///
     /// # Errors
-    /// [`StartError`]; nothing was changed then.
+    /// See [`StartError`]; nothing was changed then.
     pub async fn start(settings: &Settings, counters: Counters) -> Result<Instance, StartError> {
         let members =
             Members::from_settings(settings).map_err(|collision| StartError::NameCollision {
@@ -147,15 +148,16 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses on which the instance listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Stops gracefully: readiness goes false at once, requests in progress
-    /// finish, and the lease is given up so that nobody waits for it.
+    /// Stops gracefully: the instance is not ready any more at once, requests in
+    /// progress complete, and the lease is released so that no other instance has
+    /// to wait for its expiry.
     pub async fn stop(self) {
-        info!("stopping");
+        info!("instance is stopping");
         self.entry.drain().await;
         for server in self.servers {
             server.stop().await;
@@ -164,7 +166,7 @@
         for task in self.tasks {
             task.abort();
         }
-        info!("stopped");
+        info!("instance has stopped");
     }
 }
 
@@ -249,12 +251,13 @@
             entry.publish(world);
         }
     }));
-    // The first and only entry of this node.
+    // Can't fail: the entry of a node is set only here.
     let _ = node.entry.set(Arc::downgrade(&entry));
     Ok(entry)
 }
 
-/// Makes this run known, which ends what earlier runs of this instance left.
+/// Announces this life of the instance to the fleet, which ends whatever earlier lives
+/// left behind.
 async fn begin_life(node: Arc<Node>) {
     let begin = BeginLife {
         entry: node.name.clone(),
@@ -264,11 +267,11 @@
         let body = CommandBody::BeginLife(begin.clone());
         match node.propose_to_leader(body).await {
             Ok(proposed) => {
-                // Only this task sets it.
+                // Can't fail: only this task sets it.
                 let _ = node.life_began.set(proposed.index);
                 return;
             }
-            Err(error) => warn!("not in the fleet yet: {error}"),
+            Err(error) => warn!("could not announce this instance to the fleet; retrying: {error}"),
         }
         tokio::time::sleep(BEGIN_LIFE_RETRY_DELAY).await;
     }
--- a/crates/cleat-node/src/leader_calls.rs
+++ b/crates/cleat-node/src/leader_calls.rs
@@ -1,4 +1,4 @@
-//! Finding the leader and asking it.
+//! Calls to the leader, wherever it is.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -10,26 +10,26 @@
 
 use crate::node::{Node, wall_clock_ms};
 
-/// How long to look for a leader: longer than an election takes.
+/// How long a call waits for a leader: longer than an election takes.
 const FIND_LEADER_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long one call to the leader may take.
+/// The time limit of one call to the leader.
 const CALL_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// How long a change may take to come into force: longer than the lease of an
-/// instance that cannot be reached.
+/// The time limit for a change to take effect: longer than the lease of an instance
+/// that can't be reached.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(8_000);
-/// The pause before the leader is looked for again.
+/// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// One try to have something done by the leader.
+/// The outcome of one attempt at the leader.
 pub(crate) enum Attempt<T> {
-    /// The leader did it, or finally could not.
+    /// The leader carried out the call, or it failed permanently.
     Finished(Result<T, ControlError>),
-    /// Nothing was changed, and another try may find the leader.
+    /// The call failed, and may be repeated.
     Retry,
 }
 
 impl Node {
-    /// Proposes `body` to the leader, wherever it is.
+    /// Proposes a command to the leader.
     pub(crate) async fn propose_to_leader(
         &self,
         body: CommandBody,
@@ -54,7 +54,7 @@
         .await
     }
 
-    /// Proposes `body` to the local replica.
+    /// Proposes a command to the local replica.
     pub(crate) async fn propose_local(&self, body: CommandBody) -> Result<Proposed, PeerError> {
         let at_ms = wall_clock_ms();
         let command = Command { at_ms, body }.encode();
@@ -66,7 +66,8 @@
         })
     }
 
-    /// Waits until `index` is in force wherever requests are taken.
+    /// Waits until the log up to `index` has taken effect on every instance that
+    /// accepts requests.
     pub(crate) async fn wait_in_force_on_leader(&self, index: u64) -> Result<(), ControlError> {
         self.call_leader(|leader| async move {
             let result = match leader {
@@ -79,19 +80,20 @@
                     result.map_err(LeaderCallError::from)
                 }
             };
-            // Waiting changes nothing, so any failure may be tried again.
+            // Waiting changes nothing, so it may be repeated after any failure.
             classify(result, true)
         })
         .await
     }
 
-    /// As [`Node::wait_in_force_on_leader`], if this instance leads.
+    /// Like [`Node::wait_in_force_on_leader`], but fails unless this instance leads.
     pub(crate) async fn wait_in_force_local(&self, index: u64) -> Result<(), PeerError> {
         let waited = self.replica.wait_in_force(index, IN_FORCE_TIMEOUT).await;
         waited.map_err(|error| self.peer_error(&error.into()))
     }
 
-    /// Waits until the local replica has all that was committed before.
+    /// Waits until the local replica has applied everything that was committed before
+    /// the call.
     pub(crate) async fn catch_up_with_leader(&self) -> Result<(), ControlError> {
         let index = self
             .call_leader(|leader| async move {
@@ -109,13 +111,15 @@
         waited.map_err(|_| ControlError::NoQuorum)
     }
 
-    /// An index that covers all that was committed, if this instance leads.
+    /// An index that covers everything that is committed; fails unless this instance
+    /// leads.
     pub(crate) async fn read_index_local(&self) -> Result<u64, PeerError> {
         let index = self.replica.read_index().await;
         index.map_err(|error| self.peer_error(&error))
     }
 
-    /// Asks the leader until it did, finally could not, or none is found.
+    /// Calls the leader, and repeats the call until it succeeds, fails permanently, or
+    /// the time to find a leader is over.
     pub(crate) async fn call_leader<'a, T, F, Fut>(&'a self, call: F) -> Result<T, ControlError>
     where
         F: Fn(Leader<'a>) -> Fut,
@@ -144,18 +148,21 @@
     }
 }
 
-/// Where the leader is.
+/// How to reach the leader.
 pub(crate) enum Leader<'a> {
-    /// This instance.
+    /// This instance leads.
     Local,
-    /// At the other end of a link.
+    /// Another instance leads, at the other end of a link.
     Remote(&'a Link),
 }
 
-/// Why the leader did not do it.
+/// Why a call to the leader failed.
 pub(crate) enum LeaderCallError {
+    /// The call was not sent.
     NotSent,
+    /// The call was sent, but not answered.
     NoAnswer,
+    /// The called instance returned an error.
     Peer(PeerError),
 }
 
@@ -169,8 +176,8 @@
     }
 }
 
-/// Whether another try can be made. After an unknown outcome only what has
-/// the same effect twice may be tried again.
+/// Decides whether a call is repeated. After an unknown outcome, only a call that is
+/// `repeatable` is, that is, one that has the same effect if it is applied twice.
 pub(crate) fn classify<T>(result: Result<T, LeaderCallError>, repeatable: bool) -> Attempt<T> {
     match result {
         Ok(value) => Attempt::Finished(Ok(value)),
@@ -186,7 +193,7 @@
     }
 }
 
-/// Whether the command has the same effect when it is applied twice.
+/// Whether the command has the same effect if it is applied twice.
 fn is_repeatable(body: &CommandBody) -> bool {
     match body {
         CommandBody::ApplyConfig(_)
--- a/crates/cleat-node/src/leases.rs
+++ b/crates/cleat-node/src/leases.rs
@@ -1,4 +1,4 @@
-//! The leader's watch over the leases of targets.
+//! The leader's monitoring of target leases.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 
 use crate::node::Node;
 
-/// How often lapsed leases are looked for.
+/// The interval of the checks for lapsed leases.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The lease table of a leader, empty elsewhere.
+/// The lease table of the leader; empty on other instances.
 #[derive(Default)]
 pub(crate) struct LeaseMonitor {
     state: Mutex<MonitorState>,
@@ -22,7 +22,8 @@
 #[derive(Default)]
 struct MonitorState {
     table: LeaseTable,
-    /// The generation the table was filled from; unset while not leading.
+    /// The generation of the replicated state that the table was last synchronized with;
+    /// `None` while this instance does not lead.
     generation: Option<u64>,
 }
 
@@ -33,7 +34,7 @@
 }
 
 impl Node {
-    /// Renews leases, if this instance leads.
+    /// Renews leases; fails unless this instance leads.
     pub(crate) fn renew_local(
         &self,
         renewals: &[Renewal],
@@ -75,15 +76,15 @@
     }
 }
 
-/// Withdraws targets whose lease has lapsed, for as long as the node lives.
+/// Withdraws targets whose lease has lapsed, until the task is aborted.
 pub(crate) async fn withdraw_lapsed_targets(node: Arc<Node>) {
     let mut ticks = tokio::time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut last_tick = Instant::now();
     loop {
         ticks.tick().await;
-        // After a pause of the process itself, renewals that waited outside
-        // are let in before anything is judged.
+        // If this process itself was paused, renewals may still be queued in its
+        // sockets. They are handled before the next check.
         let was_paused = last_tick.elapsed() > 4 * CHECK_INTERVAL;
         last_tick = Instant::now();
         if was_paused {
--- a/crates/cleat-node/src/lib.rs
+++ b/crates/cleat-node/src/lib.rs
@@ -1,7 +1,7 @@
-//! One instance, put together from its settings.
+//! Assembles an instance from its settings.
 //!
-//! [`Instance::start`] opens the data folder, binds the listeners, joins the
-//! quorum and returns the running instance.
+//! [`Instance::start`] opens the data folder, binds the listeners, starts the
+//! replica, which joins the consensus group, and returns the running instance.
 
 mod entry_control;
 mod instance;
--- a/crates/cleat-node/src/links.rs
+++ b/crates/cleat-node/src/links.rs
@@ -1,4 +1,4 @@
-//! The links to all other instances.
+//! Links to the other instances.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 }
 
 impl Links {
-    /// Starts to connect to every other instance.
+    /// Starts connecting to all other instances.
     pub(crate) fn spawn(members: &Members) -> Links {
         let traffic = Arc::new(LinkTraffic::default());
         let mut by_id = IndexMap::new();
@@ -39,7 +39,7 @@
     }
 }
 
-/// Sends the messages of consensus.
+/// Sends consensus messages over the links.
 pub(crate) struct LinkTransport(pub(crate) Arc<Links>);
 
 impl Transport for LinkTransport {
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! What moves and waves ask of control.
+//! The control interface for instance moves and maintenance waves.
 
 use cleat_quorum::BootTime;
 
--- a/crates/cleat-node/src/member.rs
+++ b/crates/cleat-node/src/member.rs
@@ -1,28 +1,28 @@
-//! From names of instances to keys of members.
+//! Maps the names of instances to their member IDs in the consensus group.
 
 use cleat_quorum::MemberId;
 use cleat_settings::Settings;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 
-/// One instance of the system's own, as the settings list it.
+/// A member of the consensus group, as listed in the settings.
 #[derive(Debug, Clone)]
 pub(crate) struct MemberInfo {
     pub(crate) name: Box<str>,
     pub(crate) data_centre: Box<str>,
-    /// Unset for an instance that is alone.
+    /// `None` for an instance without peers.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) votes: bool,
 }
 
-/// Every instance by key.
+/// All members by ID.
 #[derive(Debug, Clone)]
 pub(crate) struct Members {
     by_id: IndexMap<MemberId, MemberInfo>,
     own: MemberId,
 }
 
-/// Two names whose keys are equal.
+/// Two instance names with the same member ID.
 #[derive(Debug)]
 pub(crate) struct MemberIdCollision {
     pub(crate) first: Box<str>,
@@ -30,7 +30,8 @@
 }
 
 impl Members {
-    /// The instances of `settings`; an instance without peers is alone.
+    /// Reads the members from the settings. Without peers, this instance is the only
+    /// member.
     pub(crate) fn from_settings(settings: &Settings) -> Result<Members, MemberIdCollision> {
         let mut members = Members {
             by_id: IndexMap::new(),
@@ -83,7 +84,8 @@
         self.by_id.get(&member_id(name))
     }
 
-    /// Every name, sorted: the same list on each instance.
+    /// The names of all members, sorted so that the list is the same on every
+    /// instance.
     pub(crate) fn sorted_names(&self) -> Vec<Box<str>> {
         let mut names: Vec<_> = self.by_id.values().map(|info| info.name.clone()).collect();
         names.sort();
@@ -91,8 +93,8 @@
     }
 }
 
-/// The key of an instance. It depends on the name alone, so adding or
-/// removing an instance in the settings leaves the others' keys as they are.
+/// The member ID of an instance. It depends only on the name, so that adding or
+/// removing an instance in the settings does not change the IDs of the others.
 pub(crate) fn member_id(name: &str) -> MemberId {
     let hash = crc32fast::hash(name.as_bytes());
     let [a, b, c, d] = hash.to_be_bytes();
--- a/crates/cleat-node/src/node.rs
+++ b/crates/cleat-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one instance share.
+//! The state shared by the parts of an instance.
 
 use std::sync::{Arc, OnceLock, Weak};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -15,11 +15,11 @@
 use crate::renewals::RenewalQueue;
 use crate::world::SharedWorld;
 
-/// One running instance's control side.
+/// The shared state of a running instance.
 pub(crate) struct Node {
     pub(crate) data_centre: Box<str>,
     pub(crate) name: Box<str>,
-    /// A number that no earlier run of this instance had.
+    /// Identifies this life of the instance, that is, one run of its process.
     pub(crate) life: u64,
     pub(crate) members: Members,
     pub(crate) links: Arc<Links>,
@@ -28,40 +28,40 @@
     pub(crate) leases: LeaseMonitor,
     pub(crate) renewals: RenewalQueue,
     pub(crate) counters: Counters,
-    /// The request path of this instance; set once it listens.
+    /// The request path of this instance; set once its listener is bound.
     pub(crate) entry: OnceLock<Weak<Entry<Node>>>,
     pub(crate) started_at: Instant,
-    /// The log index at which this life became known; set once.
+    /// The log index of the entry that announced this life; set once.
     pub(crate) life_began: OnceLock<u64>,
-    /// Wakes who looks for idle slots on loan.
+    /// Wakes the task that returns idle borrowed slots.
     pub(crate) slots_changed: Notify,
 }
 
 impl Node {
-    /// Whether this instance leads and its lead is certain to hold: the lease
-    /// to take requests outlives the lead of an instance that is cut off.
+    /// Whether this instance leads and its leader lease is valid. On an instance that
+    /// is cut off, the lease to accept requests lasts longer than the leader lease.
     pub(crate) fn leads(&self) -> bool {
         self.replica.status().leads(BootTime::now())
     }
 
-    /// Whether this instance takes requests: its lease holds, and it is the
-    /// only one of its name that is known.
+    /// Whether this instance accepts requests: its lease is valid, and the fleet knows no
+    /// later life under its name.
     pub(crate) fn in_service(&self) -> bool {
         self.replica.status().in_service(BootTime::now()) && self.is_current_life()
     }
 
-    /// Whether the fleet knows this run, and no later one, under this name.
+    /// Whether the fleet knows this life, and no later one, under this name.
     pub(crate) fn is_current_life(&self) -> bool {
         self.world.own_life() == Some(self.life)
     }
 
-    /// The leader's name as far as it is known here.
+    /// The name of the leader, if this instance knows it.
     pub(crate) fn leader_name(&self, status: &Status) -> Option<Box<str>> {
         let leader = status.leader()?;
         self.members.name(leader).map(Into::into)
     }
 
-    /// Turns a failure of the local replica into what other instances hear.
+    /// Converts an error of the local replica to one for other instances.
     pub(crate) fn peer_error(&self, error: &ProposeError) -> PeerError {
         match error {
             ProposeError::NotLeader { leader } => PeerError::NotLeader {
@@ -75,8 +75,8 @@
     }
 }
 
-/// The wall clock, in milliseconds since the Unix epoch. Only stamps the
-/// age of what is remembered; no promise rests on it.
+/// The wall clock, in milliseconds since the Unix epoch. Used only to record the age
+/// of stored entries; no guarantee depends on it.
 pub(crate) fn wall_clock_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = since.map(|since| since.as_millis()).unwrap_or_default();
--- a/crates/cleat-node/src/operator_control.rs
+++ b/crates/cleat-node/src/operator_control.rs
@@ -1,4 +1,4 @@
-//! What the interfaces for operators and targets ask of control.
+//! The control interface of the APIs for operators and targets.
 
 use std::sync::Weak;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::leader_calls::{Leader, LeaderCallError, classify};
 use crate::node::Node;
 
-/// How long the list of members may take.
+/// The time limit for listing the members.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl ControlPlane for Node {
@@ -83,7 +83,8 @@
 }
 
 impl Node {
-    /// Every instance as this one sees it, if it leads.
+    /// The state of all members as seen by the leader; fails unless this instance
+    /// leads.
     pub(crate) fn members_local(&self) -> Result<Vec<MemberReport>, PeerError> {
         let status = self.replica.status();
         if !status.leads(BootTime::now()) {
--- a/crates/cleat-node/src/peer_handler.rs
+++ b/crates/cleat-node/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What this instance answers to the others.
+//! Handles messages and calls of other instances.
 
 use cleat_link::{
     Handler, MemberReport, PeerError, Proposed, Renewal, RenewalOutcome, SlotMessage,
--- a/crates/cleat-node/src/renewals.rs
+++ b/crates/cleat-node/src/renewals.rs
@@ -1,4 +1,4 @@
-//! RenewalQueue of targets' leases, sent to the leader in batches.
+//! Batches the renewals of target leases on their way to the leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,33 +11,34 @@
 use crate::leader_calls::{Leader, LeaderCallError, classify};
 use crate::node::Node;
 
-/// How long renewals are gathered before they are sent together.
+/// How long renewals are collected before a batch is sent.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
-/// The most renewals in one call.
+/// The maximum number of renewals in one call.
 const MAX_BATCH: usize = 1_024;
-/// How long one call may take.
+/// The time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 type Outcome = Result<RenewalOutcome, ControlError>;
 
+/// A renewal that has not been answered, and the channel for its outcome.
 pub(crate) struct PendingRenewal {
     renewal: Renewal,
     reply: oneshot::Sender<Outcome>,
 }
 
-/// Takes renewals of all targets that renew here.
+/// Queues the renewals of the targets that call this instance.
 pub(crate) struct RenewalQueue {
     tx: mpsc::Sender<PendingRenewal>,
 }
 
 impl RenewalQueue {
-    /// The intake, and the queue that [`send`] empties.
+    /// Creates the queue, and the receiver to pass to [`send_batches`].
     pub(crate) fn new() -> (RenewalQueue, mpsc::Receiver<PendingRenewal>) {
         let (tx, rx) = mpsc::channel(MAX_BATCH);
         (RenewalQueue { tx }, rx)
     }
 
-    /// Renews at the leader with the next batch.
+    /// Renews a lease at the leader with the next batch.
     pub(crate) async fn renew(&self, renewal: Renewal) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let pending = PendingRenewal { renewal, reply };
@@ -47,7 +48,7 @@
     }
 }
 
-/// Sends batches for as long as the node lives.
+/// Sends batches until the queue is closed.
 pub(crate) async fn send_batches(node: Arc<Node>, mut rx: mpsc::Receiver<PendingRenewal>) {
     let mut batch = Vec::new();
     while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -85,7 +86,7 @@
         Ok(outcomes) => reply_each(batch, outcomes),
         Err(error) => {
             for pending in batch {
-                // A receiver that is gone has no target pending any more.
+                // Fails only if the target's call was dropped in the meantime.
                 let _ = pending.reply.send(Err(error.clone()));
             }
         }
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -1,4 +1,4 @@
-//! Carries what the instances say to each other about slots.
+//! Exchanges messages about slots with other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,18 @@
 use crate::member::member_id;
 use crate::node::Node;
 
-/// The most messages in one call.
+/// The maximum number of messages in one call.
 const MAX_BATCH: usize = 256;
-/// How long one call may take before its messages count as lost.
+/// The time limit of one call, after which its messages count as lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often idle slots on loan are looked for.
+/// The interval of the checks for idle borrowed slots.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The same while nothing is on loan here. A message ends the pause.
+/// The interval while no slots are borrowed. A message triggers a check at once.
 const NO_LOANS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 type Queues = IndexMap<MemberId, mpsc::Sender<SlotMessage>>;
 
-/// Starts to carry the messages of `entry`.
+/// Spawns the tasks that exchange the slot messages of `entry`.
 pub(crate) fn spawn(node: &Arc<Node>, entry: &Arc<Entry<Node>>) -> Vec<JoinHandle<()>> {
     let Some(messages) = entry.slot_messages() else {
         return Vec::new();
@@ -43,21 +43,21 @@
     tasks
 }
 
-/// Hands each message to the queue of the instance it is for.
+/// Puts each message into the queue of its receiving instance.
 async fn dispatch(mut messages: mpsc::Receiver<cleat_entry::SlotMessage>, queues: Queues) {
     while let Some(message) = messages.recv().await {
         let Some(queue) = queues.get(&member_id(&message.to)) else {
             continue;
         };
         let (service, message) = (message.service, message.message);
-        // Slow instances lose messages, which only costs time.
+        // A slow instance loses messages. That only delays the exchange of slots.
         if queue.try_send(SlotMessage { service, message }).is_err() {
-            debug!("a message on slots was dropped");
+            debug!("a slot message was dropped because the receiver's queue is full");
         }
     }
 }
 
-/// Sends one instance its messages, batch by batch.
+/// Sends the messages for one instance in batches.
 async fn send_to_instance(node: Arc<Node>, to: MemberId, mut rx: mpsc::Receiver<SlotMessage>) {
     let mut batch = Vec::new();
     while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Gives back idle slots on loan.
+/// Returns idle borrowed slots to their owners.
 async fn return_idle_slots(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
         let has_borrowed_slots = entry.tick_slots();
@@ -76,14 +76,14 @@
         if has_borrowed_slots {
             sleep(IDLE_CHECK_INTERVAL).await;
         } else {
-            // Woken when slots were lent.
+            // Woken by messages about slots.
             let _ = timeout(NO_LOANS_CHECK_INTERVAL, node.slots_changed.notified()).await;
         }
     }
 }
 
 impl Node {
-    /// Handles messages of the instance `from`.
+    /// Handles slot messages from another instance.
     pub(crate) fn receive_slots(&self, from: &str, messages: Vec<SlotMessage>) {
         let Some(entry) = self.entry() else {
             return;
--- a/crates/cleat-node/src/state_machine.rs
+++ b/crates/cleat-node/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated log's entries, applied to the local replica.
+//! Applies the entries of the replicated log to the local copy of the fleet's state.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::world::SharedWorld;
 
-/// Applies commands in the order of the log.
+/// Applies commands to the shared world.
 pub(crate) struct FleetStateMachine {
     pub(crate) world: Arc<SharedWorld>,
 }
@@ -18,7 +18,7 @@
         let answer = match Command::decode(command) {
             Ok(command) => self.world.write(|world| world.apply(index, command)),
             Err(error) => {
-                error!("log entry {index}: {error}");
+                error!("log entry {index} can't be decoded: {error}");
                 Answer::Unreadable
             }
         };
--- a/crates/cleat-node/src/world.rs
+++ b/crates/cleat-node/src/world.rs
@@ -1,4 +1,4 @@
-//! The local replica, shared by those who read it.
+//! The local copy of the fleet's state, shared by its readers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{OnceLock, PoisonError, RwLock};
@@ -7,29 +7,30 @@
 
 type Subscriber = Box<dyn Fn(&World) + Send + Sync>;
 
-/// The local replica of the fleet's state.
+/// The local copy of the fleet's state.
 ///
-/// The request path does not read it: it gets its routes through the
-/// subscriber and keeps them in a snapshot of its own.
+/// The request path does not read it, but gets its routes through the subscriber and
+/// keeps them in its own snapshot.
 pub(crate) struct SharedWorld {
     world: RwLock<World>,
     subscriber: OnceLock<Subscriber>,
-    /// The instance whose life is kept at hand for the request path.
+    /// The name of this instance.
     own_name: Box<str>,
-    /// Its current life, [`NO_LIFE`] while the fleet knows none.
+    /// The current life of this instance, cached for the request path; [`NO_LIFE`]
+    /// while the fleet knows none.
     own_life: AtomicU64,
 }
 
-/// Stands for an unset life; [`new_life`] never gives it.
+/// Stands for an unknown life; [`new_life`] never returns it.
 const NO_LIFE: u64 = 0;
 
-/// A life that no earlier run had.
+/// A random ID for a new life of this instance, which no earlier life had.
 pub(crate) fn new_life() -> u64 {
     rand::random::<u64>().max(NO_LIFE + 1)
 }
 
 impl SharedWorld {
-    /// An empty replica on the instance `own_name`.
+    /// Creates an empty copy on the instance `own_name`.
     pub(crate) fn new(own_name: &str) -> SharedWorld {
         SharedWorld {
             world: RwLock::default(),
@@ -39,19 +40,19 @@
         }
     }
 
-    /// The life that the fleet knows of this instance; one atomic read.
+    /// The life of this instance that the fleet knows, read with one atomic load.
     pub(crate) fn own_life(&self) -> Option<u64> {
         let life = self.own_life.load(Ordering::Acquire);
         (life != NO_LIFE).then_some(life)
     }
 
-    /// Reads the replica.
+    /// Reads the state.
     pub(crate) fn read<R>(&self, read: impl FnOnce(&World) -> R) -> R {
         read(&self.world.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Changes the replica. The subscriber has the change when this returns,
-    /// if it concerns the request path.
+    /// Changes the state. If the change affects the request path, the subscriber has
+    /// received it when this returns.
     pub(crate) fn write<R>(&self, write: impl FnOnce(&mut World) -> R) -> R {
         let mut world = self.world.write().unwrap_or_else(PoisonError::into_inner);
         let before = world.generation();
@@ -64,8 +65,8 @@
         result
     }
 
-    /// Calls `subscriber` with the replica as it is, and again after each
-    /// change that concerns the request path. The first subscriber stays.
+    /// Calls `subscriber` with the current state, and again after each change that
+    /// affects the request path. Only the first subscriber is registered.
     pub(crate) fn subscribe(&self, subscriber: Subscriber) {
         let world = self.world.write().unwrap_or_else(PoisonError::into_inner);
         if self.subscriber.set(subscriber).is_ok() {
--- a/crates/cleat-node/tests/instance.rs
+++ b/crates/cleat-node/tests/instance.rs
@@ -1,4 +1,4 @@
-//! One instance alone.
+//! A single instance without peers.
 #![allow(clippy::unwrap_used)]
 
 use cleat_node::Instance;
@@ -21,7 +21,7 @@
     let mut answer = Vec::new();
     caller.read_to_end(&mut answer).await.unwrap();
     instance.stop().await;
-    // What is sent to statsd is this registry.
+    // The same registry is exported to statsd.
     assert_eq!(counters.counter("entry.requests").get(), 1);
     assert_eq!(counters.counter("entry.not_run").get(), 1);
 }
