--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -120,7 +120,7 @@
         id,
         listen: SocketAddr::new(ip.into(), 0),
         // Nobody else is there to be called.
-        address: PeerAddressing { port: 0 },
+        addressing: PeerAddressing { port: 0 },
         seeds: vec![id],
         may_found: true,
         voters: 1,
--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -112,7 +112,7 @@
         name: settings.name.clone(),
         id: PeerAddressing::member_id(settings.ip),
         listen: SocketAddr::new(settings.bind_ip.unwrap_or(settings.ip).into(), port),
-        address: PeerAddressing { port },
+        addressing: PeerAddressing { port },
         seeds: seed_keys(&settings.seeds),
         may_found: settings.first_start,
         voters: 2 * settings.losses_to_bear + 1,
--- a/crates/celerycleatd/src/roles/gateway.rs
+++ b/crates/celerycleatd/src/roles/gateway.rs
@@ -30,7 +30,7 @@
     let metrics = Metrics::default();
     let gateway = Arc::new(Gateway::open(GatewayConfig {
         seeds: seed_keys(&settings.seeds),
-        address: PeerAddressing { port },
+        addressing: PeerAddressing { port },
         metrics: metrics.clone(),
         events: events.clone(),
     }));
--- a/crates/cleat-control/src/events.rs
+++ b/crates/cleat-control/src/events.rs
@@ -139,7 +139,7 @@
 
     /// The event to log for this outcome; `None` for a success, and for refused
     /// API keys, which are logged in aggregate.
-    pub(crate) fn outcome(
+    pub(crate) fn failure_event(
         self,
         answer: &Result<ControlReply, AskError>,
         took: Duration,
--- a/crates/cleat-control/src/gateway.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -35,7 +35,7 @@
     /// Control instances to call while the leader is unknown.
     pub seeds: Vec<MemberId>,
     /// How control instances are addressed.
-    pub address: PeerAddressing,
+    pub addressing: PeerAddressing,
     /// Receives the counts and latencies of calls.
     pub metrics: Metrics,
     /// Receives the events of failed calls.
@@ -79,7 +79,7 @@
     /// Creates a gateway and connects to the seeds. Must be called within a tokio
     /// runtime.
     pub fn open(cfg: GatewayConfig) -> Gateway {
-        let links = Arc::new(Links::new(cfg.address, Arc::new(LinkTraffic::default())));
+        let links = Arc::new(Links::new(cfg.addressing, Arc::new(LinkTraffic::default())));
         let gateway = Gateway::with_links(links, cfg.seeds, cfg.metrics, cfg.events);
         for seed in gateway.seeds.load().iter() {
             gateway.links.link_to(*seed);
@@ -121,8 +121,8 @@
     }
 
     /// Whether a leader answers within the time limit.
-    pub async fn reaches_leader(&self, limit: Duration) -> bool {
-        self.ask(ControlCall::Leader, limit).await.is_ok()
+    pub async fn reaches_leader(&self, timeout: Duration) -> bool {
+        self.ask(ControlCall::Leader, timeout).await.is_ok()
     }
 
     /// Sends a call to the leader, and retries it at the next leader until the time
@@ -130,19 +130,23 @@
     ///
     /// # Errors
     /// See [`AskError`].
-    pub async fn ask(&self, call: ControlCall, limit: Duration) -> Result<ControlReply, AskError> {
-        let (kind, label, began) = (call_kind(&call), CallLabel::of(&call), Instant::now());
+    pub async fn ask(
+        &self,
+        call: ControlCall,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
+        let (kind, label, started_at) = (call_kind(&call), CallLabel::of(&call), Instant::now());
         let shown = call.shown_key();
         let answer = match &shown {
-            Some(shown) => self.ask_with_key(call, shown, limit).await,
-            None => self.ask_with_retries(call, limit).await,
+            Some(shown) => self.ask_with_key(call, shown, timeout).await,
+            None => self.ask_with_retries(call, timeout).await,
         };
         if matches!(answer, Ok(ControlReply::UnknownKey)) {
             self.record_refusal(KeyRefusal::Unknown, shown.as_ref(), label.path());
         }
-        let took = began.elapsed();
+        let took = started_at.elapsed();
         self.metrics.record_call(kind, took, &answer);
-        if let Some(event) = label.outcome(&answer, took) {
+        if let Some(event) = label.failure_event(&answer, took) {
             self.events.emit(&event);
         }
         answer
@@ -154,7 +158,7 @@
         &self,
         call: ControlCall,
         shown: &ShownKey,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ControlReply, AskError> {
         let asked_at = boot_time();
         match self.keys().check(shown, asked_at) {
@@ -165,7 +169,7 @@
                 return Err(AskError::TooManyKeys);
             }
         }
-        let answer = self.ask_with_retries(call, limit).await;
+        let answer = self.ask_with_retries(call, timeout).await;
         if let Ok(reply) = &answer {
             self.keys().record_reply(shown, reply, asked_at);
         }
@@ -192,10 +196,10 @@
     async fn ask_with_retries(
         &self,
         mut call: ControlCall,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ControlReply, AskError> {
-        let began = Instant::now();
-        let deadline = began + limit;
+        let started_at = Instant::now();
+        let deadline = started_at + timeout;
         let mut may_be_done = false;
         let mut next_seed = 0;
         let mut next_target = self.known_leader();
@@ -208,7 +212,7 @@
                 next_seed += 1;
                 self.seed(next_seed)
             });
-            call.note_wait(began.elapsed());
+            call.note_wait(started_at.elapsed());
             let outcome = tokio::select! {
                 outcome = self.attempt(target, call.clone(), remaining.min(ATTEMPT_TIMEOUT)) => outcome,
                 leader = self.leader_other_than(target) => Attempt::LeaderChanged(leader),
@@ -243,8 +247,8 @@
         }
     }
 
-    async fn attempt(&self, target: MemberId, call: ControlCall, limit: Duration) -> Attempt {
-        match self.links.link_to(target).ask(call, limit).await {
+    async fn attempt(&self, target: MemberId, call: ControlCall, timeout: Duration) -> Attempt {
+        match self.links.link_to(target).ask(call, timeout).await {
             Ok(reply) => Attempt::Answered(reply),
             Err(CallError::NotSent { .. }) => Attempt::NoLeader { may_be_done: false },
             Err(CallError::NoAnswer { .. }) => Attempt::NoLeader { may_be_done: true },
--- a/crates/cleat-control/src/links.rs
+++ b/crates/cleat-control/src/links.rs
@@ -14,15 +14,15 @@
 /// One link to each control instance that was called so far.
 #[derive(Debug)]
 pub(crate) struct Links {
-    address: PeerAddressing,
+    addressing: PeerAddressing,
     traffic: Arc<LinkTraffic>,
     by_id: Mutex<IndexMap<MemberId, Arc<ControlLink>>>,
 }
 
 impl Links {
-    pub(crate) fn new(address: PeerAddressing, traffic: Arc<LinkTraffic>) -> Links {
+    pub(crate) fn new(addressing: PeerAddressing, traffic: Arc<LinkTraffic>) -> Links {
         Links {
-            address,
+            addressing,
             traffic,
             by_id: Mutex::new(IndexMap::new()),
         }
@@ -32,7 +32,7 @@
     pub(crate) fn link_to(&self, id: MemberId) -> Arc<ControlLink> {
         let mut by_id = self.by_id.lock().unwrap_or_else(PoisonError::into_inner);
         let link = by_id.entry(id).or_insert_with(|| {
-            let address = self.address.socket_addr(id);
+            let address = self.addressing.socket_addr(id);
             let cfg = LinkConfig {
                 name: address.to_string().into(),
                 address,
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -25,15 +25,15 @@
 }
 
 /// The host, path and API key of a caller's request.
-struct JobAddress<'a> {
+struct RequestAddress<'a> {
     host: &'a str,
     path: &'a str,
     key: Option<&'a KeyDigest>,
 }
 
-impl<'a> JobAddress<'a> {
-    fn of(host: &'a str, path: &'a str, key: Option<&'a KeyDigest>) -> JobAddress<'a> {
-        JobAddress { host, path, key }
+impl<'a> RequestAddress<'a> {
+    fn of(host: &'a str, path: &'a str, key: Option<&'a KeyDigest>) -> RequestAddress<'a> {
+        RequestAddress { host, path, key }
     }
 }
 
@@ -75,13 +75,17 @@
                 waited_ms,
             } => {
                 let came_ms = wall_ms().saturating_sub(waited_ms);
-                self.submit(&JobAddress::of(&host, &path, key.as_ref()), spec, came_ms)
+                self.submit(
+                    &RequestAddress::of(&host, &path, key.as_ref()),
+                    spec,
+                    came_ms,
+                )
             }
             ControlCall::Look { host, path, key } => {
-                Action::Reply(self.look(&JobAddress::of(&host, &path, key.as_ref()))?)
+                Action::Reply(self.look_up(&RequestAddress::of(&host, &path, key.as_ref()))?)
             }
             ControlCall::Cancel { host, path, key } => {
-                self.cancel(&JobAddress::of(&host, &path, key.as_ref()))
+                self.cancel(&RequestAddress::of(&host, &path, key.as_ref()))
             }
             ControlCall::SubmitTo { queue, id, spec } => self.submit_to(&queue, id, spec),
             ControlCall::LookAt { id } => {
@@ -135,7 +139,7 @@
         })
     }
 
-    fn submit(&self, address: &JobAddress<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Action {
+    fn submit(&self, address: &RequestAddress<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Action {
         self.state.read(|state| match resolve(state, address) {
             Err(refusal) => Action::Reply(refusal),
             Ok(Route::Queue(_)) => Action::Reply(ControlReply::NotAJob),
@@ -154,7 +158,7 @@
         })
     }
 
-    fn look(&self, address: &JobAddress<'_>) -> Result<ControlReply, ControlError> {
+    fn look_up(&self, address: &RequestAddress<'_>) -> Result<ControlReply, ControlError> {
         self.state.read(|state| match resolve(state, address) {
             Err(refusal) => Ok(refusal),
             Ok(Route::Queue(queue)) => {
@@ -178,7 +182,7 @@
         ControlReply::Job(JobView::of(known, begun.unwrap_or_default()))
     }
 
-    fn cancel(&self, address: &JobAddress<'_>) -> Action {
+    fn cancel(&self, address: &RequestAddress<'_>) -> Action {
         self.state.read(|state| match resolve(state, address) {
             Err(refusal) => Action::Reply(refusal),
             Ok(Route::Queue(_)) => Action::Reply(ControlReply::NotAJob),
@@ -276,12 +280,12 @@
     }
 
     async fn commit(&self, command: &Command) -> Result<ControlReply, ControlError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let applied = self.replica().propose(command.encode()).await;
         self.metrics
             .latencies
             .latency("commit")
-            .record(began.elapsed());
+            .record(started_at.elapsed());
         let applied = applied.map_err(|error| control_error(&error))?;
         Ok(match Answer::decode(&applied.answer) {
             Some(Answer::Done) => ControlReply::Done,
@@ -359,7 +363,7 @@
 /// newest one: a gateway keeps no copy, as it could be older.
 ///
 /// An unknown queue is reported before the key is checked, as it has no customers.
-fn resolve(state: &ControlState, address: &JobAddress<'_>) -> Result<Route, ControlReply> {
+fn resolve(state: &ControlState, address: &RequestAddress<'_>) -> Result<Route, ControlReply> {
     let Some(catalogue) = &state.catalogue else {
         return Err(ControlReply::NoConfiguration);
     };
@@ -370,11 +374,11 @@
     if caller == Caller::Unknown {
         return Err(ControlReply::UnknownKey);
     }
-    let name = &address.path[queue.prefix.len()..];
-    if name.is_empty() {
+    let job_name = &address.path[queue.prefix.len()..];
+    if job_name.is_empty() {
         return Ok(Route::Queue(queue.clone()));
     }
-    match name.parse() {
+    match job_name.parse() {
         Ok(id) => Ok(Route::Job(queue.clone(), id, caller)),
         Err(_) => Err(ControlReply::NotAJob),
     }
--- a/crates/cleat-control/src/node/config.rs
+++ b/crates/cleat-control/src/node/config.rs
@@ -19,7 +19,7 @@
     /// The address on which it listens for other instances.
     pub listen: SocketAddr,
     /// How other instances are addressed.
-    pub address: PeerAddressing,
+    pub addressing: PeerAddressing,
     /// The instances that may bootstrap the group.
     pub seeds: Vec<MemberId>,
     /// Whether this instance may take part in bootstrapping the group.
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -87,7 +87,7 @@
     ) -> Result<ControlNode, StartError> {
         let listener = PeerListener::bind(cfg.listen).await.context(ListenSnafu)?;
         let traffic = Arc::new(LinkTraffic::default());
-        let links = Arc::new(Links::new(cfg.address, traffic.clone()));
+        let links = Arc::new(Links::new(cfg.addressing, traffic.clone()));
         let state = Arc::new(SharedState::default());
         let replica = disk_recovery::open_replica(&cfg, &links, &state)?;
         let shared = Arc::new(Shared {
@@ -120,7 +120,11 @@
     ///
     /// # Errors
     /// See [`AskError`].
-    pub async fn ask(&self, call: ControlCall, limit: Duration) -> Result<ControlReply, AskError> {
+    pub async fn ask(
+        &self,
+        call: ControlCall,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
         if self.shared.leads() {
             match self.shared.answer(call.clone()).await {
                 Ok(reply) => return Ok(reply),
@@ -130,7 +134,7 @@
             }
         }
         self.gateway.set_leader_hint(self.leader());
-        self.gateway.ask(call, limit).await
+        self.gateway.ask(call, timeout).await
     }
 
     /// The leader that the local replica knows, if any.
@@ -157,8 +161,8 @@
 }
 
 impl JobControl for ControlNode {
-    async fn ask(&self, call: ControlCall, limit: Duration) -> Result<ControlReply, AskError> {
-        ControlNode::ask(self, call, limit).await
+    async fn ask(&self, call: ControlCall, timeout: Duration) -> Result<ControlReply, AskError> {
+        ControlNode::ask(self, call, timeout).await
     }
 }
 
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -11,7 +11,7 @@
 use log::warn;
 use tokio::time::sleep;
 
-use super::{OwnerTask, PendingCalls, TICK};
+use super::{OwnerTask, PendingCalls, TICK_INTERVAL};
 use crate::clock::boot_time;
 use crate::events::ControlEvent;
 use crate::node::Shared;
@@ -66,7 +66,7 @@
             let sent_at = boot_time();
             // Without a valid leader lease, another owner may already send orders.
             if !shared.leads() {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 let other_life = false;
                 return Some(Event::RenewalFailed { worker, other_life });
             }
@@ -98,7 +98,7 @@
             let answer = if shared.leads() {
                 workers.send_order(&worker, &address, token, &order).await
             } else {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 OrderAnswer::NotSent
             };
             Some(Event::Ordered {
@@ -153,19 +153,19 @@
     }
 
     fn propose(&self, command: Command) -> PendingCall {
-        let (shared, commits) = (self.shared.clone(), self.commits.clone());
+        let (shared, commit_failures) = (self.shared.clone(), self.commit_failures.clone());
         Box::pin(async move {
             match shared.replica().propose(command.encode()).await {
                 Ok(_) => {
-                    end_commit_failures(&shared, &commits);
+                    end_commit_failures(&shared, &commit_failures);
                     None
                 }
                 Err(error) => {
-                    if commits.fail(boot_time()) {
+                    if commit_failures.fail(boot_time()) {
                         let reason = error.to_string().into();
                         shared.events.emit(&ControlEvent::CommitsFail { reason });
                     }
-                    sleep(TICK).await;
+                    sleep(TICK_INTERVAL).await;
                     let command = Arc::new(command);
                     Some(Event::ProposalFailed { command })
                 }
@@ -176,8 +176,8 @@
 
 /// Logs the end of a series of failed commits, if there is one: commands commit
 /// again, or this owner stops.
-pub(super) fn end_commit_failures(shared: &Shared, commits: &Condition) {
-    if let Some(outage) = commits.end(boot_time()) {
+pub(super) fn end_commit_failures(shared: &Shared, commit_failures: &Condition) {
+    if let Some(outage) = commit_failures.end(boot_time()) {
         shared.events.emit(&ControlEvent::CommitsFailEnd {
             failed: outage.failures,
             lasted_ms: outage.lasted.as_millis(),
--- a/crates/cleat-control/src/owner/mod.rs
+++ b/crates/cleat-control/src/owner/mod.rs
@@ -25,9 +25,9 @@
 /// well below the time of an election.
 const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The interval of the scheduler's tick events, which trigger what is due by time.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The maximum number of events that are handled before effects are executed.
-const BATCH: usize = 256;
+const MAX_EVENT_BATCH: usize = 256;
 
 /// Spawns the owner task.
 pub(crate) fn spawn<W: WorkerClient, M: MachineClient, A: AdviceClient>(
@@ -41,7 +41,7 @@
         workers: Arc::new(clients.workers),
         machines: Arc::new(clients.machines),
         adviser: Arc::new(clients.adviser),
-        commits: Arc::default(),
+        commit_failures: Arc::default(),
     };
     tokio::spawn(owner.run())
 }
@@ -53,7 +53,7 @@
     machines: Arc<M>,
     adviser: Arc<A>,
     /// Tracks whether proposed commands fail to commit.
-    commits: Arc<Condition>,
+    commit_failures: Arc<Condition>,
 }
 
 /// The calls that have not completed yet.
@@ -75,8 +75,8 @@
         self.shared.state.set_owner(Some(tx));
         if self.take_over().await {
             let token = self.log_takeover();
-            let reason = self.serve(&mut rx).await;
-            end_commit_failures(&self.shared, &self.commits);
+            let reason = self.run_event_loop(&mut rx).await;
+            end_commit_failures(&self.shared, &self.commit_failures);
             let end = ControlEvent::OwnsNoMore { token, reason };
             self.shared.events.emit(&end);
         }
@@ -108,12 +108,12 @@
             return false;
         }
         let scheduler = self.shared.state.read(|state| {
-            let own = state.owner.is_some_and(|owner| owner.member == member);
-            Scheduler::new(self.cfg, state, boot_time(), wall_ms()).filter(|_| own)
+            let is_owner = state.owner.is_some_and(|owner| owner.member == member);
+            Scheduler::new(self.cfg, state, boot_time(), wall_ms()).filter(|_| is_owner)
         });
-        let taken = scheduler.is_some();
+        let taken_over = scheduler.is_some();
         self.set_scheduler(scheduler);
-        taken
+        taken_over
     }
 
     /// Logs the takeover, and returns the fencing token of this owner.
@@ -140,14 +140,14 @@
         }
     }
 
-    async fn serve(&self, rx: &mut UnboundedReceiver<Event>) -> OwnershipEnd {
+    async fn run_event_loop(&self, rx: &mut UnboundedReceiver<Event>) -> OwnershipEnd {
         let mut calls = PendingCalls::new();
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut events = Vec::with_capacity(BATCH);
+        let mut events = Vec::with_capacity(MAX_EVENT_BATCH);
         loop {
             tokio::select! {
-                count = rx.recv_many(&mut events, BATCH) => {
+                count = rx.recv_many(&mut events, MAX_EVENT_BATCH) => {
                     if count == 0 {
                         return OwnershipEnd::LeadLost;
                     }
@@ -159,7 +159,7 @@
             if !self.shared.replica().status().is_leader() {
                 return OwnershipEnd::LeadLost;
             }
-            if !self.handle(&mut events, &calls) {
+            if !self.handle_events(&mut events, &calls) {
                 return OwnershipEnd::Fenced;
             }
         }
@@ -167,7 +167,7 @@
 
     /// Passes events to the scheduler and executes its effects; false once a later
     /// owner is known.
-    fn handle(&self, events: &mut Vec<Event>, calls: &PendingCalls) -> bool {
+    fn handle_events(&self, events: &mut Vec<Event>, calls: &PendingCalls) -> bool {
         let mut guard = self
             .shared
             .scheduler
@@ -191,7 +191,7 @@
 /// Adds the events of calls that have already completed, as the scheduler handles a
 /// batch of events at little more cost than a single one.
 fn collect_completed(calls: &mut PendingCalls, events: &mut Vec<Event>) {
-    while events.len() < BATCH
+    while events.len() < MAX_EVENT_BATCH
         && let Some(Some(event)) = calls.next().now_or_never()
     {
         events.extend(event);
