--- a/crates/cleat-control/src/gateway.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -62,16 +62,19 @@
 
 /// The outcome of one attempt.
 enum Attempt {
+    /// The instance carried out the call, or rejected it with a reply.
     Answered(ControlReply),
     /// The instance named another one as the leader.
     Redirected(MemberId),
     /// Another leader became known during the attempt; the called instance may have
     /// carried out the call.
     LeaderChanged(MemberId),
-    /// The instance did not answer, or knows no leader.
+    /// The instance did not answer, or neither leads nor knows a leader.
     NoLeader {
+        /// Whether the instance may have carried out the call nevertheless.
         may_be_done: bool,
     },
+    /// The call failed permanently.
     Rejected(ControlError),
 }
 
@@ -109,7 +112,7 @@
         self.seeds.store(Arc::new(seeds));
     }
 
-    /// Sets the leader that the local replica knows, if any.
+    /// Sets the leader that the local replica knows; `None` has no effect.
     pub(crate) fn set_leader_hint(&self, leader: Option<MemberId>) {
         if let Some(MemberId(key)) = leader {
             // Only a hint, so pending calls are not redirected.
@@ -152,8 +155,8 @@
         answer
     }
 
-    /// Forwards a call with an API key, unless the key is known to be unknown or
-    /// the rate limit for new keys is exceeded.
+    /// Forwards a call with an API key, unless the leader recently did not know the key
+    /// or the rate limit for new keys is exceeded.
     async fn ask_with_key(
         &self,
         call: ControlCall,
@@ -233,7 +236,7 @@
                     may_be_done: uncertain,
                 } => {
                     may_be_done |= uncertain;
-                    // Unless another call has already found a new leader.
+                    // Forget this leader, unless another call has already found a new one.
                     self.leader.send_if_modified(|leader| {
                         let was_current = *leader == target.0;
                         if was_current {
--- a/crates/cleat-control/src/keys/refusal_log.rs
+++ b/crates/cleat-control/src/keys/refusal_log.rs
@@ -19,6 +19,7 @@
     by_reason: IndexMap<KeyRefusal, PendingRefusals>,
 }
 
+/// The refusals for one reason since the last log event.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingRefusals {
     count: u64,
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Decides what to do for a call.
     fn plan(&self, call: ControlCall) -> Result<Action, ControlError> {
         let action = match call {
             ControlCall::Leader => Action::Reply(ControlReply::Leading),
