--- a/crates/cleat-control/src/events.rs
+++ b/crates/cleat-control/src/events.rs
@@ -23,7 +23,7 @@
     /// A write to disk failed: this instance no longer takes part in the
     /// consensus group.
     DiskFailed,
-    /// The disk is writable again, and this instance has rejoined the group.
+    /// The disk is writable again, and the replica was reopened.
     DiskWell { lasted_ms: u128 },
     /// A configuration took effect.
     Configured {
@@ -120,7 +120,7 @@
             }
         };
         let worker = match call {
-            ControlCall::Heartbeat(beat) => Some(beat.record.name.clone()),
+            ControlCall::Heartbeat(heartbeat) => Some(heartbeat.record.name.clone()),
             ControlCall::Left { worker } => Some(worker.clone()),
             _ => None,
         };
--- a/crates/cleat-control/src/node/disk_recovery.rs
+++ b/crates/cleat-control/src/node/disk_recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery of an instance whose disk failed a write.
 //!
-//! The instance stops its replica, but still forwards calls to the leader. Once the
+//! The replica stops, but the instance still forwards calls to the leader. Once the
 //! disk is writable again, it reopens the replica from the data folder, as a restart
 //! of the process would. Unlike during a restart, workers and operators that call this
 //! instance in the meantime get answers.
--- a/crates/cleat-control/src/state_machine.rs
+++ b/crates/cleat-control/src/state_machine.rs
@@ -43,7 +43,7 @@
             let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
             state.apply(index, (*command).clone())
         };
-        // Where no owner runs, nobody needs the event.
+        // The event is dropped on instances where no owner runs.
         self.send_to_owner(Event::Applied { command });
         answer
     }
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -153,7 +153,7 @@
         self.addresses
     }
 
-    /// Stops gracefully: the instance is not ready any more at once, requests in
+    /// Stops gracefully: the instance stops being ready immediately, requests in
     /// progress complete, and the lease is released so that no other instance has
     /// to wait for its expiry.
     pub async fn stop(self) {
@@ -211,7 +211,7 @@
         votes: info.votes,
     };
     let cfg = ReplicaConfig::new(
-        members.own(),
+        members.own_id(),
         members.iter().map(member_config).collect(),
         rand::random(),
     );
--- a/crates/cleat-node/src/leader_calls.rs
+++ b/crates/cleat-node/src/leader_calls.rs
@@ -141,7 +141,7 @@
 
     fn leader(&self) -> Option<Leader<'_>> {
         let leader = self.replica.status().leader()?;
-        if leader == self.members.own() {
+        if leader == self.members.own_id() {
             return Some(Leader::Local);
         }
         self.links.get(leader).map(Leader::Remote)
--- a/crates/cleat-node/src/links.rs
+++ b/crates/cleat-node/src/links.rs
@@ -20,7 +20,7 @@
         let traffic = Arc::new(LinkTraffic::default());
         let mut by_id = IndexMap::new();
         for (id, info) in members.iter() {
-            let Some(address) = info.address.filter(|_| id != members.own()) else {
+            let Some(address) = info.address.filter(|_| id != members.own_id()) else {
                 continue;
             };
             let name = info.name.clone();
--- a/crates/cleat-node/src/member.rs
+++ b/crates/cleat-node/src/member.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Members {
     by_id: IndexMap<MemberId, MemberInfo>,
-    own: MemberId,
+    own_id: MemberId,
 }
 
 /// Two instance names with the same member ID.
@@ -35,7 +35,7 @@
     pub(crate) fn from_settings(settings: &Settings) -> Result<Members, MemberIdCollision> {
         let mut members = Members {
             by_id: IndexMap::new(),
-            own: member_id(&settings.name),
+            own_id: member_id(&settings.name),
         };
         for peer in &settings.peers {
             members.add(MemberInfo {
@@ -68,8 +68,8 @@
         Ok(())
     }
 
-    pub(crate) fn own(&self) -> MemberId {
-        self.own
+    pub(crate) fn own_id(&self) -> MemberId {
+        self.own_id
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MemberId, &MemberInfo)> {
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -34,7 +34,7 @@
     let mut tasks = vec![tokio::spawn(return_idle_slots(node.clone()))];
     let mut queues = Queues::new();
     let others = node.members.iter().map(|(id, _)| id);
-    for id in others.filter(|id| *id != node.members.own()) {
+    for id in others.filter(|id| *id != node.members.own_id()) {
         let (tx, rx) = mpsc::channel(MAX_BATCH);
         queues.insert(id, tx);
         tasks.push(tokio::spawn(send_to_instance(node.clone(), id, rx)));
