--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -106,7 +106,7 @@
         scheduler.lease = Duration::from_millis(lease);
     }
     if let Some(remember) = timing.remember_ms {
-        scheduler.remember = Duration::from_millis(remember);
+        scheduler.ended_job_retention = Duration::from_millis(remember);
     }
     ControlConfig {
         name: settings.name.clone(),
@@ -118,7 +118,7 @@
         voters: 2 * settings.losses_to_bear + 1,
         remove_silent_after: REPLACE_AFTER,
         data_folder: settings.data_folder.clone(),
-        timing: Timing::prompt(),
+        timing: Timing::fast_failover(),
         scheduler,
     }
 }
--- a/crates/cleat-control/src/node/disk_recovery.rs
+++ b/crates/cleat-control/src/node/disk_recovery.rs
@@ -52,7 +52,7 @@
     links: Arc<Links>,
 ) {
     loop {
-        shared.replica().ended().await;
+        shared.replica().wait_stopped().await;
         if shared.is_stopping() {
             return;
         }
--- a/crates/cleat-control/src/simulated/client.rs
+++ b/crates/cleat-control/src/simulated/client.rs
@@ -72,7 +72,7 @@
                 let estimate = step.map_or(0, |step| step.estimate_ms);
                 (size, Duration::from_millis(estimate).max(MIN_RUN_TIME))
             }
-            Order::Stop | Order::Pace(_) => (Size::default(), MIN_RUN_TIME),
+            Order::Stop | Order::Throttle(_) => (Size::default(), MIN_RUN_TIME),
         };
         SimulatedRun {
             run: order.run,
--- a/crates/cleat-control/src/simulated/worker.rs
+++ b/crates/cleat-control/src/simulated/worker.rs
@@ -161,7 +161,7 @@
                 self.close(*task, *run);
                 OrderAnswer::Done
             }
-            Order::Pace(_) => OrderAnswer::Done,
+            Order::Throttle(_) => OrderAnswer::Done,
         }
     }
 
--- a/crates/cleat-maintain/src/plan/mod.rs
+++ b/crates/cleat-maintain/src/plan/mod.rs
@@ -1,12 +1,12 @@
-//! What comes next, decided from the replicated state.
+//! Planning: decides from the replicated state what to do next.
 
 mod moves;
+mod observations;
 mod order;
 mod reconciler;
 mod steps;
-mod waiting;
-mod watch;
+mod wait_reason;
 
 pub use order::next_instance;
 pub use reconciler::{Effect, Event, Reconciler};
-pub use waiting::{Waiting, waiting};
+pub use wait_reason::{WaitReason, wait_reason};
--- a/crates/cleat-node/src/node.rs
+++ b/crates/cleat-node/src/node.rs
@@ -41,7 +41,7 @@
     /// Whether this instance leads and its leader lease is valid. On an instance that
     /// is cut off, the lease to accept requests lasts longer than the leader lease.
     pub(crate) fn leads(&self) -> bool {
-        self.replica.status().leads(BootTime::now())
+        self.replica.status().holds_leader_lease(BootTime::now())
     }
 
     /// Whether this instance accepts requests: its lease is valid, and the fleet knows no
