--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! A control instance.
+//! A control instance: a replica of the group, and the owner task while it leads.
 
 mod answer;
 mod config;
-mod disk;
+mod disk_recovery;
 
 pub use config::ControlConfig;
 
@@ -22,22 +22,22 @@
 use tokio::task::JoinHandle;
 
 use crate::error::ListenSnafu;
-use crate::leader::Gateway;
+use crate::gateway::Gateway;
 use crate::links::Links;
-use crate::machine::SharedState;
+use crate::state_machine::SharedState;
 use crate::{
     AdviceClient, MachineClient, Metrics, PlatformClients, StartError, WorkerClient, owner,
 };
 
-/// What the parts of a control instance share.
+/// The state shared by the tasks of a control instance.
 pub(crate) struct Shared {
     pub(crate) id: MemberId,
     pub(crate) voters: usize,
-    /// Another one after the disk had failed.
+    /// Replaced by a new replica after a disk failure.
     replica: ArcSwap<Replica>,
     stopping: AtomicBool,
     pub(crate) state: Arc<SharedState>,
-    /// The owner's decisions, while this instance leads.
+    /// The scheduler of the owner task; `None` while this instance does not lead.
     pub(crate) scheduler: Mutex<Option<Scheduler>>,
     pub(crate) events: EventLog,
     pub(crate) metrics: Metrics,
@@ -52,30 +52,30 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether this instance leads and no other can.
+    /// Whether this instance leads and its lease excludes any other leader.
     pub(crate) fn leads(&self) -> bool {
         self.replica().status().holds_leader_lease(BootTime::now())
     }
 
-    pub(crate) fn with_scheduler<T>(&self, look: impl FnOnce(&Scheduler) -> T) -> Option<T> {
+    pub(crate) fn with_scheduler<T>(&self, read: impl FnOnce(&Scheduler) -> T) -> Option<T> {
         let scheduler = self
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        scheduler.as_ref().map(look)
+        scheduler.as_ref().map(read)
     }
 }
 
 /// A running control instance.
 pub struct ControlNode {
     shared: Arc<Shared>,
-    others: Gateway,
+    gateway: Gateway,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl ControlNode {
-    /// Opens the data folder, listens for other instances, and takes part in
-    /// the group. Needs a tokio runtime.
+    /// Opens the data folder, listens for other instances, and joins the group. Must
+    /// be called within a tokio runtime.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -87,9 +87,9 @@
     ) -> Result<ControlNode, StartError> {
         let listener = PeerListener::bind(cfg.listen).await.context(ListenSnafu)?;
         let traffic = Arc::new(LinkTraffic::default());
-        let links = Arc::new(Links::new(cfg.address, traffic.clone()));
+        let links = Arc::new(Links::new(cfg.addressing, traffic.clone()));
         let state = Arc::new(SharedState::default());
-        let replica = disk::open_replica(&cfg, &links, &state)?;
+        let replica = disk_recovery::open_replica(&cfg, &links, &state)?;
         let shared = Arc::new(Shared {
             id: cfg.id,
             voters: cfg.voters,
@@ -101,22 +101,30 @@
             metrics: metrics.clone(),
         });
         let owner = owner::spawn(shared.clone(), cfg.scheduler, clients);
-        let handler = Arc::new(PeerSide(shared.clone()));
+        let handler = Arc::new(PeerHandler(shared.clone()));
         let serving = listener.serve_control(handler, traffic);
-        let others = Gateway::over(links.clone(), cfg.seeds.clone(), metrics, events);
-        let reopening = tokio::spawn(disk::reopen_failed(shared.clone(), cfg, links));
+        let gateway = Gateway::with_links(links.clone(), cfg.seeds.clone(), metrics, events);
+        let reopening = tokio::spawn(disk_recovery::reopen_after_disk_failure(
+            shared.clone(),
+            cfg,
+            links,
+        ));
         Ok(ControlNode {
             shared,
-            others,
+            gateway,
             tasks: vec![owner, serving, reopening],
         })
     }
 
-    /// Answers a call here if this instance leads, else asks the leader.
+    /// Handles a call if this instance leads; otherwise forwards it to the leader.
     ///
     /// # Errors
     /// See [`AskError`].
-    pub async fn ask(&self, call: ControlCall, limit: Duration) -> Result<ControlReply, AskError> {
+    pub async fn ask(
+        &self,
+        call: ControlCall,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
         if self.shared.leads() {
             match self.shared.answer(call.clone()).await {
                 Ok(reply) => return Ok(reply),
@@ -125,36 +133,36 @@
                 Err(_) => {}
             }
         }
-        self.others.expect_leader(self.leader());
-        self.others.ask(call, limit).await
+        self.gateway.set_leader_hint(self.leader());
+        self.gateway.ask(call, timeout).await
     }
 
-    /// The leader as far as this instance knows.
+    /// The leader that the local replica knows, if any.
     pub fn leader(&self) -> Option<MemberId> {
         self.shared.replica().status().leader()
     }
 
-    /// Whether this instance leads and no other can.
+    /// Whether this instance leads and its lease excludes any other leader.
     pub fn leads(&self) -> bool {
         self.shared.leads()
     }
 
-    /// Replaces the instances that are asked when no leader is known.
+    /// Replaces the control instances to call while the leader is unknown.
     pub fn set_seeds(&self, seeds: Vec<MemberId>) {
-        self.others.set_seeds(seeds);
+        self.gateway.set_seeds(seeds);
     }
 
-    /// Hands the lead over, if it is here, and leaves the group's work. Calls
-    /// are still passed on.
-    pub async fn hand_over(&self) {
+    /// Stops the replica; if this instance leads, the leadership is transferred
+    /// first. Calls are still forwarded to the leader.
+    pub async fn stop_replica(&self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.replica().stop().await;
     }
 }
 
 impl JobControl for ControlNode {
-    async fn ask(&self, call: ControlCall, limit: Duration) -> Result<ControlReply, AskError> {
-        ControlNode::ask(self, call, limit).await
+    async fn ask(&self, call: ControlCall, timeout: Duration) -> Result<ControlReply, AskError> {
+        ControlNode::ask(self, call, timeout).await
     }
 }
 
@@ -175,17 +183,17 @@
     let join = JoinConfig {
         may_bootstrap: cfg.may_found,
         target_voters: cfg.voters,
-        extra_voter_timeout: cfg.replace_after,
+        extra_voter_timeout: cfg.remove_silent_after,
     };
     ReplicaConfig::new(cfg.id, seeds, rand::random())
         .with_timing(cfg.timing)
         .with_join_config(join)
 }
 
-/// What other instances may ask.
-struct PeerSide(Arc<Shared>);
+/// Handles the messages and calls of other instances.
+struct PeerHandler(Arc<Shared>);
 
-impl ControlHandler for PeerSide {
+impl ControlHandler for PeerHandler {
     fn deliver(&self, messages: Vec<Message>) {
         let replica = self.0.replica();
         for message in messages {
--- a/crates/cleat-control/src/owner/effects.rs
+++ b/crates/cleat-control/src/owner/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the scheduler decided.
+//! Executes the effects that the scheduler returns.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -11,18 +11,19 @@
 use log::warn;
 use tokio::time::sleep;
 
-use super::{Calls, OwnerTask, TICK};
+use super::{OwnerTask, PendingCalls, TICK_INTERVAL};
 use crate::clock::boot_time;
 use crate::events::ControlEvent;
 use crate::node::Shared;
 use crate::platform::{AdviceClient, MachineClient, RenewalError, WorkerClient};
 
-/// A call under way, and the event that it ends with, if any.
-pub(super) type Call = Pin<Box<dyn Future<Output = Option<Event>> + Send>>;
+/// A pending call; it resolves to the event to handle, if there is one.
+pub(super) type PendingCall = Pin<Box<dyn Future<Output = Option<Event>> + Send>>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
-    /// False if another owner is known to have taken over.
-    pub(super) fn carry_out(&self, effect: Effect, calls: &Calls) -> bool {
+    /// Executes an effect; false if a worker has rejected this owner in favour of a
+    /// later one.
+    pub(super) fn execute(&self, effect: Effect, calls: &PendingCalls) -> bool {
         match effect {
             Effect::Renew {
                 worker,
@@ -52,20 +53,20 @@
                 }
             }
             Effect::Fenced { worker } => {
-                warn!("worker {worker} knows a later owner; this one gives no more orders");
+                warn!("worker {worker} knows a later owner; this instance stops sending orders");
                 return false;
             }
         }
         true
     }
 
-    fn renew(&self, worker: Box<str>, address: Box<str>, order: RenewalOrder) -> Call {
+    fn renew(&self, worker: Box<str>, address: Box<str>, order: RenewalOrder) -> PendingCall {
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let sent_at = boot_time();
-            // Only a certain leader gives orders: another may have begun.
+            // Without a valid leader lease, another owner may already send orders.
             if !shared.leads() {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 let other_life = false;
                 return Some(Event::RenewalFailed { worker, other_life });
             }
@@ -85,13 +86,19 @@
         })
     }
 
-    fn order(&self, worker: Box<str>, address: Box<str>, token: u64, order: TaskOrder) -> Call {
+    fn order(
+        &self,
+        worker: Box<str>,
+        address: Box<str>,
+        token: u64,
+        order: TaskOrder,
+    ) -> PendingCall {
         let (shared, workers) = (self.shared.clone(), self.workers.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
-                workers.order(&worker, &address, token, &order).await
+                workers.send_order(&worker, &address, token, &order).await
             } else {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 OrderAnswer::NotSent
             };
             Some(Event::Ordered {
@@ -102,7 +109,7 @@
         })
     }
 
-    fn advise(&self, step: StepId, asked: Vec<Box<str>>) -> Call {
+    fn advise(&self, step: StepId, asked: Vec<Box<str>>) -> PendingCall {
         let adviser = self.adviser.clone();
         Box::pin(async move {
             let sent_at = boot_time();
@@ -116,7 +123,7 @@
         })
     }
 
-    fn list_machines(&self) -> Call {
+    fn list_machines(&self) -> PendingCall {
         let (shared, machines) = (self.shared.clone(), self.machines.clone());
         Box::pin(async move {
             let sent_at = boot_time();
@@ -129,11 +136,11 @@
         })
     }
 
-    fn order_machine(&self, machine: Box<str>, token: u64, order: MachineOrder) -> Call {
+    fn order_machine(&self, machine: Box<str>, token: u64, order: MachineOrder) -> PendingCall {
         let (shared, machines) = (self.shared.clone(), self.machines.clone());
         Box::pin(async move {
             let answer = if shared.leads() {
-                machines.order(&machine, token, &order).await
+                machines.send_order(&machine, token, &order).await
             } else {
                 MachineAnswer::Unknown
             };
@@ -145,20 +152,20 @@
         })
     }
 
-    fn propose(&self, command: Command) -> Call {
-        let (shared, commits) = (self.shared.clone(), self.commits.clone());
+    fn propose(&self, command: Command) -> PendingCall {
+        let (shared, commit_failures) = (self.shared.clone(), self.commit_failures.clone());
         Box::pin(async move {
             match shared.replica().propose(command.encode()).await {
                 Ok(_) => {
-                    end_commit_failures(&shared, &commits);
+                    end_commit_failures(&shared, &commit_failures);
                     None
                 }
                 Err(error) => {
-                    if commits.fail(boot_time()) {
+                    if commit_failures.fail(boot_time()) {
                         let reason = error.to_string().into();
                         shared.events.emit(&ControlEvent::CommitsFail { reason });
                     }
-                    sleep(TICK).await;
+                    sleep(TICK_INTERVAL).await;
                     let command = Arc::new(command);
                     Some(Event::ProposalFailed { command })
                 }
@@ -167,9 +174,10 @@
     }
 }
 
-/// Logs that commands are committed again, or not tried any more, if some failed.
-pub(super) fn end_commit_failures(shared: &Shared, commits: &Condition) {
-    if let Some(outage) = commits.end(boot_time()) {
+/// Logs the end of a series of failed commits, if there is one: commands commit
+/// again, or this owner stops.
+pub(super) fn end_commit_failures(shared: &Shared, commit_failures: &Condition) {
+    if let Some(outage) = commit_failures.end(boot_time()) {
         shared.events.emit(&ControlEvent::CommitsFailEnd {
             failed: outage.failures,
             lasted_ms: outage.lasted.as_millis(),
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -18,74 +18,75 @@
 use snafu::{ResultExt, Snafu};
 use tokio::task::JoinHandle;
 
-use crate::leases::{self, LeaseWatch};
+use crate::leases::{self, LeaseMonitor};
 use crate::links::{LinkTransport, Links};
-use crate::machine::FleetMachine;
 use crate::member::Members;
 use crate::node::Node;
-use crate::renewals::{self, Renewals};
+use crate::renewals::{self, RenewalQueue};
 use crate::slots;
+use crate::state_machine::FleetStateMachine;
 use crate::world::{SharedWorld, new_life};
 
-/// The pause before a new life is announced again.
-const BEGIN_LIFE_PAUSE: Duration = Duration::from_millis(100);
+/// The delay before the announcement of a new life is retried.
+const BEGIN_LIFE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why an instance could not start. Nothing was changed.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The data folder cannot be used: see the source for what to mend.
+    /// The data folder can't be opened; the source says what to correct.
     #[snafu(display("the data folder {} cannot be used", folder.display()))]
     DataFolder {
         /// The folder.
         folder: PathBuf,
-        /// Why.
+        /// The cause.
         source: cleat_log::OpenError,
     },
     /// The listener for other instances could not be bound.
     #[snafu(display("listen.peers cannot be used"))]
     ListenPeers {
-        /// Why.
+        /// The cause.
         source: cleat_link::ServeError,
     },
     /// The listener for operators or targets could not be bound.
     #[snafu(display("listen.operators or listen.targets cannot be used"))]
     Listen {
-        /// Why.
+        /// The cause.
         source: cleat_operate::ListenError,
     },
     /// The listener for callers could not be bound.
     #[snafu(display("listen.callers cannot be used"))]
     ListenCallers {
-        /// Why.
+        /// The cause.
         source: cleat_entry::BindError,
     },
-    /// Two instances' names have the same key in the consensus. Rename one.
-    #[snafu(display("the names {first:?} and {second:?} cannot be used together; rename one"))]
-    NameClash {
-        /// One name.
+    /// The names of two instances hash to the same member ID. Rename one of them.
+    #[snafu(display(
+        "the instance names {first:?} and {second:?} have the same member ID; rename one"
+    ))]
+    NameCollision {
+        /// One of the names.
         first: Box<str>,
-        /// The other.
+        /// The other name.
         second: Box<str>,
     },
-    /// The replicated log could not be started from what the data folder
-    /// holds.
+    /// The replica could not be restored from the content of the data folder.
     #[snafu(display("the replicated log cannot be started"))]
     Replica {
-        /// Why.
+        /// The cause.
         source: cleat_quorum::SpawnError,
     },
 }
 
-/// Where a running instance listens.
+/// The addresses on which a running instance listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For targets.
+    /// The address for targets.
     pub targets: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// For the other instances.
+    /// The address for other instances.
     pub peers: SocketAddr,
 }
 
@@ -99,16 +100,17 @@
 }
 
 impl Instance {
-    /// Starts an instance. It listens when this returns, and takes requests
-    /// once it has a lease.
+    /// Starts an instance. It listens when this returns, and accepts requests
+    /// once it holds a lease.
     ///
     /// # Errors
-    /// [`StartError`]; nothing was changed then.
+    /// See [`StartError`]; nothing was changed then.
     pub async fn start(settings: &Settings, counters: Counters) -> Result<Instance, StartError> {
-        let members = Members::of(settings).map_err(|clash| StartError::NameClash {
-            first: clash.first,
-            second: clash.second,
-        })?;
+        let members =
+            Members::from_settings(settings).map_err(|collision| StartError::NameCollision {
+                first: collision.first,
+                second: collision.second,
+            })?;
         let peers = PeerListener::bind(settings.listen.peers).await;
         let peers = peers.context(ListenPeersSnafu)?;
         let operators = Listener::bind(settings.listen.operators).await;
@@ -116,9 +118,9 @@
         let targets = Listener::bind(settings.listen.targets).await;
         let targets = targets.context(ListenSnafu)?;
 
-        let entries = members.sorted_names();
-        let (node, waiting) = build_node(settings, members, counters)?;
-        let entry = bind_entry(settings, &node, entries).await?;
+        let entry_names = members.sorted_names();
+        let (node, pending_renewals) = build_node(settings, members, counters)?;
+        let entry = bind_entry(settings, &node, entry_names).await?;
         let addresses = Addresses {
             callers: entry.local_addr(),
             targets: targets.local_addr(),
@@ -127,8 +129,8 @@
         };
         let mut tasks = vec![
             peers.serve(node.clone(), node.links.traffic().clone()),
-            tokio::spawn(leases::watch(node.clone())),
-            tokio::spawn(renewals::send(node.clone(), waiting)),
+            tokio::spawn(leases::withdraw_lapsed_targets(node.clone())),
+            tokio::spawn(renewals::send_batches(node.clone(), pending_renewals)),
             tokio::spawn(begin_life(node.clone())),
             tokio::spawn(cleat_maintain::run(node.clone(), Arc::new(HttpPlatform))),
         ];
@@ -146,15 +148,16 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses on which the instance listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Stops gracefully: readiness goes false at once, requests in progress
-    /// finish, and the lease is given up so that nobody waits for it.
+    /// Stops gracefully: the instance stops being ready immediately, requests in
+    /// progress complete, and the lease is released so that no other instance has
+    /// to wait for its expiry.
     pub async fn stop(self) {
-        info!("stopping");
+        info!("instance is stopping");
         self.entry.drain().await;
         for server in self.servers {
             server.stop().await;
@@ -163,21 +166,21 @@
         for task in self.tasks {
             task.abort();
         }
-        info!("stopped");
+        info!("instance has stopped");
     }
 }
 
-type Waiting = tokio::sync::mpsc::Receiver<renewals::Waiting>;
+type PendingRenewals = tokio::sync::mpsc::Receiver<renewals::PendingRenewal>;
 
 fn build_node(
     settings: &Settings,
     members: Members,
     counters: Counters,
-) -> Result<(Arc<Node>, Waiting), StartError> {
+) -> Result<(Arc<Node>, PendingRenewals), StartError> {
     let links = Arc::new(Links::spawn(&members));
     let world = Arc::new(SharedWorld::new(&settings.name));
     let replica = spawn_replica(settings, &members, &links, &world)?;
-    let (renewals, waiting) = Renewals::new();
+    let (renewals, pending_renewals) = RenewalQueue::new();
     let node = Node {
         name: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
@@ -186,15 +189,15 @@
         links,
         replica,
         world,
-        leases: LeaseWatch::default(),
+        leases: LeaseMonitor::default(),
         renewals,
         counters,
         entry: OnceLock::new(),
-        started: Instant::now(),
+        started_at: Instant::now(),
         life_began: OnceLock::new(),
-        slots_moved: tokio::sync::Notify::new(),
+        slots_changed: tokio::sync::Notify::new(),
     };
-    Ok((Arc::new(node), waiting))
+    Ok((Arc::new(node), pending_renewals))
 }
 
 fn spawn_replica(
@@ -208,12 +211,12 @@
         votes: info.votes,
     };
     let cfg = ReplicaConfig::new(
-        members.own(),
+        members.own_id(),
         members.iter().map(member_config).collect(),
         rand::random(),
     );
     let transport = LinkTransport(links.clone());
-    let machine = FleetMachine {
+    let machine = FleetStateMachine {
         world: world.clone(),
     };
     let Some(folder) = &settings.data_folder else {
@@ -248,12 +251,13 @@
             entry.publish(world);
         }
     }));
-    // The first and only entry of this node.
+    // Can't fail: the entry of a node is set only here.
     let _ = node.entry.set(Arc::downgrade(&entry));
     Ok(entry)
 }
 
-/// Makes this run known, which ends what earlier runs of this instance left.
+/// Announces this life of the instance to the fleet, which ends whatever earlier lives
+/// left behind.
 async fn begin_life(node: Arc<Node>) {
     let begin = BeginLife {
         entry: node.name.clone(),
@@ -261,14 +265,14 @@
     };
     while !node.is_current_life() {
         let body = CommandBody::BeginLife(begin.clone());
-        match node.propose_anywhere(body).await {
+        match node.propose_to_leader(body).await {
             Ok(proposed) => {
-                // Only this task sets it.
+                // Can't fail: only this task sets it.
                 let _ = node.life_began.set(proposed.index);
                 return;
             }
-            Err(error) => warn!("not in the fleet yet: {error}"),
+            Err(error) => warn!("could not announce this instance to the fleet; retrying: {error}"),
         }
-        tokio::time::sleep(BEGIN_LIFE_PAUSE).await;
+        tokio::time::sleep(BEGIN_LIFE_RETRY_DELAY).await;
     }
 }
