--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -135,7 +135,7 @@
         }
         self.advice.insert(id, advice);
         if let Some(pool) = self.steps.get(&id).map(|step| step.pool.clone()) {
-            self.make_ready(id, pool);
+            self.mark_step_ready(id, pool);
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -142,7 +142,7 @@
     /// Ends the suspect runs of a worker and returns them with their part in
     /// the crash, to be committed.
     fn end_suspect_runs(&mut self, key: WorkerKey, reason: LossReason) -> Vec<CrashedRun> {
-        let suspects = self.suspects(key);
+        let suspects = self.suspect_tasks_on(key);
         let worker = &self.workers[key];
         let alone = suspects.len() == 1 && !worker.has_strays;
         let crashed_at = worker.unanswered_since.unwrap_or(self.now);
@@ -168,7 +168,7 @@
 
     /// The tasks that may have crashed a worker; none if crashes are not
     /// counted.
-    fn suspects(&self, key: WorkerKey) -> Vec<TaskId> {
+    fn suspect_tasks_on(&self, key: WorkerKey) -> Vec<TaskId> {
         let tasks = self.workers[key].tasks.iter().copied();
         let counted = |task: &TaskId| self.cfg.protections.count_crashes && self.is_suspect(*task);
         tasks.filter(counted).collect()
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -171,7 +171,7 @@
             step.pending.insert(task.index);
             step.store_checkpoint(task.index, checkpoint);
             let pool = step.pool.clone();
-            self.make_ready(task.step, pool);
+            self.mark_step_ready(task.step, pool);
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -11,7 +11,7 @@
 use crate::{JobId, Run, TaskId};
 
 /// How long after a stop without effect it is sent again.
-const STOP_RETRY: Duration = Duration::from_millis(300);
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long starts are paused on a worker that is unhealthy, or that lacks the
 /// free capacity that this owner expected.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(500);
@@ -76,7 +76,7 @@
                 Phase::InDoubt { stop_sent } | Phase::Stopping { stop_sent } => stop_sent,
                 _ => return None,
             };
-            (self.now >= sent + STOP_RETRY).then_some(*task)
+            (self.now >= sent + STOP_RETRY_DELAY).then_some(*task)
         };
         let tasks: Vec<TaskId> = self.attempts.iter().filter_map(due).collect();
         for task in tasks {
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -38,7 +38,7 @@
 
 impl Scheduler {
     /// Records that tasks of a step may wait for a worker.
-    pub(super) fn make_ready(&mut self, id: StepId, pool: Box<str>) {
+    pub(super) fn mark_step_ready(&mut self, id: StepId, pool: Box<str>) {
         self.mark_pool_dirty(&pool);
         self.ready.entry(pool).or_default().insert(id);
     }
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -15,13 +15,13 @@
 /// How long after a failed renewal the next one is sent. It is short compared
 /// to the lease, and long compared to the duration of a call, which is some
 /// milliseconds.
-const RENEWAL_RETRY: Duration = Duration::from_millis(300);
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// The delay after the first failure, which may just be a connection that was
 /// reset.
-const FIRST_RETRY: Duration = Duration::from_millis(20);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The delay for a worker whose lease has expired, where no runs are left to
 /// lose. A heartbeat brings the renewal forward.
-const LAPSED_RETRY: Duration = Duration::from_secs(2);
+const LAPSED_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// How long the next renewal to a worker is delayed at most until the listed
 /// ends are committed, so that it can acknowledge them. A commit takes a disk
 /// sync (6 ms on the platform's disks) and a round trip (2.8 ms). If it takes
@@ -116,7 +116,7 @@
         };
         if answer.fenced {
             self.workers[key].renewing = false;
-            self.workers[key].renewal_due = self.now + RENEWAL_RETRY;
+            self.workers[key].renewal_due = self.now + RENEWAL_RETRY_DELAY;
             return self.effects.push(Effect::Fenced {
                 worker: worker.into(),
             });
@@ -305,7 +305,7 @@
             }
             return self.record_job_started(listed.task.job());
         }
-        if !self.adopt(state, key, listed) {
+        if !self.adopt_run(state, key, listed) {
             self.stop_stray(state, key, listed.task, listed.run);
         }
     }
@@ -356,9 +356,9 @@
         worker.unanswered_since.get_or_insert(now);
         worker.renewal_due = now
             + match worker.state {
-                WorkerState::Lapsed => LAPSED_RETRY,
-                _ if first => FIRST_RETRY,
-                _ => RENEWAL_RETRY,
+                WorkerState::Lapsed => LAPSED_RETRY_DELAY,
+                _ if first => FIRST_RETRY_DELAY,
+                _ => RENEWAL_RETRY_DELAY,
             };
     }
 
@@ -367,7 +367,7 @@
             return;
         }
         match self.strays.get_mut(&(key, task, run)) {
-            Some(stray) if self.now < stray.sent_at + RENEWAL_RETRY => return,
+            Some(stray) if self.now < stray.sent_at + RENEWAL_RETRY_DELAY => return,
             Some(stray) => stray.sent_at = self.now,
             None => self.hold_stray(state, (key, task, run)),
         }
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -251,7 +251,7 @@
             suspicions: IndexMap::new(),
             checkpoints: IndexMap::new(),
         };
-        self.make_ready(id, step.pool.clone());
+        self.mark_step_ready(id, step.pool.clone());
         self.steps.insert(id, step);
         self.update_suspicions(state, id);
     }
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -15,6 +15,8 @@
 use crate::{Run, Size, TaskId};
 
 impl Scheduler {
+    /// Loads the workers and jobs of the replicated state, and asks all workers
+    /// for their runs.
     pub(super) fn take_over_state(&mut self, state: &ControlState) {
         for record in state.workers.values() {
             let key = self.workers.add(record.clone(), self.now);
@@ -92,7 +94,7 @@
 
     /// Adopts a run that a worker lists, if its task waits for a start. Returns
     /// whether it did.
-    pub(super) fn adopt(
+    pub(super) fn adopt_run(
         &mut self,
         state: &ControlState,
         key: WorkerKey,
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -13,7 +13,7 @@
 use crate::{JobId, JobSpec, Queue, Size, StepSpec};
 
 /// The result of a job has no value after this many times its objective.
-const ZERO_VALUE_AFTER: u32 = 3;
+const ZERO_VALUE_AFTER_OBJECTIVES: u32 = 3;
 /// The minimum weight of a new job in the running mean of its queue's usage.
 /// The mean then covers about the last 30 jobs.
 const MIN_USAGE_WEIGHT: f64 = 0.03;
@@ -46,7 +46,7 @@
         let until = |span: Duration| now + span.saturating_sub(age);
         Objective {
             due: until(span),
-            zero_value_at: until(span * ZERO_VALUE_AFTER),
+            zero_value_at: until(span * ZERO_VALUE_AFTER_OBJECTIVES),
         }
     }
 }
