--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -122,7 +122,7 @@
         // Nobody else is there to be called.
         addressing: PeerAddressing { port: 0 },
         seeds: vec![id],
-        may_found: true,
+        may_bootstrap: true,
         voters: 1,
         remove_silent_after: Duration::MAX,
         data_folder: folder.join("jobs"),
--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -114,7 +114,7 @@
         listen: SocketAddr::new(settings.bind_ip.unwrap_or(settings.ip).into(), port),
         addressing: PeerAddressing { port },
         seeds: seed_keys(&settings.seeds),
-        may_found: settings.first_start,
+        may_bootstrap: settings.first_start,
         voters: 2 * settings.losses_to_bear + 1,
         remove_silent_after: REPLACE_AFTER,
         data_folder: settings.data_folder.clone(),
--- a/crates/cleat-control/src/node/config.rs
+++ b/crates/cleat-control/src/node/config.rs
@@ -23,7 +23,7 @@
     /// The instances that may bootstrap the group.
     pub seeds: Vec<MemberId>,
     /// Whether this instance may take part in bootstrapping the group.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// The number of voters in the group: twice the number of tolerated losses, plus
     /// one.
     pub voters: usize,
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -181,7 +181,7 @@
     };
     let seeds = cfg.seeds.iter().map(seed).collect();
     let join = JoinConfig {
-        may_bootstrap: cfg.may_found,
+        may_bootstrap: cfg.may_bootstrap,
         target_voters: cfg.voters,
         extra_voter_timeout: cfg.remove_silent_after,
     };
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! The control interface for instance moves and maintenance waves.
+//! The interface to the replicated state for instance moves and maintenance waves.
 
 use cleat_quorum::BootTime;
 
