--- a/crates/celerycleat/src/commands/settings/default.rs
+++ b/crates/celerycleat/src/commands/settings/default.rs
@@ -25,7 +25,7 @@
             Example {
                 description: "Begin a base file",
                 words: "settings default",
-                result: Some(cleat_world::default_text().into()),
+                result: Some(cleat_world::default_config_text().into()),
             },
             Example {
                 description: "Begin an instance's settings",
@@ -38,7 +38,7 @@
     async fn run(&self, _: &Context<'_>) -> Result<Report, CliError> {
         let text = match self.instance {
             true => cleat_settings::default_text(),
-            false => cleat_world::default_text(),
+            false => cleat_world::default_config_text(),
         };
         // Embedded, and checked as JSON by the tests of its own crate.
         let json: Value = serde_json::from_str(text).unwrap_or_default();
--- a/crates/cleat-entry/src/tries/keyed.rs
+++ b/crates/cleat-entry/src/tries/keyed.rs
@@ -57,7 +57,7 @@
             control: Arc::clone(&self.shared.control),
             keys: Arc::clone(&self.shared.keys_in_hand),
             claim: self.claim(key),
-            keep: Duration::from_secs(self.shared.key_terms().keep_s),
+            keep: Duration::from_secs(self.shared.key_terms().retention_s),
             deadline: self.deadline,
         }
     }
@@ -69,9 +69,9 @@
             key: self.scoped(key),
             digest: self.digest(),
             entry: self.shared.cfg.name.clone(),
-            life: self.shared.cfg.life,
+            incarnation: self.shared.cfg.life,
             number: self.shared.claim_number(),
-            hold_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
+            settle_timeout_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     fn settlement(&self, result: &Result<Answer, Problem>) -> Settlement {
-        let limit = self.shared.key_terms().answer_bytes;
+        let limit = self.shared.key_terms().max_answer_bytes;
         match result {
             Ok(answer) => match answer.stored(limit) {
                 Some(stored) => Settlement::Ran(stored),
--- a/crates/cleat-entry/src/tries/settle.rs
+++ b/crates/cleat-entry/src/tries/settle.rs
@@ -39,7 +39,7 @@
         let settle = SettleKey {
             key: claim.key.clone(),
             entry: claim.entry.clone(),
-            life: claim.life,
+            incarnation: claim.incarnation,
             number: claim.number,
             settlement: Settlement::NotRun,
         };
--- a/crates/cleat-entry/tests/keys.rs
+++ b/crates/cleat-entry/tests/keys.rs
@@ -228,7 +228,7 @@
 async fn key_refused_when_the_table_is_full() {
     let target = Target::ok("own").await;
     let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
-    control.terms.lock().unwrap().most = 0;
+    control.terms.lock().unwrap().max_keys = 0;
     assert_eq!(
         send(&entry).await.summary(),
         "503 not-run idempotency-keys-full"
@@ -298,8 +298,12 @@
     .await;
     let again = send(&other).await.summary();
     assert_eq!(again, "504 unknown idempotency-key-in-progress");
-    // The killed entry starts anew and ends the claims of its earlier life.
-    control.table.lock().unwrap().end_other_lives("e1", 2);
+    // The killed entry restarts and ends the claims of its previous incarnation.
+    control
+        .table
+        .lock()
+        .unwrap()
+        .end_other_incarnations("e1", 2);
     let again = send(&other).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-outcome-unknown");
     assert_eq!(target.count(), 1);
@@ -314,9 +318,9 @@
         key: KeyTable::scoped("dock", "school", "k1"),
         digest: probe_digest(&fleet).await,
         entry: "e9".into(),
-        life: 1,
+        incarnation: 1,
         number: 0,
-        hold_ms: 0,
+        settle_timeout_ms: 0,
     };
     let terms = *control.terms.lock().unwrap();
     control.table.lock().unwrap().claim(claim, terms, 0);
--- a/crates/cleat-entry/tests/matrix_support/world.rs
+++ b/crates/cleat-entry/tests/matrix_support/world.rs
@@ -188,7 +188,7 @@
         refuses(self.first.local_addr()).await?;
         // The replicated state learns that the life is over.
         let mut table = self.control.inner.table.lock().unwrap();
-        table.end_other_lives("e1", 2);
+        table.end_other_incarnations("e1", 2);
         Ok(())
     }
 
--- a/crates/cleat-link/tests/link.rs
+++ b/crates/cleat-link/tests/link.rs
@@ -84,11 +84,13 @@
     let link = link(listener.local_addr());
     listener.serve(Arc::new(Leader::default()), Arc::default());
     connected(&link).await;
-    let begin = cleat_world::BeginLife {
+    let begin = cleat_world::BeginIncarnation {
         entry: "e1".into(),
-        life: 1,
+        incarnation: 1,
     };
-    let refused = link.propose(CommandBody::BeginLife(begin), LIMIT).await;
+    let refused = link
+        .propose(CommandBody::BeginIncarnation(begin), LIMIT)
+        .await;
     let source = PeerError::NotLeader {
         leader: Some("e3".into()),
     };
--- a/crates/cleat-maintain/src/plan/moves.rs
+++ b/crates/cleat-maintain/src/plan/moves.rs
@@ -52,7 +52,7 @@
 /// budget of the pool allows one more to be.
 fn may_leave(world: &World, instance: &str, place: &Place) -> bool {
     let availability = world.availability(&place.pool);
-    world.is_away(instance) || availability.is_some_and(Availability::has_room)
+    world.is_away(instance) || availability.is_some_and(Availability::has_budget_left)
 }
 
 /// The maximum duration of a request to the pool. After this time none of the
--- a/crates/cleat-maintain/src/plan/order.rs
+++ b/crates/cleat-maintain/src/plan/order.rs
@@ -81,7 +81,7 @@
         let away = places.filter(|name| world.is_away(name));
         away.map(Into::into).collect()
     };
-    if !availability.has_room() {
+    if !availability.has_budget_left() {
         return Err(WaitReason::Budget {
             budget: availability.budget,
             away: names(),
--- a/crates/cleat-maintain/tests/support/checks.rs
+++ b/crates/cleat-maintain/tests/support/checks.rs
@@ -48,7 +48,7 @@
                 .get(&place.pool)
                 .and_then(|w| w.step(instance));
             let moving = matches!(place.phase, Phase::Leaving { .. } | Phase::Drained { .. });
-            let no_requests = moving || step.is_some_and(Step::hides_targets);
+            let no_requests = moving || step.is_some_and(Step::blocks_requests);
             match no_requests {
                 true => {
                     self.no_requests_since
@@ -132,7 +132,7 @@
         };
         let worse = is.away > was.away || is.budget < was.budget;
         assert!(
-            is.holds() || !worse || !was.holds() && is.budget < was.budget,
+            is.is_within_budget() || !worse || !was.is_within_budget() && is.budget < was.budget,
             "{body:?} exceeded the budget of {pool}: {was:?} became {is:?}"
         );
     }
@@ -162,6 +162,6 @@
             .expect("a service");
         let place = &world.places()[&announcement.instance];
         assert_eq!(fleet.pools.name(service.pool), &*place.pool);
-        assert!(place.phase.takes_targets());
+        assert!(place.phase.accepts_targets());
     }
 }
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -13,7 +13,7 @@
 use cleat_quorum::{MemberConfig, Replica, ReplicaConfig};
 use cleat_settings::Settings;
 use cleat_telemetry::Counters;
-use cleat_world::{BeginLife, CommandBody};
+use cleat_world::{BeginIncarnation, CommandBody};
 use log::{info, warn};
 use snafu::{ResultExt, Snafu};
 use tokio::task::JoinHandle;
@@ -259,12 +259,12 @@
 /// Announces this life of the instance to the fleet, which ends whatever earlier lives
 /// left behind.
 async fn begin_life(node: Arc<Node>) {
-    let begin = BeginLife {
+    let begin = BeginIncarnation {
         entry: node.name.clone(),
-        life: node.life,
+        incarnation: node.life,
     };
     while !node.is_current_life() {
-        let body = CommandBody::BeginLife(begin.clone());
+        let body = CommandBody::BeginIncarnation(begin.clone());
         match node.propose_to_leader(body).await {
             Ok(proposed) => {
                 // Can't fail: only this task sets it.
--- a/crates/cleat-node/src/leader_calls.rs
+++ b/crates/cleat-node/src/leader_calls.rs
@@ -201,7 +201,9 @@
         | CommandBody::StartWave(_)
         | CommandBody::PauseWave(_)
         | CommandBody::ResumeWave(_) => body.command_id().is_some(),
-        CommandBody::Announce(_) | CommandBody::SettleKey(_) | CommandBody::BeginLife(_) => true,
+        CommandBody::Announce(_) | CommandBody::SettleKey(_) | CommandBody::BeginIncarnation(_) => {
+            true
+        }
         CommandBody::Withdraw(_)
         | CommandBody::ClaimKey(_)
         | CommandBody::AdvanceMove(_)
--- a/crates/cleat-node/src/world.rs
+++ b/crates/cleat-node/src/world.rs
@@ -57,7 +57,7 @@
         let mut world = self.world.write().unwrap_or_else(PoisonError::into_inner);
         let before = world.generation();
         let result = write(&mut world);
-        let own_life = world.life(&self.own_name).unwrap_or(NO_LIFE);
+        let own_life = world.incarnation(&self.own_name).unwrap_or(NO_LIFE);
         self.own_life.store(own_life, Ordering::Release);
         if world.generation() != before {
             self.publish(&world);
--- a/crates/cleat-world/src/command.rs
+++ b/crates/cleat-world/src/command.rs
@@ -32,8 +32,8 @@
     ClaimKey(ClaimKey),
     /// Say what came of a claimed key.
     SettleKey(SettleKey),
-    /// One of the system's own instances starts a new life.
-    BeginLife(BeginLife),
+    /// One of the system's own instances starts a new incarnation.
+    BeginIncarnation(BeginIncarnation),
     /// Move an instance to another pool.
     MoveInstance(MoveInstance),
     /// Take a move one phase on.
@@ -61,7 +61,7 @@
             | CommandBody::Withdraw(_)
             | CommandBody::ClaimKey(_)
             | CommandBody::SettleKey(_)
-            | CommandBody::BeginLife(_)
+            | CommandBody::BeginIncarnation(_)
             | CommandBody::AdvanceMove(_)
             | CommandBody::StepInstance(_) => None,
         }
@@ -148,13 +148,13 @@
     pub digest: u64,
     /// The claiming instance of the system's own.
     pub entry: Box<str>,
-    /// That instance's life.
-    pub life: u64,
-    /// A number that no other claim of this life has: a settlement that is
+    /// That instance's incarnation.
+    pub incarnation: u64,
+    /// A number that no other claim of this incarnation has: a settlement that is
     /// sent twice or late cannot end a later claim of the same key.
     pub number: u64,
     /// After this long without a settlement the outcome is unknown, in ms.
-    pub hold_ms: u64,
+    pub settle_timeout_ms: u64,
 }
 
 /// What came of a claimed key.
@@ -164,21 +164,21 @@
     pub key: Box<str>,
     /// The instance that claimed it.
     pub entry: Box<str>,
-    /// That instance's life when it claimed.
-    pub life: u64,
+    /// That instance's incarnation when it claimed.
+    pub incarnation: u64,
     /// The number of the claim.
     pub number: u64,
     /// What came of it.
     pub settlement: crate::Settlement,
 }
 
-/// A new life of one of the system's own instances.
+/// A new incarnation of one of the system's own instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeginLife {
+pub struct BeginIncarnation {
     /// The instance.
     pub entry: Box<str>,
-    /// A number that no earlier life of it had.
-    pub life: u64,
+    /// A number that no earlier incarnation of it had.
+    pub incarnation: u64,
 }
 
 /// What a command came to.
--- a/crates/cleat-world/src/fleet/defaults.rs
+++ b/crates/cleat-world/src/fleet/defaults.rs
@@ -2,7 +2,7 @@
 
 /// An example configuration in JSON that states every optional key with its
 /// default value.
-pub fn default_text() -> &'static str {
+pub fn default_config_text() -> &'static str {
     include_str!("default.json")
 }
 
@@ -17,9 +17,9 @@
 pub(super) const BODY_LIMIT_BYTES: u64 = 1 << 20;
 pub(super) const ANSWER_BUFFER_BYTES: u64 = 256 << 10;
 pub(super) const TARGET_LEASE_MS: u64 = 5_000;
-pub(super) const KEY_KEEP_S: u64 = 600;
-pub(super) const KEY_MOST: u64 = 20_000;
-pub(super) const KEY_ANSWER_BYTES: u64 = 16 << 10;
+pub(super) const KEY_RETENTION_S: u64 = 600;
+pub(super) const MAX_KEYS: u64 = 20_000;
+pub(super) const MAX_KEY_ANSWER_BYTES: u64 = 16 << 10;
 pub(super) const PROBATION_S: u64 = 60;
 pub(super) const DRAIN_S: u64 = 120;
 pub(super) const REBOOT_S: u64 = 900;
--- a/crates/cleat-world/src/fleet/mod.rs
+++ b/crates/cleat-world/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 mod parse;
 mod types;
 
-pub use defaults::default_text;
+pub use defaults::default_config_text;
 pub use merge::{diff, merge};
 pub use types::{
     CallerTerms, DataCentre, FleetConfig, Instance, KeyTerms, MaintenanceTerms, Pool, Queue, Quota,
--- a/crates/cleat-world/src/fleet/parse.rs
+++ b/crates/cleat-world/src/fleet/parse.rs
@@ -242,10 +242,10 @@
     let mut terms = KeyTerms::default();
     let keys = ["keep_s", "most", "answer_bytes"];
     if let Some(object) = child("keys", &keys, root, faults) {
-        terms.keep_s = object.number_or("keep_s", terms.keep_s, 1..=604_800, faults);
-        terms.most = object.number_or("most", terms.most, 1..=MAX_COUNT, faults);
-        terms.answer_bytes =
-            object.number_or("answer_bytes", terms.answer_bytes, 0..=1 << 20, faults);
+        terms.retention_s = object.number_or("keep_s", terms.retention_s, 1..=604_800, faults);
+        terms.max_keys = object.number_or("most", terms.max_keys, 1..=MAX_COUNT, faults);
+        terms.max_answer_bytes =
+            object.number_or("answer_bytes", terms.max_answer_bytes, 0..=1 << 20, faults);
     }
     terms
 }
--- a/crates/cleat-world/src/fleet/types.rs
+++ b/crates/cleat-world/src/fleet/types.rs
@@ -156,19 +156,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyTerms {
     /// How long a key is remembered after its claim, in seconds.
-    pub keep_s: u64,
+    pub retention_s: u64,
     /// The most keys remembered; at the bound new keys are refused.
-    pub most: u64,
+    pub max_keys: u64,
     /// The largest answer kept with a key, in bytes.
-    pub answer_bytes: u64,
+    pub max_answer_bytes: u64,
 }
 
 impl Default for KeyTerms {
     fn default() -> Self {
         KeyTerms {
-            keep_s: defaults::KEY_KEEP_S,
-            most: defaults::KEY_MOST,
-            answer_bytes: defaults::KEY_ANSWER_BYTES,
+            retention_s: defaults::KEY_RETENTION_S,
+            max_keys: defaults::MAX_KEYS,
+            max_answer_bytes: defaults::MAX_KEY_ANSWER_BYTES,
         }
     }
 }
--- a/crates/cleat-world/src/keys/table.rs
+++ b/crates/cleat-world/src/keys/table.rs
@@ -34,7 +34,7 @@
     /// Claims a key at `now_ms` or says what became of it.
     pub fn claim(&mut self, claim: ClaimKey, terms: KeyTerms, now_ms: u64) -> KeyAnswer {
         self.forget_old(terms, now_ms);
-        let full = self.claims.len() as u64 >= terms.most;
+        let full = self.claims.len() as u64 >= terms.max_keys;
         match self.claims.entry(claim.key.clone()) {
             Entry::Occupied(mut entry) => claim_again(entry.get_mut(), claim, now_ms),
             Entry::Vacant(_) if full => KeyAnswer::Full,
@@ -54,8 +54,10 @@
         let Some(claim) = self.claims.get_mut(&settle.key) else {
             return KeyAnswer::NotHolder;
         };
-        let held = matches!(&claim.state, ClaimState::Pending { entry, life, number, .. }
-            if *entry == settle.entry && *life == settle.life && *number == settle.number);
+        let held = matches!(&claim.state, ClaimState::Pending { entry, incarnation, number, .. }
+            if *entry == settle.entry
+                && *incarnation == settle.incarnation
+                && *number == settle.number);
         if !held {
             return KeyAnswer::NotHolder;
         }
@@ -75,11 +77,11 @@
         answer(&claim.state)
     }
 
-    /// Ends the claims of earlier lives of `entry`: nobody knows their outcome.
-    pub fn end_other_lives(&mut self, entry: &str, life: u64) {
+    /// Ends the claims of earlier incarnations of `entry`: nobody knows their outcome.
+    pub fn end_other_incarnations(&mut self, entry: &str, incarnation: u64) {
         for claim in self.claims.values_mut() {
-            let lost = matches!(&claim.state, ClaimState::Pending { entry: e, life: l, .. }
-                if **e == *entry && *l != life);
+            let lost = matches!(&claim.state, ClaimState::Pending { entry: e, incarnation: i, .. }
+                if **e == *entry && *i != incarnation);
             if lost {
                 claim.state = ClaimState::Settled(Settlement::Unknown);
             }
@@ -97,7 +99,7 @@
     }
 
     fn forget_old(&mut self, terms: KeyTerms, now_ms: u64) {
-        let keep_ms = terms.keep_s * 1_000;
+        let keep_ms = terms.retention_s * 1_000;
         let young = |claim: &Claim| claim.claimed_at_ms + keep_ms > now_ms;
         let old = self.claims.values().take_while(|claim| !young(claim));
         let count = old.count();
@@ -126,9 +128,9 @@
 fn pending(claim: ClaimKey, now_ms: u64) -> ClaimState {
     ClaimState::Pending {
         entry: claim.entry,
-        life: claim.life,
+        incarnation: claim.incarnation,
         number: claim.number,
-        until_ms: now_ms + claim.hold_ms,
+        until_ms: now_ms + claim.settle_timeout_ms,
     }
 }
 
--- a/crates/cleat-world/src/keys/types.rs
+++ b/crates/cleat-world/src/keys/types.rs
@@ -30,9 +30,9 @@
     Pending {
         /// That instance.
         entry: Box<str>,
-        /// Its life.
-        life: u64,
-        /// The claim's number within that life.
+        /// Its incarnation.
+        incarnation: u64,
+        /// The claim's number within that incarnation.
         number: u64,
         /// From then on the outcome counts as unknown (ms).
         until_ms: u64,
--- a/crates/cleat-world/src/lib.rs
+++ b/crates/cleat-world/src/lib.rs
@@ -15,13 +15,13 @@
 
 pub use arena::{Arena, Key};
 pub use command::{
-    Announce, Announcement, Answer, ApplyConfig, BeginLife, ClaimKey, Command, CommandBody,
+    Announce, Announcement, Answer, ApplyConfig, BeginIncarnation, ClaimKey, Command, CommandBody,
     ConfigAnswer, DecodeError, KeyAnswer, ProposedConfig, SettleKey, TargetAnswer, Withdraw,
     WithdrawCause,
 };
 pub use fleet::{
     CallerTerms, DataCentre, FleetConfig, Instance, KeyTerms, MaintenanceTerms, Pool, Queue, Quota,
-    Retry, Service, default_text, diff, merge,
+    Retry, Service, default_config_text, diff, merge,
 };
 pub use ids::{DataCentreId, InstanceId, PoolId, ServiceId};
 pub use keys::{Claim, ClaimState, KeyTable, Settlement, StoredAnswer};
--- a/crates/cleat-world/src/maintenance/place.rs
+++ b/crates/cleat-world/src/maintenance/place.rs
@@ -10,7 +10,7 @@
     /// there.
     pub pool: Box<str>,
     /// The pool that the configuration last declared for it.
-    pub home: Box<str>,
+    pub configured_pool: Box<str>,
     /// The log index of the command that brought `pool` and `phase`: it
     /// fences commands that were made for an earlier phase.
     pub epoch: u64,
@@ -48,7 +48,7 @@
 
 impl Phase {
     /// Whether targets on the instance may be announced.
-    pub fn takes_targets(&self) -> bool {
+    pub fn accepts_targets(&self) -> bool {
         matches!(self, Phase::Joining | Phase::Member | Phase::Ordered { .. })
     }
 
@@ -63,10 +63,10 @@
 
 impl Place {
     /// A place in the pool `home`, from the log index `epoch` on.
-    pub(crate) fn at_home(home: &str, epoch: u64) -> Place {
+    pub(crate) fn joining(pool: &str, epoch: u64) -> Place {
         Place {
-            pool: home.into(),
-            home: home.into(),
+            pool: pool.into(),
+            configured_pool: pool.into(),
             epoch,
             phase: Phase::Joining,
         }
--- a/crates/cleat-world/src/maintenance/wave.rs
+++ b/crates/cleat-world/src/maintenance/wave.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether targets on the instance get no requests.
-    pub fn hides_targets(self) -> bool {
+    pub fn blocks_requests(self) -> bool {
         matches!(self, Step::Draining | Step::Rebooting)
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Whether the step `to` may follow.
-    pub fn may_become(self, to: Step) -> bool {
+    pub fn can_transition_to(self, to: Step) -> bool {
         matches!(
             (self, to),
             (Step::Waiting, Step::Draining)
--- a/crates/cleat-world/src/state/apply.rs
+++ b/crates/cleat-world/src/state/apply.rs
@@ -4,8 +4,8 @@
 use super::config::Moment;
 use super::targets::Places;
 use crate::{
-    Announce, Answer, ApplyConfig, Availability, BeginLife, Command, CommandBody, ConfigAnswer,
-    FleetConfig, Phase, TargetAnswer,
+    Announce, Answer, ApplyConfig, Availability, BeginIncarnation, Command, CommandBody,
+    ConfigAnswer, FleetConfig, Phase, TargetAnswer,
 };
 
 impl World {
@@ -31,7 +31,7 @@
                 return Answer::Key(self.keys.claim(claim, terms, self.now_ms));
             }
             CommandBody::SettleKey(settle) => return Answer::Key(self.keys.settle(settle)),
-            CommandBody::BeginLife(begin) => return self.begin_life(begin),
+            CommandBody::BeginIncarnation(begin) => return self.begin_incarnation(begin),
             _ => {}
         }
         // All that follows may concern the request path.
@@ -46,9 +46,9 @@
             CommandBody::PauseWave(change) => Answer::Wave(self.pause_wave(&change.pool, true)),
             CommandBody::ResumeWave(change) => Answer::Wave(self.pause_wave(&change.pool, false)),
             CommandBody::StepInstance(change) => Answer::Wave(self.step_instance(&change, index)),
-            CommandBody::ClaimKey(_) | CommandBody::SettleKey(_) | CommandBody::BeginLife(_) => {
-                Answer::Done
-            }
+            CommandBody::ClaimKey(_)
+            | CommandBody::SettleKey(_)
+            | CommandBody::BeginIncarnation(_) => Answer::Done,
         }
     }
 
@@ -77,7 +77,10 @@
     /// that the configuration declares wait for room, so they break none.
     fn check_budgets(&self, fleet: &FleetConfig) -> Result<(), ConfigAnswer> {
         for (_, name, pool) in fleet.pools.iter() {
-            if !self.availability(name).is_some_and(Availability::holds) {
+            if !self
+                .availability(name)
+                .is_some_and(Availability::is_within_budget)
+            {
                 continue;
             }
             let budget = pool.availability_budget;
@@ -123,9 +126,10 @@
         answer
     }
 
-    fn begin_life(&mut self, begin: BeginLife) -> Answer {
-        self.keys.end_other_lives(&begin.entry, begin.life);
-        self.lives.insert(begin.entry, begin.life);
+    fn begin_incarnation(&mut self, begin: BeginIncarnation) -> Answer {
+        self.keys
+            .end_other_incarnations(&begin.entry, begin.incarnation);
+        self.incarnations.insert(begin.entry, begin.incarnation);
         Answer::Done
     }
 }
--- a/crates/cleat-world/src/state/budget.rs
+++ b/crates/cleat-world/src/state/budget.rs
@@ -18,12 +18,12 @@
 
 impl Availability {
     /// Whether no more instances are away than the budget allows.
-    pub fn holds(self) -> bool {
+    pub fn is_within_budget(self) -> bool {
         self.away <= self.budget
     }
 
     /// Whether one more instance may be away.
-    pub fn has_room(self) -> bool {
+    pub fn has_budget_left(self) -> bool {
         self.away < self.budget
     }
 }
@@ -86,7 +86,7 @@
     /// or the budget has room for one more.
     pub(super) fn may_spare(&self, instance: &str, pool: &str) -> Result<(), Availability> {
         match self.availability(pool) {
-            Some(found) if !self.is_away(instance) && !found.has_room() => Err(found),
+            Some(found) if !self.is_away(instance) && !found.has_budget_left() => Err(found),
             _ => Ok(()),
         }
     }
--- a/crates/cleat-world/src/state/places.rs
+++ b/crates/cleat-world/src/state/places.rs
@@ -83,13 +83,13 @@
         for (_, name, instance) in fleet.instances.iter() {
             let home = fleet.pools.name(instance.pool);
             let place = self.places.entry(name.into());
-            let place = place.or_insert_with(|| Place::at_home(home, index));
+            let place = place.or_insert_with(|| Place::joining(home, index));
             let wave = self.waves.get(&place.pool);
             let step = wave.and_then(|wave| wave.step(name));
             let idle = place.phase == Phase::Joining && !step.is_some_and(Step::is_away);
-            if idle && &*place.pool != home && &*place.home != home {
+            if idle && &*place.pool != home && &*place.configured_pool != home {
                 // Nothing was ever sent to it there, so nothing has to end.
-                *place = Place::at_home(home, index);
+                *place = Place::joining(home, index);
             }
             adapt(place, home, &fleet, index);
         }
@@ -101,7 +101,7 @@
     if fleet.pools.find(&place.pool).is_none() {
         // A pool that is gone has no services, so nothing is in progress for
         // it that a drain would protect.
-        *place = Place::at_home(home, index);
+        *place = Place::joining(home, index);
         return;
     }
     let lost = |to: &str| fleet.pools.find(to).is_none();
@@ -109,10 +109,10 @@
         // It stays, and is missing until its target is announced again.
         place.enter(Phase::Member, index);
     }
-    if &*place.home == home {
+    if &*place.configured_pool == home {
         return;
     }
-    place.home = home.into();
+    place.configured_pool = home.into();
     match &place.phase {
         Phase::Joining | Phase::Member | Phase::Ordered { .. } if &*place.pool == home => {
             if let Phase::Ordered { .. } = place.phase {
--- a/crates/cleat-world/src/state/targets.rs
+++ b/crates/cleat-world/src/state/targets.rs
@@ -142,7 +142,7 @@
             let data_centre = data_centre.into();
             return Err(TargetAnswer::WrongDataCentre { data_centre });
         }
-        if !place.phase.takes_targets() || self.reboots(&announcement.instance, &place.pool) {
+        if !place.phase.accepts_targets() || self.reboots(&announcement.instance, &place.pool) {
             return Err(TargetAnswer::InstanceAway);
         }
         Ok(())
--- a/crates/cleat-world/src/state/waves.rs
+++ b/crates/cleat-world/src/state/waves.rs
@@ -57,7 +57,7 @@
         };
         let current = wave.step(&change.instance);
         let meant = wave.id == change.wave && current == Some(change.from);
-        if !meant || !change.from.may_become(change.to) {
+        if !meant || !change.from.can_transition_to(change.to) {
             return WaveAnswer::Stale;
         }
         if change.from == Step::Waiting {
--- a/crates/cleat-world/src/state/world.rs
+++ b/crates/cleat-world/src/state/world.rs
@@ -24,8 +24,8 @@
     pub(super) config: ConfigState,
     pub(super) targets: Targets,
     pub(super) keys: KeyTable,
-    /// The current life of each of the system's own instances.
-    pub(super) lives: IndexMap<Box<str>, u64>,
+    /// The current incarnation of each of the system's own instances.
+    pub(super) incarnations: IndexMap<Box<str>, u64>,
     /// The place of each configured instance. Invariant: one each.
     pub(super) places: IndexMap<Box<str>, Place>,
     /// The latest maintenance wave of each pool.
@@ -65,9 +65,9 @@
         self.generation
     }
 
-    /// The current life of one of the system's own instances.
-    pub fn life(&self, entry: &str) -> Option<u64> {
-        self.lives.get(entry).copied()
+    /// The current incarnation of one of the system's own instances.
+    pub fn incarnation(&self, entry: &str) -> Option<u64> {
+        self.incarnations.get(entry).copied()
     }
 
     /// The configuration.
@@ -110,7 +110,7 @@
     fn is_hidden(&self, instance: &str) -> bool {
         let place = self.places.get(instance);
         let step = place.and_then(|place| self.step_of(instance, place));
-        step.is_some_and(Step::hides_targets)
+        step.is_some_and(Step::blocks_requests)
     }
 
     /// The claimed idempotency keys.
--- a/crates/cleat-world/tests/moves.rs
+++ b/crates/cleat-world/tests/moves.rs
@@ -154,7 +154,7 @@
     assert!(
         places
             .clone()
-            .all(|place| &*place.pool == "a" && place.phase.takes_targets())
+            .all(|place| &*place.pool == "a" && place.phase.accepts_targets())
     );
     // The one that had not left yet is still promised, and is missing.
     assert_eq!(f.away("a"), 1);
--- a/crates/cleat-world/tests/world.rs
+++ b/crates/cleat-world/tests/world.rs
@@ -1,7 +1,7 @@
 //! Commands against the replicated state.
 
 use cleat_world::{
-    Announce, Announcement, Answer, ApplyConfig, BeginLife, ClaimKey, Command, CommandBody,
+    Announce, Announcement, Answer, ApplyConfig, BeginIncarnation, ClaimKey, Command, CommandBody,
     ConfigAnswer, KeyAnswer, KeyTable, KeyTerms, ProposedConfig, SettleKey, Settlement,
     StoredAnswer, TargetAnswer, Withdraw, WithdrawCause, World,
 };
@@ -74,9 +74,9 @@
                 key: "dock\0school\0k".into(),
                 digest,
                 entry: entry.into(),
-                life: 1,
+                incarnation: 1,
                 number: self.index,
-                hold_ms: 5_000,
+                settle_timeout_ms: 5_000,
             }),
         );
         match answer {
@@ -87,21 +87,21 @@
 
     /// Settles the claim that was made by the first command after the
     /// configuration.
-    fn settle(&mut self, entry: &str, life: u64, settlement: Settlement) -> Answer {
-        self.settle_number(1, entry, life, settlement)
+    fn settle(&mut self, entry: &str, incarnation: u64, settlement: Settlement) -> Answer {
+        self.settle_number(1, entry, incarnation, settlement)
     }
 
     fn settle_number(
         &mut self,
         number: u64,
         entry: &str,
-        life: u64,
+        incarnation: u64,
         settlement: Settlement,
     ) -> Answer {
         self.run(CommandBody::SettleKey(SettleKey {
             key: "dock\0school\0k".into(),
             entry: entry.into(),
-            life,
+            incarnation,
             number,
             settlement,
         }))
@@ -150,7 +150,10 @@
 #[test]
 fn config_default_text_is_valid() {
     let mut f = Fixture::default();
-    assert_eq!(f.config(0, None, cleat_world::default_text()), accepted(1));
+    assert_eq!(
+        f.config(0, None, cleat_world::default_config_text()),
+        accepted(1)
+    );
 }
 
 #[test]
@@ -260,9 +263,9 @@
 fn claim_of_a_dead_holder_is_unknown() {
     let mut f = Fixture::configured();
     f.claim_at(1_000, "e1", 7);
-    f.run(CommandBody::BeginLife(BeginLife {
+    f.run(CommandBody::BeginIncarnation(BeginIncarnation {
         entry: "e1".into(),
-        life: 2,
+        incarnation: 2,
     }));
     assert_eq!(f.claim_at(1_000, "e2", 7), KeyAnswer::Unknown);
     let not_holder = Answer::Key(KeyAnswer::NotHolder);
@@ -312,9 +315,9 @@
             key: key.clone(),
             digest: 7,
             entry: "e1".into(),
-            life: 1,
+            incarnation: 1,
             number,
-            hold_ms: 5_000,
+            settle_timeout_ms: 5_000,
         };
         let answer = StoredAnswer {
             status: 200,
@@ -328,7 +331,7 @@
         table.settle(SettleKey {
             key: key.clone(),
             entry: "e1".into(),
-            life: 1,
+            incarnation: 1,
             number,
             settlement: Settlement::Ran(answer),
         });
