--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -12,8 +12,8 @@
 };
 use cleat_http::{Listener, RunningServer};
 use cleat_jobs::{
-    Catalogue, Draft, JobId, JobSpec, Pool, Queue, SchedulerConfig, Size, StepSpec, WorkerHistory,
-    WorkerRecord,
+    Catalogue, CatalogueDraft, JobId, JobSpec, Pool, Queue, SchedulerConfig, Size, StepSpec,
+    WorkerHistory, WorkerRecord,
 };
 use cleat_link::{ControlCall, ControlReply, JobView};
 use cleat_operate::JobOperators;
@@ -165,11 +165,11 @@
     };
     let pool = Pool {
         name: POOL.into(),
-        guards_capacity: true,
+        enforces_capacity: true,
         spare: false,
         health_path: "/".into(),
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         version: 1,
         queues: vec![queue],
         pools: vec![pool],
--- a/crates/cleat-control/src/machine.rs
+++ b/crates/cleat-control/src/machine.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-use cleat_jobs::{Answer, Command, ControlState, Event};
+use cleat_jobs::{Command, CommandOutcome, ControlState, Event};
 use cleat_quorum::{Machine, RestoreError};
 use log::error;
 use tokio::sync::mpsc::UnboundedSender;
@@ -37,7 +37,7 @@
         *state = ControlState::default();
     }
 
-    fn apply(&self, index: u64, command: Command) -> Answer {
+    fn apply(&self, index: u64, command: Command) -> CommandOutcome {
         let command = Arc::new(command);
         let answer = {
             let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use cleat_jobs::{
-    Answer, Caller, Cap, Catalogue, Command, ControlState, Customer, Customers, Event, Heartbeat,
-    Job, JobId, JobSpec, JobState, KeyDigest, Queue, Scheduler, WorkerView,
+    Caller, Cap, Catalogue, Command, CommandOutcome, ControlState, Customer, Customers, Event,
+    Heartbeat, Job, JobId, JobSpec, JobState, KeyDigest, Queue, Scheduler, WorkerView,
 };
 use cleat_link::{
     ControlCall, ControlError, ControlReply, CustomerLine, JobLine, JobView, Overview, WorkerLine,
@@ -49,7 +49,7 @@
             return Err(ControlError::NotLeader { leader });
         }
         // A leader that others may have replaced can't be sure of anything.
-        if !self.leads() || !self.state.read(|state| state.founded) {
+        if !self.leads() || !self.state.read(|state| state.bootstrapped) {
             return Err(ControlError::NoQuorum);
         }
         match self.first_step(call)? {
@@ -72,8 +72,8 @@
                 spec,
                 waited_ms,
             } => {
-                let came_ms = wall_ms().saturating_sub(waited_ms);
-                self.submit(&Address::of(&host, &path, key.as_ref()), spec, came_ms)
+                let arrived_ms = wall_ms().saturating_sub(waited_ms);
+                self.submit(&Address::of(&host, &path, key.as_ref()), spec, arrived_ms)
             }
             ControlCall::Look { host, path, key } => {
                 Step::Answer(self.look(&Address::of(&host, &path, key.as_ref()))?)
@@ -131,17 +131,17 @@
         })
     }
 
-    fn submit(&self, address: &Address<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Step {
+    fn submit(&self, address: &Address<'_>, spec: Arc<JobSpec>, arrived_ms: u64) -> Step {
         self.state.read(|state| match place(state, address) {
             Err(refusal) => Step::Answer(refusal),
             Ok(Place::Queue(_)) => Step::Answer(ControlReply::NotAJob),
-            Ok(Place::Job(queue, id, caller)) => match state.owner_of(id) {
+            Ok(Place::Job(queue, id, caller)) => match state.customer_of(id) {
                 None => Step::Commit(Command::Submit {
                     id,
                     queue,
                     customer: caller.name().map(Into::into),
                     spec,
-                    came_ms,
+                    arrived_ms,
                 }),
                 // Sent again: it is stored already.
                 Some(owner) if owner == caller.name() => Step::Answer(ControlReply::Done),
@@ -201,7 +201,7 @@
                         queue,
                         customer: None,
                         spec,
-                        came_ms: wall_ms(),
+                        arrived_ms: wall_ms(),
                     })
                 }
             }
@@ -279,11 +279,11 @@
             .latency("commit")
             .record(began.elapsed());
         let applied = applied.map_err(|error| refusal(&error))?;
-        Ok(match Answer::decode(&applied.answer) {
-            Some(Answer::Done) => ControlReply::Done,
-            Some(Answer::NoSuchJob) => ControlReply::NoSuchJob,
-            Some(Answer::Over(_)) => ControlReply::Over,
-            Some(Answer::Taken) => ControlReply::Taken,
+        Ok(match CommandOutcome::decode(&applied.answer) {
+            Some(CommandOutcome::Done) => ControlReply::Done,
+            Some(CommandOutcome::NoSuchJob) => ControlReply::NoSuchJob,
+            Some(CommandOutcome::Over(_)) => ControlReply::Over,
+            Some(CommandOutcome::Taken) => ControlReply::Taken,
             None => return Err(ControlError::OutcomeUnknown),
         })
     }
@@ -363,7 +363,7 @@
     let Some(queue) = catalogue.route(address.host, address.path) else {
         return Err(ControlReply::NoSuchQueue);
     };
-    let caller = catalogue.caller(queue, address.key);
+    let caller = catalogue.authenticate(queue, address.key);
     if caller == Caller::Unknown {
         return Err(ControlReply::UnknownKey);
     }
@@ -379,8 +379,8 @@
 
 /// Whether a job is another customer's, who alone may know of it.
 fn hidden(state: &ControlState, id: JobId, caller: &Caller) -> bool {
-    let owner = state.owner_of(id);
-    owner.is_some_and(|owner| !caller.may_use(owner))
+    let owner = state.customer_of(id);
+    owner.is_some_and(|owner| !caller.may_access(owner))
 }
 
 pub(crate) fn refusal(error: &ProposeError) -> ControlError {
--- a/crates/cleat-control/src/owner/mod.rs
+++ b/crates/cleat-control/src/owner/mod.rs
@@ -94,10 +94,10 @@
 
     /// Commits the ownership, once the group has the voters it needs.
     async fn take_over(&self) -> bool {
-        if !self.shared.state.read(|state| state.founded) {
+        if !self.shared.state.read(|state| state.bootstrapped) {
             let status = self.shared.replica().status();
             let voters = status.members().iter().filter(|m| m.votes).count();
-            if voters < self.shared.voters || !self.commit(Command::Found).await {
+            if voters < self.shared.voters || !self.commit(Command::Bootstrapped).await {
                 return false;
             }
         }
--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -11,9 +11,9 @@
 
 use cleat_control::{ModelRun, ModelWorker};
 use cleat_jobs::{
-    Cap, Catalogue, Command, ControlState, Customer, CustomerDraft, Draft, Effect, EndKind, Event,
-    Heartbeat, JobId, JobSpec, Order, OrderAnswer, Pool, Queue, RenewalOrder, Scheduler,
-    SchedulerConfig, Size, StepSpec, TaskOrder, WorkerHistory, WorkerRecord,
+    Cap, Catalogue, CatalogueDraft, Command, ControlState, Customer, CustomerDraft, Effect,
+    EndKind, Event, Heartbeat, JobId, JobSpec, Order, OrderAnswer, Pool, Queue, RenewalOrder,
+    Scheduler, SchedulerConfig, Size, StepSpec, TaskOrder, WorkerHistory, WorkerRecord,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -93,7 +93,7 @@
 impl World {
     fn new(workers: usize, customers: u64) -> World {
         let mut state = ControlState::default();
-        state.apply(1, Command::Found);
+        state.apply(1, Command::Bootstrapped);
         state.apply(2, Command::Configure(Arc::new(catalogue(customers))));
         state.apply(3, Command::TakeOver { member: 1 });
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
@@ -234,7 +234,7 @@
                 queue,
                 customer: self.jobs.checked_rem(self.customers).map(customer),
                 spec,
-                came_ms: 0,
+                arrived_ms: 0,
             }),
         );
     }
@@ -332,11 +332,11 @@
     };
     let pool = |at: usize| Pool {
         name: format!("pool{at}").into(),
-        guards_capacity: true,
+        enforces_capacity: true,
         spare: false,
         health_path: "/health".into(),
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         version: 1,
         queues: (0..POOLS).map(queue).collect(),
         pools: (0..POOLS).map(pool).collect(),
--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use cleat_jobs::{
-    Catalogue, Command, ControlState, Draft, Effect, Event, Heartbeat, JobId, JobSpec,
+    Catalogue, CatalogueDraft, Command, ControlState, Effect, Event, Heartbeat, JobId, JobSpec,
     MachineAnswer, MachineState, MachineView, Pool, Queue, RenewalAnswer, Scheduler,
     SchedulerConfig, Size, StepSpec, WorkerHistory, WorkerRecord,
 };
@@ -64,7 +64,7 @@
 impl World {
     fn new(size: usize) -> World {
         let mut state = ControlState::default();
-        state.apply(1, Command::Found);
+        state.apply(1, Command::Bootstrapped);
         state.apply(2, Command::Configure(Arc::new(catalogue())));
         state.apply(3, Command::TakeOver { member: 1 });
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
@@ -186,7 +186,7 @@
                 steps: vec![step],
                 repeat: None,
             }),
-            came_ms: 0,
+            arrived_ms: 0,
         };
         self.state.apply(self.index, command.clone());
         let command = Arc::new(command);
@@ -222,13 +222,13 @@
     let pool = |at: usize| {
         let name: Box<str> = format!("pool{at}").into();
         Pool {
-            guards_capacity: true,
+            enforces_capacity: true,
             spare: *name == *SPARE,
             health_path: "/health".into(),
             name,
         }
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         version: 1,
         queues: (1..POOLS).map(queue).collect(),
         pools: (0..POOLS).map(pool).collect(),
--- a/crates/cleat-jobs/src/catalogue/check.rs
+++ b/crates/cleat-jobs/src/catalogue/check.rs
@@ -3,18 +3,18 @@
 use indexmap::IndexMap;
 
 use super::error::CatalogueFault;
-use super::{CustomerDraft, Draft, Queue};
+use super::{CatalogueDraft, CustomerDraft, Queue};
 use crate::KeyDigest;
 
 /// All faults of a configuration.
-pub(super) fn faults(draft: &Draft) -> Vec<CatalogueFault> {
+pub(super) fn faults(draft: &CatalogueDraft) -> Vec<CatalogueFault> {
     let mut faults = queue_faults(draft);
     let customers = draft.customers.as_deref().unwrap_or_default();
     faults.extend(customer_faults(customers));
     faults
 }
 
-fn queue_faults(draft: &Draft) -> Vec<CatalogueFault> {
+fn queue_faults(draft: &CatalogueDraft) -> Vec<CatalogueFault> {
     let mut faults = Vec::new();
     let mut places: IndexMap<(&str, &str), &str> = IndexMap::new();
     for queue in &draft.queues {
--- a/crates/cleat-jobs/src/catalogue/mod.rs
+++ b/crates/cleat-jobs/src/catalogue/mod.rs
@@ -74,7 +74,7 @@
     /// Its name.
     pub name: Box<str>,
     /// Whether its workers refuse what does not fit.
-    pub guards_capacity: bool,
+    pub enforces_capacity: bool,
     /// Whether its machines are off until they are moved elsewhere.
     pub spare: bool,
     /// Where its workers answer health checks.
@@ -83,7 +83,7 @@
 
 /// A configuration as it was read, not checked yet.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct CatalogueDraft {
     /// The operator's number.
     pub version: u64,
     /// The queues.
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// [`CatalogueError`] names every fault and its place.
-    pub fn new(draft: Draft) -> Result<Catalogue, CatalogueError> {
+    pub fn new(draft: CatalogueDraft) -> Result<Catalogue, CatalogueError> {
         let faults = check::faults(&draft);
         if !faults.is_empty() {
             return Err(CatalogueError { faults });
@@ -146,11 +146,11 @@
     }
 
     /// Whose a call of a queue is that carries this key.
-    pub fn caller(&self, queue: &Queue, key: Option<&KeyDigest>) -> Caller {
+    pub fn authenticate(&self, queue: &Queue, key: Option<&KeyDigest>) -> Caller {
         let Some(customers) = self.customers.as_ref().filter(|_| !queue.public) else {
             return Caller::Anyone;
         };
-        let known = key.and_then(|key| customers.of_key(key));
+        let known = key.and_then(|key| customers.find_by_key(key));
         known.map_or(Caller::Unknown, |known| Caller::Customer(known.clone()))
     }
 
--- a/crates/cleat-jobs/src/customer/customers.rs
+++ b/crates/cleat-jobs/src/customer/customers.rs
@@ -40,7 +40,7 @@
 
     /// Whether the call may read and cancel a job of `owner`. A job that is
     /// nobody's came through a public queue, or before there were customers.
-    pub fn may_use(&self, owner: Option<&str>) -> bool {
+    pub fn may_access(&self, owner: Option<&str>) -> bool {
         match self {
             Caller::Anyone => true,
             Caller::Customer(customer) => owner.is_none_or(|owner| *owner == *customer.name),
@@ -70,7 +70,7 @@
     }
 
     /// The customer that has this key.
-    pub fn of_key(&self, key: &KeyDigest) -> Option<&Arc<Customer>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Customer>> {
         self.by_key.get(key)
     }
 
--- a/crates/cleat-jobs/src/customer/mod.rs
+++ b/crates/cleat-jobs/src/customer/mod.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether less than half of each limited resource is in use.
-    pub fn is_half_free(self, held: Size) -> bool {
+    pub fn is_under_half(self, held: Size) -> bool {
         let free = |held: u64, most: u64| most == 0 || held.saturating_mul(2) < most;
         let Cap(most) = self;
         free(held.cpu_milli, most.cpu_milli)
@@ -52,7 +52,7 @@
 
     /// How much may be added to what is held; without end where there is no
     /// limit.
-    pub fn left(self, held: Size) -> Size {
+    pub fn remaining(self, held: Size) -> Size {
         let left = |held: u64, most: u64| match most {
             0 => u64::MAX,
             _ => most.saturating_sub(held),
--- a/crates/cleat-jobs/src/ids.rs
+++ b/crates/cleat-jobs/src/ids.rs
@@ -20,11 +20,11 @@
 }
 
 impl FromStr for JobId {
-    type Err = ParseTaskError;
+    type Err = ParseIdError;
 
     /// Takes 16 lower-case hexadecimal digits, so that the id that is printed
     /// is the one that was given.
-    fn from_str(text: &str) -> Result<JobId, ParseTaskError> {
+    fn from_str(text: &str) -> Result<JobId, ParseIdError> {
         let digits = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let parsed = u64::from_str_radix(text, 16).ok();
         let id = parsed.filter(|_| digits && text.len() == JOB_DIGITS);
@@ -79,9 +79,9 @@
 }
 
 impl FromStr for TaskId {
-    type Err = ParseTaskError;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<TaskId, ParseTaskError> {
+    fn from_str(text: &str) -> Result<TaskId, ParseIdError> {
         let mut parts = text.split('.');
         let mut next = || parts.next().context(TaskSnafu { text });
         let job = next()?.parse()?;
@@ -100,7 +100,7 @@
     }
 }
 
-fn number<T: FromStr>(text: &str, part: &str) -> Result<T, ParseTaskError> {
+fn number<T: FromStr>(text: &str, part: &str) -> Result<T, ParseIdError> {
     part.parse().ok().context(TaskSnafu { text })
 }
 
@@ -118,7 +118,7 @@
 
 /// A text that names no job or task.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum ParseTaskError {
+pub enum ParseIdError {
     /// A job's id has 16 lower-case hexadecimal digits.
     #[snafu(display("{text:?} is no job id: give 16 lower-case hexadecimal digits"))]
     JobId {
--- a/crates/cleat-jobs/src/job/error.rs
+++ b/crates/cleat-jobs/src/job/error.rs
@@ -36,7 +36,7 @@
     },
     /// A step waits for itself, a later one or one that is not there.
     #[snafu(display("steps.{step}.after: step {after} is not an earlier step"))]
-    NotEarlier {
+    DependencyNotEarlier {
         /// The step.
         step: usize,
         /// What it names.
--- a/crates/cleat-jobs/src/job/spec.rs
+++ b/crates/cleat-jobs/src/job/spec.rs
@@ -4,8 +4,8 @@
 
 use super::JobSpecError;
 use super::error::{
-    NoStepsSnafu, NoTasksSnafu, NotEarlierSnafu, SpecificationTooLongSnafu, TooManyStepsSnafu,
-    TooManyTasksSnafu,
+    DependencyNotEarlierSnafu, NoStepsSnafu, NoTasksSnafu, SpecificationTooLongSnafu,
+    TooManyStepsSnafu, TooManyTasksSnafu,
 };
 use crate::Size;
 
@@ -138,7 +138,7 @@
 impl StepSpec {
     /// How many workers the step needs to run all its tasks at once, by how
     /// many of them one may run.
-    pub fn least_workers(&self) -> usize {
+    pub fn min_workers(&self) -> usize {
         let most = self.max_per_worker.unwrap_or(u32::MAX).max(1);
         self.count.div_ceil(most) as usize
     }
@@ -154,7 +154,7 @@
         }
         let mut after = self.after.iter().map(|after| usize::from(*after));
         match after.find(|after| *after >= step) {
-            Some(after) => NotEarlierSnafu { step, after }.fail(),
+            Some(after) => DependencyNotEarlierSnafu { step, after }.fail(),
             None => Ok(()),
         }
     }
--- a/crates/cleat-jobs/src/lib.rs
+++ b/crates/cleat-jobs/src/lib.rs
@@ -15,10 +15,10 @@
 mod state;
 
 pub use catalogue::{
-    Advice, Catalogue, CatalogueError, CatalogueFault, CustomerDraft, Draft, Pool, Queue,
+    Advice, Catalogue, CatalogueDraft, CatalogueError, CatalogueFault, CustomerDraft, Pool, Queue,
 };
 pub use customer::{Caller, Cap, Customer, Customers, Document, KeyDigest};
-pub use ids::{JobId, ParseTaskError, Run, StepId, TaskId};
+pub use ids::{JobId, ParseIdError, Run, StepId, TaskId};
 pub use job::{JobSpec, JobSpecError, Repeat, StepSpec};
 pub use schedule::{
     Arrivals, CustomerView, Decision, Durations, Effect, EndedRun, Event, Heartbeat, MachineAnswer,
@@ -28,7 +28,7 @@
 };
 pub use size::Size;
 pub use state::{
-    Answer, Command, ControlState, CrashedRun, Crashes, DecodeError, End, EndKind, EndedJob, Job,
-    JobState, Occurrence, Owner, Part, StepProgress, StoppingJob, TaskEnd, Wave, WorkerHistory,
-    WorkerRecord,
+    Command, CommandOutcome, ControlState, CrashEvidence, CrashedRun, DecodeError, End, EndKind,
+    EndedJob, Job, JobState, Occurrence, Owner, StepProgress, StoppingJob, TaskCrashes, TaskEnd,
+    Wave, WorkerHistory, WorkerRecord,
 };
--- a/crates/cleat-jobs/src/schedule/account/keep.rs
+++ b/crates/cleat-jobs/src/schedule/account/keep.rs
@@ -124,9 +124,9 @@
                 continue;
             };
             let until = self.unknown_until(&step.pool);
-            if until.is_some_and(|until| step.ready_at <= until) {
+            if until.is_some_and(|until| step.ready_index <= until) {
                 let pending = step.pending.len() as u64;
-                *hidden.entry(customer).or_default() += step.charge.size.times(pending);
+                *hidden.entry(customer).or_default() += step.charge.size.scaled(pending);
             }
         }
         for stopping in state.stopping.values() {
@@ -157,7 +157,7 @@
         let ids: Vec<JobId> = state.stopping.keys().filter(over).copied().collect();
         if !ids.is_empty() {
             self.settling.extend(&ids);
-            self.propose(Command::Settled { ids });
+            self.propose(Command::JobsStopped { ids });
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -65,7 +65,7 @@
 impl Account {
     /// What the customer may start beside what it has.
     pub(crate) fn left(&self) -> Size {
-        self.cap.left(self.held + self.hidden)
+        self.cap.remaining(self.held + self.hidden)
     }
 }
 
@@ -134,8 +134,8 @@
         };
         let account = self.get(key);
         let held = account.held + account.hidden;
-        account.cap.allows(held + charge.size.times(count))
-            || (count == 1 && account.cap.is_half_free(held))
+        account.cap.allows(held + charge.size.scaled(count))
+            || (count == 1 && account.cap.is_under_half(held))
     }
 
     /// Notes that a step was passed over in a pool; gives the account if that is
--- a/crates/cleat-jobs/src/schedule/beat.rs
+++ b/crates/cleat-jobs/src/schedule/beat.rs
@@ -41,7 +41,7 @@
     /// before its first start there, so it is committed.
     fn take_capacity(&mut self, key: WorkerKey, capacity: Size, sequence: u64) {
         let worker = &mut self.workers[key];
-        worker.record.history.sized_by = sequence;
+        worker.record.history.capacity_sequence = sequence;
         let first_heard = !std::mem::replace(&mut worker.sized, true);
         let resized = worker.record.capacity != capacity;
         worker.record.capacity = capacity;
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -16,7 +16,7 @@
 use super::step::ActiveStep;
 use super::worker::{Worker, WorkerKey};
 use super::{Decision, Scheduler};
-use crate::state::{Command, ControlState, CrashedRun, Part};
+use crate::state::{Command, ControlState, CrashEvidence, CrashedRun};
 use crate::{JobId, TaskId};
 
 /// How long a run has to be listed for its worker's crash to say nothing of its task:
@@ -88,7 +88,7 @@
     /// A gang would wait for many such signs at once.
     pub(super) fn is_certain(&self, step: &ActiveStep, index: u32, worker: &Worker) -> bool {
         let heard_at = worker.heard_at.unwrap_or_default();
-        let asked = !step.gang && step.suspicion(index).alone;
+        let asked = !step.gang && step.suspicion(index).needs_isolation;
         !asked || self.now <= heard_at + SIGN_AGE
     }
 
@@ -118,7 +118,7 @@
         let lapsed = self.lose_suspects(key, LossReason::Lapsed);
         self.workers[key].lapsed_runs = lapsed.clone();
         let lapsed = lapsed.into_iter().map(|run| CrashedRun {
-            part: Part::Lapsed,
+            evidence: CrashEvidence::LeaseExpired,
             ..run
         });
         self.propose_crashed(lapsed.collect());
@@ -142,15 +142,19 @@
                 continue;
             };
             let sudden = crashed_at <= attempt.began + SUDDEN;
-            let part = match (has_begun(attempt.phase), alone, sudden) {
-                (false, ..) => Part::InDoubt,
-                (true, false, false) => Part::Begun,
-                (true, false, true) => Part::Sudden,
-                (true, true, false) => Part::Alone,
-                (true, true, true) => Part::AloneSudden,
+            let evidence = match (has_begun(attempt.phase), alone, sudden) {
+                (false, ..) => CrashEvidence::StartUnanswered,
+                (true, false, false) => CrashEvidence::Running,
+                (true, false, true) => CrashEvidence::JustStarted,
+                (true, true, false) => CrashEvidence::RunningAlone,
+                (true, true, true) => CrashEvidence::JustStartedAlone,
             };
             let run = attempt.run;
-            runs.push(CrashedRun { task, run, part });
+            runs.push(CrashedRun {
+                task,
+                run,
+                evidence,
+            });
             self.end_uncommitted(task, reason);
         }
         runs
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -31,7 +31,7 @@
     /// How many workers that is.
     pub(super) workers: usize,
     /// How many workers its steps need that may put only so many tasks on one.
-    least_workers: usize,
+    min_workers: usize,
     /// What waits, as far as machines are brought for it.
     pending: Size,
     /// What runs.
@@ -81,26 +81,26 @@
             memory_mb: stretch(self.needed.memory_mb),
             gpu: self.needed.gpu,
         };
-        needed.fits(self.offered) && self.workers >= self.least_workers
+        needed.fits(self.offered) && self.workers >= self.min_workers
     }
 
     /// Adds a worker that is there and takes work.
     fn add_present(&mut self, capacity: Size, room: Size) {
         self.present += 1;
-        self.largest = self.largest.max_of_each(capacity);
-        self.room = self.room.max_of_each(room);
+        self.largest = self.largest.component_max(capacity);
+        self.room = self.room.component_max(room);
     }
 
     /// Adds waiting tasks, of which `places` find one on the workers that are there. Of
     /// the rest those that take most of a worker don't share one.
     fn wait(&mut self, footprint: Size, count: u64, places: u64) {
-        self.pending += footprint.times(count);
+        self.pending += footprint.scaled(count);
         if !footprint.fits(self.largest) {
             return;
         }
-        let shares = footprint.times(2).fits(self.largest);
+        let shares = footprint.scaled(2).fits(self.largest);
         let part = if shares { footprint } else { self.largest };
-        self.misfits += part.times(count.saturating_sub(places));
+        self.misfits += part.scaled(count.saturating_sub(places));
     }
 
     /// How many workers the tasks fill that fit beside no worker's runs.
@@ -120,7 +120,7 @@
             0 => 0,
             misfits => self.present + misfits,
         };
-        self.least_workers = self.least_workers.max(apart).max(more);
+        self.min_workers = self.min_workers.max(apart).max(more);
     }
 
     /// Which part of the need is met, in thousandths; that of the resource
@@ -141,7 +141,7 @@
             |needed: u64, offered: u64| needed.saturating_sub(offered) * 1_000 / offered.max(1);
         let cpu = part(self.needed.cpu_milli, self.offered.cpu_milli);
         let size = cpu.max(part(self.needed.memory_mb, self.offered.memory_mb));
-        size.max(part(self.least_workers as u64, self.workers as u64))
+        size.max(part(self.min_workers as u64, self.workers as u64))
     }
 }
 
@@ -160,7 +160,7 @@
             // What waits is behind what is coming: a pool that holds no more than
             // what comes would never catch up.
             let flow = self.times.forecast(pool, self.now) + self.lasting(pool);
-            balance.needed = balance.used.max_of_each(flow) + balance.pending;
+            balance.needed = balance.used.component_max(flow) + balance.pending;
             balance.count_workers();
         }
         pools
@@ -183,7 +183,7 @@
                 offered_cpu_milli: balance.offered.cpu_milli,
                 offered_memory_mb: balance.offered.memory_mb,
                 workers: balance.workers,
-                least_workers: balance.least_workers,
+                least_workers: balance.min_workers,
                 taking: taking.len(),
                 free_cpu_milli: free.sum(),
                 waiting: balance.waiting,
@@ -199,12 +199,12 @@
             let Some(balance) = pools.get_mut(&step.pool) else {
                 continue;
             };
-            balance.least_workers = balance.least_workers.max(step.least_workers);
+            balance.min_workers = balance.min_workers.max(step.min_workers);
             let mut count = step.pending.len() as u64;
             balance.waiting += count;
             balance.apart += step
                 .waiting_suspects()
-                .filter(|(_, suspicion)| suspicion.alone)
+                .filter(|(_, suspicion)| suspicion.needs_isolation)
                 .count();
             let percent = match step.prospect(self.now) {
                 Prospect::InTime => 100,
@@ -216,8 +216,8 @@
                 let left = left
                     .entry(key)
                     .or_insert_with(|| self.accounts.get(key).left());
-                count = count.min(step.charge.size.times_in(*left));
-                *left -= step.charge.size.times(count);
+                count = count.min(step.charge.size.count_in(*left));
+                *left -= step.charge.size.scaled(count);
             }
             balance.wait(step.footprint, count, self.places(step, balance.room));
         }
@@ -284,7 +284,7 @@
         let lasting = steps.filter(|step| *step.pool == *pool && !step.order.ends);
         lasting.fold(Size::default(), |sum, step| {
             let placed: u32 = step.placed.values().sum();
-            sum + step.footprint.times(u64::from(placed))
+            sum + step.footprint.scaled(u64::from(placed))
         })
     }
 }
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -35,14 +35,14 @@
     /// Whether a worker has a task to itself that has to be alone.
     pub(super) fn is_taken_alone(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        worker.crashes > 0 && self.unsettled(key).any(|run| run.suspicion.alone)
+        worker.crashes > 0 && self.unsettled(key).any(|run| run.suspicion.needs_isolation)
     }
 
     /// Whether a worker keeps a task of a step apart from whatever else may crash it.
     pub(super) fn isolates(&self, step: &ActiveStep, index: u32, key: WorkerKey) -> bool {
         let is_open = !self.emptied.contains(&key) && !self.is_taken_alone(key);
         let suspicion = step.suspicion(index);
-        if suspicion.alone {
+        if suspicion.needs_isolation {
             return self.unsettled(key).next().is_none() && !self.workers[key].has_strays;
         }
         let is_suspect = suspicion.crashes > 0 && self.workers[key].crashes > 0;
@@ -103,7 +103,7 @@
         let waiting: Vec<TaskId> = here
             .flat_map(|id| {
                 let suspects = self.steps[id].waiting_suspects();
-                let alone = suspects.filter(|(_, suspicion)| suspicion.alone);
+                let alone = suspects.filter(|(_, suspicion)| suspicion.needs_isolation);
                 alone.map(|(index, _)| id.task(index))
             })
             .collect();
--- a/crates/cleat-jobs/src/schedule/ledger.rs
+++ b/crates/cleat-jobs/src/schedule/ledger.rs
@@ -51,14 +51,14 @@
         match command {
             // Later ends wait for these, and the worker may be gone. Tasks of a
             // crashed worker wait as well; their runs count once.
-            Command::Ends { .. } | Command::Crashed { .. } => self.propose(command.clone()),
+            Command::RecordEnds { .. } | Command::Crashed { .. } => self.propose(command.clone()),
             Command::RemoveWorkers { names } => self.remove_again(names),
             Command::AddWorker(record) => {
                 if let Some(key) = self.workers.key(&record.name) {
                     self.workers[key].recording = false;
                 }
             }
-            Command::Settled { ids } => self.settling.retain(|id| !ids.contains(id)),
+            Command::JobsStopped { ids } => self.settling.retain(|id| !ids.contains(id)),
             Command::Forget { ids } => {
                 let ids = ids.iter().rev();
                 ids.for_each(|id| self.over.push_front((self.now, *id)));
@@ -81,12 +81,12 @@
     /// for nothing. This owner's are proposed again: what they wait for is
     /// its own as well, and on its way. An earlier owner's are listed again.
     pub(super) fn ends_applied(&mut self, state: &ControlState, command: &Command) {
-        let Command::Ends { worker, ends, .. } = command else {
+        let Command::RecordEnds { worker, ends, .. } = command else {
             return;
         };
         let record = state.workers.get(worker);
         let last = ends.last().map_or(0, |end| end.number);
-        if record.is_none_or(|record| record.history.noted >= last) {
+        if record.is_none_or(|record| record.history.last_recorded_end >= last) {
             return self.ends_noted(state, worker, ends);
         }
         let key = self.workers.key(worker);
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -39,8 +39,12 @@
     /// so the next owner knows that nothing which became ready since runs there.
     fn fall_silent(&mut self, state: &ControlState, key: WorkerKey) {
         self.believe(key, WorkerState::Silent);
-        if let Some((name, token, uses)) = self.end_use(state, key) {
-            self.propose(Command::WorkerSilent { name, token, uses });
+        if let Some((name, token, activations)) = self.end_use(state, key) {
+            self.propose(Command::WorkerSilent {
+                name,
+                token,
+                activations,
+            });
         }
     }
 
@@ -51,8 +55,8 @@
         worker.recorded = false;
         worker.sized = false;
         let name = worker.record.name.clone();
-        let uses = state.workers.get(&name)?.history.uses;
-        Some((name, self.owner.token, uses))
+        let activations = state.workers.get(&name)?.history.activations;
+        Some((name, self.owner.token, activations))
     }
 
     /// A worker's lease is over. The next owner learns so from the replicated
@@ -60,8 +64,12 @@
     /// lease after a takeover.
     fn lapse(&mut self, state: &ControlState, key: WorkerKey) {
         self.believe(key, WorkerState::Lapsed);
-        if let Some((name, token, uses)) = self.end_use(state, key) {
-            self.propose(Command::WorkerLapsed { name, token, uses });
+        if let Some((name, token, activations)) = self.end_use(state, key) {
+            self.propose(Command::WorkerLapsed {
+                name,
+                token,
+                activations,
+            });
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -147,7 +147,7 @@
     accounts: Accounts,
     /// Whether an earlier owner's runs may still be unknown to this one.
     hidden_runs: bool,
-    /// Jobs for which [`Command::Settled`] is on its way.
+    /// Jobs for which [`Command::JobsStopped`] is on its way.
     settling: IndexSet<JobId>,
     /// Jobs that are not over.
     live: IndexSet<JobId>,
@@ -338,17 +338,17 @@
         match command {
             Command::Submit { id, .. } => self.activate_job(state, *id),
             Command::Cancel { id } => self.job_over(state, *id),
-            Command::Ends { .. } => self.ends_applied(state, command),
+            Command::RecordEnds { .. } => self.ends_applied(state, command),
             Command::AddWorker(record) => self.worker_recorded(&record.name),
             Command::RemoveWorkers { names } => self.workers_removed(names),
             Command::Draining { name } => self.drain(name),
             Command::Crashed { runs } => self.crashes_applied(state, runs),
-            Command::Settled { ids } => self.settling.retain(|id| !ids.contains(id)),
+            Command::JobsStopped { ids } => self.settling.retain(|id| !ids.contains(id)),
             Command::Configure(_)
             | Command::StartWave { .. }
             | Command::Maintained { .. }
             | Command::LeftWave { .. } => self.unsettled = Unsettled::All,
-            Command::Found
+            Command::Bootstrapped
             | Command::Resized { .. }
             | Command::TakeOver { .. }
             | Command::WorkerSilent { .. }
--- a/crates/cleat-jobs/src/schedule/place.rs
+++ b/crates/cleat-jobs/src/schedule/place.rs
@@ -26,7 +26,7 @@
 
     fn place_pool(&mut self, state: &ControlState, pool: &str) {
         let mut candidates = self.candidates(pool);
-        if !guards_capacity(state, pool) {
+        if !enforces_capacity(state, pool) {
             // What was offered before may be more than there is by now.
             candidates.retain(|key| self.workers[*key].sized);
         }
@@ -54,7 +54,7 @@
     /// The most of each resource that any of the workers has free.
     fn largest_room(&self, keys: &[WorkerKey]) -> Size {
         let rooms = keys.iter().map(|key| self.workers[*key].room());
-        rooms.fold(Size::default(), Size::max_of_each)
+        rooms.fold(Size::default(), Size::component_max)
     }
 
     /// The workers of a pool that take work.
@@ -81,7 +81,7 @@
             return false;
         };
         let step = &self.steps[&id];
-        if unknown_until.is_some_and(|until| step.ready_at <= until) {
+        if unknown_until.is_some_and(|until| step.ready_index <= until) {
             return false;
         }
         let pending: Vec<u32> = step.pending.iter().copied().collect();
@@ -365,8 +365,8 @@
 
 /// Whether the workers of a pool refuse what does not fit. A pool that no
 /// configuration names has no work.
-fn guards_capacity(state: &ControlState, pool: &str) -> bool {
+fn enforces_capacity(state: &ControlState, pool: &str) -> bool {
     let pools = state.catalogue.as_ref().map(|catalogue| &catalogue.pools);
     let pool = pools.and_then(|pools| pools.get(pool));
-    pool.is_none_or(|pool| pool.guards_capacity)
+    pool.is_none_or(|pool| pool.enforces_capacity)
 }
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -216,7 +216,7 @@
             self.take_end(state, key, end);
         }
         let worker = self.worker_name(key);
-        self.propose(Command::Ends {
+        self.propose(Command::RecordEnds {
             worker,
             after: proposed,
             ends,
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -33,9 +33,9 @@
     /// was ready before this owner's time may have been started by an earlier
     /// one, so that a task that no worker lists may still run on a worker that
     /// has not answered.
-    pub(crate) ready_at: u64,
+    pub(crate) ready_index: u64,
     /// How many workers it needs, by how many of its tasks may run on one.
-    pub(crate) least_workers: usize,
+    pub(crate) min_workers: usize,
     /// How many of its tasks may run on one worker, if that is limited.
     pub(crate) most_on_one: Option<u32>,
     /// What each of its tasks takes up.
@@ -67,7 +67,7 @@
     pub(crate) ends: bool,
     /// Until when its job should be done, and which came first.
     pub(crate) due: Duration,
-    pub(crate) accepted_at: u64,
+    pub(crate) accepted_index: u64,
     pub(crate) step: StepId,
 }
 
@@ -216,7 +216,7 @@
                 priority: job.queue.priority,
                 ends: !spec.long_running,
                 due,
-                accepted_at: job.accepted_at,
+                accepted_index: job.accepted_index,
                 step: id,
             },
             worthless_at,
@@ -225,8 +225,8 @@
             pending: (0..spec.count).filter(unstarted).collect(),
             done: BTreeSet::new(),
             since: self.now,
-            ready_at: job.ready_at(id),
-            least_workers: spec.least_workers(),
+            ready_index: job.ready_index(id),
+            min_workers: spec.min_workers(),
             most_on_one: spec.max_per_worker,
             footprint: spec.footprint(),
             charge,
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -44,8 +44,10 @@
         }
         let workers = self.workers.in_pool(pool);
         let unknown = workers.filter(|(_, worker)| !worker.is_known());
-        let until = unknown.map(|(_, worker)| worker.record.history.silent_at);
-        let latest = until.map(|silent_at| silent_at.unwrap_or(u64::MAX)).max();
+        let until = unknown.map(|(_, worker)| worker.record.history.silent_index);
+        let latest = until
+            .map(|silent_index| silent_index.unwrap_or(u64::MAX))
+            .max();
         latest.map(|until| until.min(self.owner.token))
     }
 
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -176,8 +176,8 @@
     /// so this compares times of day: machines differ by little, and where one
     /// has jumped, jobs are served in a worse order and nothing else.
     fn age(&self, job: &Job) -> Duration {
-        let known = job.came_ms > 0 && self.wall_ms > 0;
-        let ms = self.wall_ms.saturating_sub(job.came_ms);
+        let known = job.arrived_ms > 0 && self.wall_ms > 0;
+        let ms = self.wall_ms.saturating_sub(job.arrived_ms);
         Duration::from_millis(if known { ms } else { 0 })
     }
 
@@ -196,7 +196,7 @@
             gang: steps.iter().any(|step| step.gang),
             advised: queue.advice.is_some(),
             objective_ms: millis(span),
-            inherited: job.accepted_at < self.owner.token,
+            inherited: job.accepted_index < self.owner.token,
         });
     }
 }
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -121,10 +121,10 @@
 impl Worker {
     fn new(record: WorkerRecord, now: Duration) -> Worker {
         Worker {
-            acked: record.history.noted,
-            proposed: record.history.noted,
-            confirmed: record.history.noted,
-            recorded: record.history.may_run && record.history.silent_at.is_none(),
+            acked: record.history.last_recorded_end,
+            proposed: record.history.last_recorded_end,
+            confirmed: record.history.last_recorded_end,
+            recorded: record.history.may_have_runs && record.history.silent_index.is_none(),
             recording: false,
             known_since: now,
             cordoned: false,
@@ -136,12 +136,12 @@
             lapsed_runs: Vec::new(),
             shares: false,
             tasks: IndexSet::new(),
-            state: if record.history.may_run {
+            state: if record.history.may_have_runs {
                 WorkerState::Unseen
             } else {
                 WorkerState::Lapsed
             },
-            last_sequence: record.history.sized_by,
+            last_sequence: record.history.capacity_sequence,
             sized: false,
             record,
             over: None,
--- a/crates/cleat-jobs/src/size.rs
+++ b/crates/cleat-jobs/src/size.rs
@@ -34,7 +34,7 @@
 
     /// The larger of both, of each resource.
     #[must_use]
-    pub fn max_of_each(self, other: Size) -> Size {
+    pub fn component_max(self, other: Size) -> Size {
         Size {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -44,7 +44,7 @@
 
     /// This much for each of `count` tasks.
     #[must_use]
-    pub fn times(self, count: u64) -> Size {
+    pub fn scaled(self, count: u64) -> Size {
         Size {
             cpu_milli: self.cpu_milli * count,
             memory_mb: self.memory_mb * count,
@@ -54,7 +54,7 @@
 
     /// How many tasks of this size fit into `room`.
     #[must_use]
-    pub fn times_in(self, room: Size) -> u64 {
+    pub fn count_in(self, room: Size) -> u64 {
         let times = |part: u64, room: u64| room.checked_div(part).unwrap_or(u64::MAX);
         let cpu = times(self.cpu_milli, room.cpu_milli);
         let memory = times(self.memory_mb, room.memory_mb);
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -11,11 +11,11 @@
 
 /// How many workers that are about to end are remembered. One ends within
 /// seconds, and a fleet of 1,100 workers that ends all at once fits twice.
-const DRAINING_REMEMBERED: usize = 2_500;
+const MAX_DRAINING_WORKERS: usize = 2_500;
 
 /// What a command came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum CommandOutcome {
     /// It holds now, or held before.
     Done,
     /// There is no such job.
@@ -26,7 +26,7 @@
     Taken,
 }
 
-impl Answer {
+impl CommandOutcome {
     /// The answer as bytes.
     pub fn encode(self) -> Box<[u8]> {
         // Plain data of our own: writing it into a growing vector can't fail.
@@ -34,16 +34,16 @@
     }
 
     /// Reads [`encode`](Self::encode) back; none for anything else.
-    pub fn decode(bytes: &[u8]) -> Option<Answer> {
+    pub fn decode(bytes: &[u8]) -> Option<CommandOutcome> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
 impl ControlState {
     /// Applies the command at a position of the log.
-    pub fn apply(&mut self, index: u64, command: Command) -> Answer {
+    pub fn apply(&mut self, index: u64, command: Command) -> CommandOutcome {
         match command {
-            Command::Found => self.founded = true,
+            Command::Bootstrapped => self.bootstrapped = true,
             Command::TakeOver { member } => self.take_over(index, member),
             Command::Configure(catalogue) => self.configure(catalogue),
             Command::Submit {
@@ -51,23 +51,31 @@
                 queue,
                 customer,
                 spec,
-                came_ms,
-            } => return self.submit(id, Job::new(queue, customer, spec, index, came_ms)),
+                arrived_ms,
+            } => return self.submit(id, Job::new(queue, customer, spec, index, arrived_ms)),
             Command::Cancel { id } => return self.cancel(id),
-            Command::Ends {
+            Command::RecordEnds {
                 worker,
                 after,
                 ends,
-            } => self.note_ends(index, &worker, after, &ends),
+            } => self.record_ends(index, &worker, after, &ends),
             Command::AddWorker(record) => self.add_worker(record),
-            Command::WorkerSilent { name, token, uses } => {
-                if let Some(history) = self.current_use(&name, token, uses) {
-                    history.silent_at = Some(index);
+            Command::WorkerSilent {
+                name,
+                token,
+                activations,
+            } => {
+                if let Some(history) = self.current_activation(&name, token, activations) {
+                    history.silent_index = Some(index);
                 }
             }
-            Command::WorkerLapsed { name, token, uses } => {
-                if let Some(history) = self.current_use(&name, token, uses) {
-                    history.may_run = false;
+            Command::WorkerLapsed {
+                name,
+                token,
+                activations,
+            } => {
+                if let Some(history) = self.current_activation(&name, token, activations) {
+                    history.may_have_runs = false;
                 }
             }
             Command::RemoveWorkers { names } => {
@@ -80,7 +88,7 @@
                     self.ended.swap_remove(&id);
                 }
             }
-            Command::Settled { ids } => {
+            Command::JobsStopped { ids } => {
                 for id in ids {
                     self.stopping.swap_remove(&id);
                 }
@@ -99,17 +107,21 @@
                 };
                 self.waves.entry(wave).or_insert(new);
             }
-            Command::Maintained { wave, machine } => self.leave_waiting(wave, machine, true),
-            Command::LeftWave { wave, machine } => self.leave_waiting(wave, machine, false),
-            Command::Draining { name } => self.note_draining(name),
+            Command::Maintained { wave, machine } => {
+                self.remove_waiting_machine(wave, machine, true);
+            }
+            Command::LeftWave { wave, machine } => {
+                self.remove_waiting_machine(wave, machine, false);
+            }
+            Command::Draining { name } => self.record_draining(name),
             Command::Resized {
                 name,
                 capacity,
                 sequence,
             } => self.resize(&name, capacity, sequence),
-            Command::Crashed { runs } => self.note_crashes(&runs),
+            Command::Crashed { runs } => self.record_crashes(&runs),
         }
-        Answer::Done
+        CommandOutcome::Done
     }
 
     fn ordinal(&self) -> u32 {
@@ -123,16 +135,16 @@
             token: index,
             ordinal,
         });
-        self.give_up_jobs(ordinal);
+        self.fail_jobs_over_crash_limit(ordinal);
     }
 
     /// Gives up the jobs of which a task may have crashed too many workers, now that
     /// the last crash under the owner before may not have been counted.
-    fn give_up_jobs(&mut self, ordinal: u32) {
+    fn fail_jobs_over_crash_limit(&mut self, ordinal: u32) {
         let jobs = self.jobs.iter();
-        let given_up = jobs.filter(|(_, job)| job.is_given_up(ordinal));
-        let given_up: Vec<JobId> = given_up.map(|(id, _)| *id).collect();
-        for id in given_up {
+        let over_limit = jobs.filter(|(_, job)| job.exceeds_crash_limit(ordinal));
+        let over_limit: Vec<JobId> = over_limit.map(|(id, _)| *id).collect();
+        for id in over_limit {
             self.end_job(id, JobState::Failed);
         }
     }
@@ -146,38 +158,41 @@
     }
 
     /// A job that is known stays as it is: submitted again, it is the same job.
-    fn submit(&mut self, id: JobId, job: Job) -> Answer {
-        match self.owner_of(id) {
+    fn submit(&mut self, id: JobId, job: Job) -> CommandOutcome {
+        match self.customer_of(id) {
             None => {
-                let accepted_under = self.ordinal();
+                let accepted_ordinal = self.ordinal();
                 let job = Job {
-                    accepted_under,
+                    accepted_ordinal,
                     ..job
                 };
                 self.jobs.insert(id, job);
-                Answer::Done
+                CommandOutcome::Done
             }
-            Some(owner) if owner == job.customer.as_deref() => Answer::Done,
-            Some(_) => Answer::Taken,
+            Some(owner) if owner == job.customer.as_deref() => CommandOutcome::Done,
+            Some(_) => CommandOutcome::Taken,
         }
     }
 
-    fn cancel(&mut self, id: JobId) -> Answer {
+    fn cancel(&mut self, id: JobId) -> CommandOutcome {
         match self.job_state(id) {
-            None => Answer::NoSuchJob,
+            None => CommandOutcome::NoSuchJob,
             Some(JobState::Active) => {
                 self.end_job(id, JobState::Cancelled);
-                Answer::Done
+                CommandOutcome::Done
             }
-            Some(JobState::Cancelled) => Answer::Done,
-            Some(state) => Answer::Over(state),
+            Some(JobState::Cancelled) => CommandOutcome::Done,
+            Some(state) => CommandOutcome::Over(state),
         }
     }
 
     fn end_job(&mut self, id: JobId, state: JobState) {
         let job = self.jobs.swap_remove(&id);
         let largest_task = job.as_ref().map(Job::largest_task).unwrap_or_default();
-        let size = job.as_ref().map(Job::may_run).unwrap_or_default();
+        let size = job
+            .as_ref()
+            .map(Job::possibly_running_size)
+            .unwrap_or_default();
         let customer = job.and_then(|job| job.customer);
         if let Some(customer) = customer.clone()
             && state != JobState::Completed
@@ -193,38 +208,38 @@
     }
 
     /// Ends that were noted before, from this worker's life, count once.
-    fn note_ends(&mut self, index: u64, worker: &str, after: u64, ends: &[TaskEnd]) {
+    fn record_ends(&mut self, index: u64, worker: &str, after: u64, ends: &[TaskEnd]) {
         let Some(record) = self.workers.get_mut(worker) else {
             return;
         };
-        let before = record.history.noted;
+        let before = record.history.last_recorded_end;
         if before < after {
             return;
         }
         if let Some(last) = ends.last() {
-            record.history.noted = before.max(last.number);
+            record.history.last_recorded_end = before.max(last.number);
         }
         for TaskEnd { end, .. } in ends.iter().filter(|end| end.number > before) {
             let id = end.task.job();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let state = job.note(index, end);
+            let state = job.record_end(index, end);
             if state != JobState::Active {
                 self.end_job(id, state);
             }
         }
     }
 
-    fn note_crashes(&mut self, runs: &[CrashedRun]) {
+    fn record_crashes(&mut self, runs: &[CrashedRun]) {
         let ordinal = self.ordinal();
         for crashed in runs {
             let id = crashed.task.job();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.note_crash(crashed);
-            if job.is_given_up(ordinal) {
+            job.record_crash(crashed);
+            if job.exceeds_crash_limit(ordinal) {
                 self.end_job(id, JobState::Failed);
             }
         }
@@ -234,15 +249,19 @@
         let known = self.workers.get(&record.name);
         let before = known.map(|known| known.history).unwrap_or_default();
         let capacity = match known {
-            Some(known) if before.sized_by > record.history.sized_by => known.capacity,
+            Some(known) if before.capacity_sequence > record.history.capacity_sequence => {
+                known.capacity
+            }
             _ => record.capacity,
         };
         let history = WorkerHistory {
-            noted: before.noted,
-            may_run: true,
-            silent_at: None,
-            uses: before.uses + 1,
-            sized_by: before.sized_by.max(record.history.sized_by),
+            last_recorded_end: before.last_recorded_end,
+            may_have_runs: true,
+            silent_index: None,
+            activations: before.activations + 1,
+            capacity_sequence: before
+                .capacity_sequence
+                .max(record.history.capacity_sequence),
         };
         let name = record.name.clone();
         let record = WorkerRecord {
@@ -256,16 +275,16 @@
     /// Notes what a worker offers. A heartbeat that came late says what was.
     fn resize(&mut self, name: &str, capacity: Size, sequence: u64) {
         if let Some(record) = self.workers.get_mut(name)
-            && record.history.sized_by <= sequence
+            && record.history.capacity_sequence <= sequence
         {
             record.capacity = capacity;
-            record.history.sized_by = sequence;
+            record.history.capacity_sequence = sequence;
         }
     }
 
-    fn note_draining(&mut self, name: Box<str>) {
+    fn record_draining(&mut self, name: Box<str>) {
         self.draining.insert(name);
-        if self.draining.len() > DRAINING_REMEMBERED {
+        if self.draining.len() > MAX_DRAINING_WORKERS {
             self.draining.shift_remove_index(0);
         }
     }
@@ -273,13 +292,18 @@
     /// What is noted of a worker, for a note of its current use. One of an
     /// earlier owner, or of a use before, says nothing of what was started
     /// since.
-    fn current_use(&mut self, name: &str, token: u64, uses: u32) -> Option<&mut WorkerHistory> {
+    fn current_activation(
+        &mut self,
+        name: &str,
+        token: u64,
+        activations: u32,
+    ) -> Option<&mut WorkerHistory> {
         let owned = self.owner.is_some_and(|owner| owner.token == token);
         let history = &mut self.workers.get_mut(name)?.history;
-        (owned && history.uses == uses).then_some(history)
+        (owned && history.activations == activations).then_some(history)
     }
 
-    fn leave_waiting(&mut self, wave: u64, machine: Box<str>, maintained: bool) {
+    fn remove_waiting_machine(&mut self, wave: u64, machine: Box<str>, maintained: bool) {
         let Some(wave) = self.waves.get_mut(&wave) else {
             return;
         };
--- a/crates/cleat-jobs/src/state/command.rs
+++ b/crates/cleat-jobs/src/state/command.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// The group has all the voters it needs.
-    Found,
+    Bootstrapped,
     /// A leader takes over the workers. Its position is the fencing token.
     TakeOver {
         /// The leader.
@@ -32,7 +32,7 @@
         spec: Arc<JobSpec>,
         /// When its caller came, by the accepting leader's time of day, in
         /// milliseconds since the Unix epoch; 0 if that is not known.
-        came_ms: u64,
+        arrived_ms: u64,
     },
     /// The end of a job before its time.
     Cancel {
@@ -41,7 +41,7 @@
     },
     /// Ends of tasks that a worker lists. Nothing is noted before the ends up
     /// to `after` are: the worker forgets all up to the last one noted.
-    Ends {
+    RecordEnds {
         /// The worker.
         worker: Box<str>,
         /// The number up to which ends were proposed before.
@@ -58,8 +58,8 @@
         name: Box<str>,
         /// The token of the owner that says so.
         token: u64,
-        /// The [`uses`](super::WorkerHistory::uses) to which this applies.
-        uses: u32,
+        /// The [`activations`](super::WorkerHistory::activations) to which this applies.
+        activations: u32,
     },
     /// A worker whose lease is over: nothing runs there.
     WorkerLapsed {
@@ -67,8 +67,8 @@
         name: Box<str>,
         /// The token of the owner that says so.
         token: u64,
-        /// The [`uses`](super::WorkerHistory::uses) that are over.
-        uses: u32,
+        /// The [`activations`](super::WorkerHistory::activations) that are over.
+        activations: u32,
     },
     /// Workers whose life is over, and nothing of theirs can run any more.
     RemoveWorkers {
@@ -82,7 +82,7 @@
     },
     /// Jobs of which nothing can run any more, though they ended before their
     /// time.
-    Settled {
+    JobsStopped {
         /// The jobs.
         ids: Vec<JobId>,
     },
--- a/crates/cleat-jobs/src/state/job.rs
+++ b/crates/cleat-jobs/src/state/job.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::command::{End, EndKind};
-use super::crash::{CrashedRun, Crashes, Suspicion};
+use super::crash::{CrashedRun, Suspicion, TaskCrashes};
 use crate::{JobSpec, Queue, Size, StepId, StepSpec};
 
 const WORD_BITS: u32 = 64;
@@ -35,11 +35,11 @@
     /// What it asks for.
     pub spec: Arc<JobSpec>,
     /// The position in the log at which it was accepted.
-    pub accepted_at: u64,
+    pub accepted_index: u64,
     /// The ordinal of the owner at that time.
-    pub accepted_under: u32,
+    pub accepted_ordinal: u32,
     /// When its caller came, as in [`Command::Submit`](super::Command::Submit).
-    pub came_ms: u64,
+    pub arrived_ms: u64,
     /// Occurrences of which an end was noted, by number.
     pub occurrences: IndexMap<u32, Occurrence>,
     /// How many occurrences are done; those are dropped from `occurrences`.
@@ -82,11 +82,11 @@
     done_count: u32,
     /// The position in the log at which the last of its tasks was noted as done;
     /// 0 before.
-    done_at: u64,
+    done_index: u64,
     /// How often each task has failed; a gang counts as its task 0.
     failures: IndexMap<u32, u32>,
     /// The crashes of workers under each task; a gang's members have their own.
-    crashes: IndexMap<u32, Crashes>,
+    crashes: IndexMap<u32, TaskCrashes>,
     /// The latest checkpoint of each task; a gang's is kept at its task 0.
     checkpoints: IndexMap<u32, Box<str>>,
 }
@@ -147,16 +147,16 @@
         queue: Arc<Queue>,
         customer: Option<Box<str>>,
         spec: Arc<JobSpec>,
-        accepted_at: u64,
-        came_ms: u64,
+        accepted_index: u64,
+        arrived_ms: u64,
     ) -> Job {
         Job {
             queue,
             customer,
             spec,
-            accepted_at,
-            accepted_under: 0,
-            came_ms,
+            accepted_index,
+            accepted_ordinal: 0,
+            arrived_ms,
             occurrences: IndexMap::new(),
             occurrences_done: Vec::new(),
         }
@@ -215,22 +215,22 @@
 
     /// The position in the log since which a step waits for no other: the job's
     /// own, or that of the last end which the step waited for.
-    pub fn ready_at(&self, id: StepId) -> u64 {
+    pub fn ready_index(&self, id: StepId) -> u64 {
         let after = self.step(id).map(|spec| spec.after.as_slice());
         let before = after.unwrap_or_default().iter();
         let done = before.filter_map(|step| self.progress(StepId { step: *step, ..id }));
-        let last = done.map(|step| step.done_at).max();
-        self.accepted_at.max(last.unwrap_or_default())
+        let last = done.map(|step| step.done_index).max();
+        self.accepted_index.max(last.unwrap_or_default())
     }
 
     /// What the largest of its tasks takes up, of each resource.
     pub(crate) fn largest_task(&self) -> Size {
         let sizes = self.spec.steps.iter().map(|step| step.size);
-        sizes.fold(Size::default(), Size::max_of_each)
+        sizes.fold(Size::default(), Size::component_max)
     }
 
     /// What all tasks that may have started and are not done take up together.
-    pub(crate) fn may_run(&self) -> Size {
+    pub(crate) fn possibly_running_size(&self) -> Size {
         let mut sum = Size::default();
         for occurrence in 0..self.spec.occurrences() {
             let steps = 0..self.spec.steps.len();
@@ -241,24 +241,24 @@
                     occurrence,
                     step,
                 };
-                sum += self.may_run_of(id);
+                sum += self.possibly_running_size_of_step(id);
             }
         }
         sum
     }
 
-    fn may_run_of(&self, id: StepId) -> Size {
+    fn possibly_running_size_of_step(&self, id: StepId) -> Size {
         let due = self.is_step_due(id) && !self.is_step_done(id);
         let Some(spec) = self.step(id).filter(|_| due) else {
             return Size::default();
         };
         let done = self.progress(id).map_or(0, StepProgress::done_count);
-        spec.size.times(u64::from(spec.count.saturating_sub(done)))
+        spec.size.scaled(u64::from(spec.count.saturating_sub(done)))
     }
 
     /// Notes an end at a position of the log and says whether that ended the
     /// job.
-    pub(crate) fn note(&mut self, index: u64, end: &End) -> JobState {
+    pub(crate) fn record_end(&mut self, index: u64, end: &End) -> JobState {
         let id = end.task.step;
         let Some(spec) = self.step(id) else {
             return JobState::Active;
@@ -276,8 +276,8 @@
             EndKind::Failed if !lasts => *step.failures.entry(key).or_default() += 1,
             _ => {}
         }
-        if step.done_count >= count && step.done_at == 0 {
-            step.done_at = index;
+        if step.done_count >= count && step.done_index == 0 {
+            step.done_index = index;
         }
         if step.is_done(key) {
             step.checkpoints.swap_remove(&key);
@@ -287,7 +287,7 @@
         if step.failures(key) >= limit && !step.is_done(key) {
             return JobState::Failed;
         }
-        self.close_occurrence(id.occurrence)
+        self.complete_occurrence(id.occurrence)
     }
 
     /// The progress of a step that the job has.
@@ -299,18 +299,18 @@
     }
 
     /// Notes that a worker crashed under a task, or may have.
-    pub(crate) fn note_crash(&mut self, crashed: &CrashedRun) {
+    pub(crate) fn record_crash(&mut self, crashed: &CrashedRun) {
         let (id, index) = (crashed.task.step, crashed.task.index);
         let known = self.step(id).is_some_and(|spec| index < spec.count);
         if known && !self.is_task_done(id, index) {
             let crashes = &mut self.progress_mut(id).crashes;
-            crashes.entry(index).or_default().note(crashed);
+            crashes.entry(index).or_default().record(crashed);
         }
     }
 
     /// Whether a task crashed its workers so often that it is not started any more.
     /// `ordinal` is that of the current owner.
-    pub(crate) fn is_given_up(&self, ordinal: u32) -> bool {
+    pub(crate) fn exceeds_crash_limit(&self, ordinal: u32) -> bool {
         let mut occurrences = self.occurrences.values();
         occurrences.any(|occurrence| {
             let steps = self.spec.steps.iter().zip(&occurrence.steps);
@@ -319,7 +319,7 @@
                 let uncounted = self.uncounted_crashes(spec, ordinal);
                 let mut tasks = step.crashes.iter();
                 tasks.any(|(index, crashes)| {
-                    !step.is_done(*index) && crashes.give_up(uncounted, spec.long_running)
+                    !step.is_done(*index) && crashes.exceeds_limit(uncounted, spec.long_running)
                 })
             })
         })
@@ -338,7 +338,7 @@
         known.map(move |(index, crashes)| {
             let suspicion = Suspicion {
                 crashes: crashes.count() + uncounted,
-                alone: crashes.need_alone(uncounted),
+                needs_isolation: crashes.needs_isolation(uncounted),
             };
             (*index, suspicion)
         })
@@ -351,11 +351,11 @@
         if spec.long_running || self.spec.repeat.is_some() {
             return 0;
         }
-        ordinal.saturating_sub(self.accepted_under) as usize
+        ordinal.saturating_sub(self.accepted_ordinal) as usize
     }
 
     /// Drops an occurrence that is done; says whether it was the last.
-    fn close_occurrence(&mut self, occurrence: u32) -> JobState {
+    fn complete_occurrence(&mut self, occurrence: u32) -> JobState {
         let steps = 0..self.spec.steps.len();
         let ids = steps.map_while(|step| u16::try_from(step).ok());
         // The job's own id does not matter here.
--- a/crates/cleat-jobs/src/state/mod.rs
+++ b/crates/cleat-jobs/src/state/mod.rs
@@ -7,10 +7,10 @@
 mod wave;
 mod worker;
 
-pub use apply::Answer;
+pub use apply::CommandOutcome;
 pub use command::{Command, DecodeError, End, EndKind, TaskEnd};
 pub(crate) use crash::Suspicion;
-pub use crash::{CrashedRun, Crashes, Part};
+pub use crash::{CrashEvidence, CrashedRun, TaskCrashes};
 pub use job::{EndedJob, Job, JobState, Occurrence, StepProgress, StoppingJob};
 pub use wave::Wave;
 pub use worker::{WorkerHistory, WorkerRecord};
@@ -43,7 +43,7 @@
 pub struct ControlState {
     /// Whether the group once had all the voters it needs; before, nothing is
     /// acknowledged.
-    pub founded: bool,
+    pub bootstrapped: bool,
     /// The current owner.
     pub owner: Option<Owner>,
     /// The configuration in force; none before the first.
@@ -75,7 +75,7 @@
 
     /// Whose a job is, over or not: none if it is not known, and no name if it
     /// is nobody's.
-    pub fn owner_of(&self, id: JobId) -> Option<Option<&str>> {
+    pub fn customer_of(&self, id: JobId) -> Option<Option<&str>> {
         let active = self.jobs.get(&id).map(|job| job.customer.as_deref());
         let ended = || self.ended.get(&id).map(|job| job.customer.as_deref());
         active.or_else(ended)
--- a/crates/cleat-jobs/src/state/worker.rs
+++ b/crates/cleat-jobs/src/state/worker.rs
@@ -35,23 +35,23 @@
     ///
     /// Invariant: never falls, so an end that is listed again, to this owner
     /// or the next, counts once.
-    pub noted: u64,
+    pub last_recorded_end: u64,
     /// Whether an owner may have started something that still runs there.
     ///
     /// Invariant: true before the first start there is sent, and false only
     /// once nothing that was sent can run any more.
-    pub may_run: bool,
+    pub may_have_runs: bool,
     /// The position of the note that it does not answer; none while it may be
     /// given work.
     ///
     /// Invariant: nothing that became ready later than this runs there.
-    pub silent_at: Option<u64>,
-    /// How often `may_run` was asked to become true. Tells a note that its
+    pub silent_index: Option<u64>,
+    /// How often `may_have_runs` was asked to become true. Tells a note that its
     /// lease is over, or that it is silent, from one that came before it was
     /// used again.
-    pub uses: u32,
+    pub activations: u32,
     /// The heartbeat that told its capacity.
     ///
     /// Invariant: never falls; what an earlier one said is out of date.
-    pub sized_by: u64,
+    pub capacity_sequence: u64,
 }
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -22,7 +22,7 @@
         queue: Arc::new(advised),
         customer: None,
         spec: job(vec![step(count, 1_000)]),
-        came_ms: 0,
+        arrived_ms: 0,
     })
 }
 
--- a/crates/cleat-jobs/tests/capacity.rs
+++ b/crates/cleat-jobs/tests/capacity.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 
 use cleat_jobs::{
-    Catalogue, Command, Draft, Effect, Event, Heartbeat, JobId, Pool, RenewalAnswer, WorkerRecord,
+    Catalogue, CatalogueDraft, Command, Effect, Event, Heartbeat, JobId, Pool, RenewalAnswer,
+    WorkerRecord,
 };
 use scaffold::{Bed, draft, pool, record, running, starts, step, task};
 
@@ -25,10 +26,10 @@
 /// A state whose pool `a` starts whatever it is told to start.
 fn unguarded(version: u64) -> Command {
     let trusting = Pool {
-        guards_capacity: false,
+        enforces_capacity: false,
         ..pool("a", false)
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         pools: vec![trusting, pool("b", false), pool("spare", true)],
         ..draft(version)
     };
--- a/crates/cleat-jobs/tests/caps.rs
+++ b/crates/cleat-jobs/tests/caps.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use cleat_jobs::{
-    Catalogue, Command, Draft, Effect, EndKind, JobId, OrderAnswer, RenewalAnswer, StepSpec,
+    Catalogue, CatalogueDraft, Command, Effect, EndKind, JobId, OrderAnswer, RenewalAnswer,
+    StepSpec,
 };
 use scaffold::{Bed, customer, draft, end, ended, running, starts, step, stops, task};
 
@@ -18,7 +19,7 @@
 }
 
 fn configure(bed: &mut Bed, version: u64, cpu_milli: u64) -> Vec<Effect> {
-    let draft = Draft {
+    let draft = CatalogueDraft {
         customers: Some(vec![
             customer("c", &["k"], cpu_milli),
             customer("d", &[], 0),
--- a/crates/cleat-jobs/tests/crashes.rs
+++ b/crates/cleat-jobs/tests/crashes.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use cleat_jobs::{
-    Command, CrashedRun, Event, Heartbeat, JobState, MachineAnswer, MachineOrder, Order,
-    OrderAnswer, Part, RenewalAnswer, Run, StepSpec,
+    Command, CrashEvidence, CrashedRun, Event, Heartbeat, JobState, MachineAnswer, MachineOrder,
+    Order, OrderAnswer, RenewalAnswer, Run, StepSpec,
 };
 use scaffold::play::{CRASHES_ALLOWED, CULPRIT, MOST, Play};
 use scaffold::{list_machines, machine, moved, proposals, record, running, starts, step, task};
@@ -290,7 +290,7 @@
         let run = CrashedRun {
             task,
             run: Run(1),
-            part: Part::AloneSudden,
+            evidence: CrashEvidence::JustStartedAlone,
         };
         play.bed.apply(Command::Crashed { runs: vec![run; 5] });
     }
--- a/crates/cleat-jobs/tests/customers.rs
+++ b/crates/cleat-jobs/tests/customers.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 
 use cleat_jobs::{
-    Answer, Caller, Catalogue, CatalogueFault, Command, ControlState, CustomerDraft, Draft, JobId,
-    JobState, KeyDigest, Queue,
+    Caller, Catalogue, CatalogueDraft, CatalogueFault, Command, CommandOutcome, ControlState,
+    CustomerDraft, JobId, JobState, KeyDigest, Queue,
 };
 use proptest::prelude::*;
 use scaffold::{catalogue, customer, draft, job, step};
 
-fn with(customers: Vec<CustomerDraft>) -> Draft {
-    Draft {
+fn with(customers: Vec<CustomerDraft>) -> CatalogueDraft {
+    CatalogueDraft {
         customers: Some(customers),
         ..draft(1)
     }
@@ -24,7 +24,7 @@
 }
 
 fn name_of(catalogue: &Catalogue, queue: &Queue, key: &str) -> Option<Box<str>> {
-    let caller = catalogue.caller(queue, Some(&KeyDigest::of(key)));
+    let caller = catalogue.authenticate(queue, Some(&KeyDigest::of(key)));
     caller.name().map(Into::into)
 }
 
@@ -36,9 +36,9 @@
     assert_eq!(name_of(&made, queue, "k1").as_deref(), Some("a"));
     assert_eq!(name_of(&made, queue, "k2").as_deref(), Some("a"));
     assert_eq!(name_of(&made, queue, "k3").as_deref(), Some("b"));
-    assert_eq!(made.caller(queue, None), Caller::Unknown);
+    assert_eq!(made.authenticate(queue, None), Caller::Unknown);
     let unknown = KeyDigest::of("k4");
-    assert_eq!(made.caller(queue, Some(&unknown)), Caller::Unknown);
+    assert_eq!(made.authenticate(queue, Some(&unknown)), Caller::Unknown);
 }
 
 #[test]
@@ -46,16 +46,16 @@
     let mut draft = with(vec![customer("a", &["k1"], 0)]);
     draft.queues[0].public = true;
     let made = Catalogue::new(draft).expect("valid");
-    assert_eq!(made.caller(&made.queues[0], None), Caller::Anyone);
-    assert_eq!(made.caller(&made.queues[1], None), Caller::Unknown);
+    assert_eq!(made.authenticate(&made.queues[0], None), Caller::Anyone);
+    assert_eq!(made.authenticate(&made.queues[1], None), Caller::Unknown);
 }
 
 #[test]
 fn caller_without_customers_is_anyone() {
     let made = catalogue(1);
-    assert_eq!(made.caller(&made.queues[0], None), Caller::Anyone);
+    assert_eq!(made.authenticate(&made.queues[0], None), Caller::Anyone);
     let none = Catalogue::new(with(Vec::new())).expect("valid");
-    assert_eq!(none.caller(&none.queues[0], None), Caller::Unknown);
+    assert_eq!(none.authenticate(&none.queues[0], None), Caller::Unknown);
 }
 
 #[test]
@@ -87,14 +87,14 @@
     assert!(faults(vec![customer("a", &["k1", "k1"], 0)]).is_empty());
 }
 
-fn submit(state: &mut ControlState, at: u64, customer: Option<&str>) -> Answer {
+fn submit(state: &mut ControlState, at: u64, customer: Option<&str>) -> CommandOutcome {
     let queue = state.catalogue.as_ref().expect("configured").queues[0].clone();
     let command = Command::Submit {
         id: JobId(7),
         queue,
         customer: customer.map(Into::into),
         spec: job(vec![step(2, 100)]),
-        came_ms: 0,
+        arrived_ms: 0,
     };
     state.apply(at, command)
 }
@@ -103,13 +103,17 @@
 fn apply_submit_of_another_customers_name_is_refused() {
     let mut state = ControlState::default();
     state.apply(1, Command::Configure(catalogue(1)));
-    assert_eq!(submit(&mut state, 2, Some("a")), Answer::Done);
-    assert_eq!(submit(&mut state, 3, Some("b")), Answer::Taken);
-    assert_eq!(submit(&mut state, 4, None), Answer::Taken);
-    assert_eq!(submit(&mut state, 5, Some("a")), Answer::Done);
+    assert_eq!(submit(&mut state, 2, Some("a")), CommandOutcome::Done);
+    assert_eq!(submit(&mut state, 3, Some("b")), CommandOutcome::Taken);
+    assert_eq!(submit(&mut state, 4, None), CommandOutcome::Taken);
+    assert_eq!(submit(&mut state, 5, Some("a")), CommandOutcome::Done);
     state.apply(6, Command::Cancel { id: JobId(7) });
-    assert_eq!(submit(&mut state, 7, Some("b")), Answer::Taken, "over");
-    assert_eq!(state.owner_of(JobId(7)), Some(Some("a")));
+    assert_eq!(
+        submit(&mut state, 7, Some("b")),
+        CommandOutcome::Taken,
+        "over"
+    );
+    assert_eq!(state.customer_of(JobId(7)), Some(Some("a")));
 }
 
 #[test]
@@ -118,14 +122,14 @@
     let keyed = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
     state.apply(1, Command::Configure(Arc::new(keyed)));
     submit(&mut state, 2, Some("a"));
-    let gone = Draft {
+    let gone = CatalogueDraft {
         version: 2,
         ..with(Vec::new())
     };
     let gone = Catalogue::new(gone).expect("valid");
     state.apply(3, Command::Configure(Arc::new(gone)));
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
-    assert_eq!(state.owner_of(JobId(7)), Some(Some("a")));
+    assert_eq!(state.customer_of(JobId(7)), Some(Some("a")));
 }
 
 #[test]
@@ -137,25 +141,25 @@
     let stopping = &state.stopping[&JobId(7)];
     assert_eq!((&*stopping.customer, stopping.size.cpu_milli), ("a", 200));
     let ids = vec![JobId(7)];
-    state.apply(4, Command::Settled { ids });
+    state.apply(4, Command::JobsStopped { ids });
     assert!(state.stopping.is_empty());
 }
 
 #[test]
 fn caller_may_use_its_own_and_nobodys_jobs() {
     let made = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
-    let caller = made.caller(&made.queues[0], Some(&KeyDigest::of("k1")));
-    assert!(caller.may_use(Some("a")));
-    assert!(caller.may_use(None));
-    assert!(!caller.may_use(Some("b")));
-    assert!(!Caller::Unknown.may_use(None));
-    assert!(Caller::Anyone.may_use(Some("b")));
+    let caller = made.authenticate(&made.queues[0], Some(&KeyDigest::of("k1")));
+    assert!(caller.may_access(Some("a")));
+    assert!(caller.may_access(None));
+    assert!(!caller.may_access(Some("b")));
+    assert!(!Caller::Unknown.may_access(None));
+    assert!(Caller::Anyone.may_access(Some("b")));
 }
 
 #[test]
 fn keys_are_shown_nowhere() {
     let key = "a-key-of-twenty-chars";
-    let made = Draft {
+    let made = CatalogueDraft {
         document: format!("{{\"keys\":[\"{key}\"]}}").as_str().into(),
         ..with(vec![customer("a", &[key], 0)])
     };
--- a/crates/cleat-jobs/tests/scaffold/mod.rs
+++ b/crates/cleat-jobs/tests/scaffold/mod.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use cleat_jobs::{
-    Cap, Catalogue, Command, ControlState, Customer, CustomerDraft, Draft, Effect, End, EndKind,
-    Event, Heartbeat, JobId, JobSpec, MachineOrder, MachineState, MachineView, Order, OrderAnswer,
-    Pool, Queue, RenewalAnswer, Run, RunningTask, Scheduler, SchedulerConfig, Size, StepId,
-    StepSpec, TaskEnd, TaskId, TaskOrder, WorkerHistory, WorkerRecord, WorkerState,
+    Cap, Catalogue, CatalogueDraft, Command, ControlState, Customer, CustomerDraft, Effect, End,
+    EndKind, Event, Heartbeat, JobId, JobSpec, MachineOrder, MachineState, MachineView, Order,
+    OrderAnswer, Pool, Queue, RenewalAnswer, Run, RunningTask, Scheduler, SchedulerConfig, Size,
+    StepId, StepSpec, TaskEnd, TaskId, TaskOrder, WorkerHistory, WorkerRecord, WorkerState,
 };
 
 pub(crate) fn queue(name: &str, pool: &str) -> Queue {
@@ -33,7 +33,7 @@
 pub(crate) fn pool(name: &str, spare: bool) -> Pool {
     Pool {
         name: name.into(),
-        guards_capacity: true,
+        enforces_capacity: true,
         spare,
         health_path: "/health".into(),
     }
@@ -44,8 +44,8 @@
 }
 
 /// Queue `q` of pool `a` and `r` of `b`, and a spare pool; no customers.
-pub(crate) fn draft(version: u64) -> Draft {
-    Draft {
+pub(crate) fn draft(version: u64) -> CatalogueDraft {
+    CatalogueDraft {
         version,
         queues: vec![queue("q", "a"), queue("r", "b")],
         pools: vec![pool("a", false), pool("b", false), pool("spare", true)],
@@ -130,7 +130,7 @@
 
 pub(crate) fn ends(worker: &str, ends: Vec<TaskEnd>) -> Command {
     let first = ends.first().map_or(1, |end| end.number);
-    Command::Ends {
+    Command::RecordEnds {
         worker: worker.into(),
         after: first - 1,
         ends,
@@ -155,7 +155,7 @@
 
     pub(crate) fn with_workers(workers: &[&str]) -> Bed {
         let mut state = ControlState::default();
-        state.apply(1, Command::Found);
+        state.apply(1, Command::Bootstrapped);
         state.apply(2, Command::Configure(catalogue(1)));
         state.apply(3, Command::TakeOver { member: 1 });
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
@@ -276,7 +276,7 @@
             queue,
             customer: customer.map(Into::into),
             spec,
-            came_ms: self.wall_ms,
+            arrived_ms: self.wall_ms,
         })
     }
 
--- a/crates/cleat-jobs/tests/scheduler.rs
+++ b/crates/cleat-jobs/tests/scheduler.rs
@@ -46,7 +46,7 @@
     );
     let committed = proposals(&effects);
     assert!(
-        matches!(committed[..], [Command::Ends { .. }]),
+        matches!(committed[..], [Command::RecordEnds { .. }]),
         "{committed:?}"
     );
 }
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -7,8 +7,8 @@
 
 use cleat_control::{ModelRun, ModelWorker};
 use cleat_jobs::{
-    Catalogue, Command, ControlState, Draft, Effect, EndKind, Event, Heartbeat, JobId, JobState,
-    RenewalOrder, Scheduler, SchedulerConfig, Sharing, Size,
+    Catalogue, CatalogueDraft, Command, ControlState, Effect, EndKind, Event, Heartbeat, JobId,
+    JobState, RenewalOrder, Scheduler, SchedulerConfig, Sharing, Size,
 };
 use indexmap::IndexMap;
 use scaffold::{customer, draft, job, record, step};
@@ -47,13 +47,13 @@
             draft.customer.weight = SHARE;
             draft
         };
-        let draft = Draft {
+        let draft = CatalogueDraft {
             customers: Some(vec![weighed("large"), weighed("small")]),
             ..draft(1)
         };
         let catalogue = Catalogue::new(draft).expect("valid");
         let mut state = ControlState::default();
-        state.apply(1, Command::Found);
+        state.apply(1, Command::Bootstrapped);
         state.apply(2, Command::Configure(Arc::new(catalogue)));
         state.apply(3, Command::TakeOver { member: 1 });
         let cfg = SchedulerConfig {
@@ -97,7 +97,7 @@
             queue,
             customer: Some(customer.into()),
             spec: job(vec![step]),
-            came_ms: 0,
+            arrived_ms: 0,
         });
     }
 
--- a/crates/cleat-jobs/tests/silent.rs
+++ b/crates/cleat-jobs/tests/silent.rs
@@ -153,14 +153,14 @@
     assert_eq!(again.count(), 0, "it is done");
 }
 
-fn silent_after(token: u64, uses: u32) -> bool {
+fn silent_after(token: u64, activations: u32) -> bool {
     let mut bed = Bed::new();
     bed.apply(Command::WorkerSilent {
         name: "w2".into(),
         token,
-        uses,
+        activations,
     });
-    bed.state.workers["w2"].history.silent_at.is_some()
+    bed.state.workers["w2"].history.silent_index.is_some()
 }
 
 #[test]
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -78,7 +78,7 @@
         let (before, until) = self.shrunk[at];
         let mut capacity = worker.record.capacity;
         if self.now <= until {
-            capacity = capacity.max_of_each(before);
+            capacity = capacity.component_max(before);
         }
         let (task, ms) = (order.task, self.now.as_millis());
         let fits = worker.used().fits(capacity);
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -64,7 +64,7 @@
         };
         let (earlier, until) = self.shrunk[at];
         let before = match self.now <= until {
-            true => before.max_of_each(earlier),
+            true => before.component_max(earlier),
             false => before,
         };
         self.shrunk[at] = (before, self.now + CONTACT + BEAT);
--- a/crates/cleat-jobs/tests/simulation/jobs.rs
+++ b/crates/cleat-jobs/tests/simulation/jobs.rs
@@ -1,7 +1,8 @@
 //! The jobs, queues and customers of a schedule.
 
 use cleat_jobs::{
-    Cap, Catalogue, Customer, CustomerDraft, Draft, JobId, JobSpec, Pool, Queue, Size, StepSpec,
+    Cap, Catalogue, CatalogueDraft, Customer, CustomerDraft, JobId, JobSpec, Pool, Queue, Size,
+    StepSpec,
 };
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -30,7 +31,7 @@
     };
     let pool = Pool {
         name: "pool".into(),
-        guards_capacity: guards,
+        enforces_capacity: guards,
         spare: false,
         health_path: "/health".into(),
     };
@@ -47,7 +48,7 @@
         };
         CustomerDraft::new(customer, &[])
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         version,
         queues: vec![queue],
         pools: vec![pool],
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -155,7 +155,7 @@
     }
 
     fn begin(&mut self) {
-        self.apply(Command::Found);
+        self.apply(Command::Bootstrapped);
         let caps = match self.plan.has(Fault::CapsChange) {
             true => CAPS,
             false => NO_CAPS,
@@ -292,7 +292,7 @@
         match &command {
             Command::Submit { .. } => self.reach(Moment::Submitted),
             Command::Cancel { .. } => self.reach(Moment::Cancelled),
-            Command::Ends { .. } => self.reach(Moment::Noted),
+            Command::RecordEnds { .. } => self.reach(Moment::Noted),
             _ => {}
         }
         self.index += 1;
@@ -438,13 +438,13 @@
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
         let lasts = self.lasts(id);
         let spec = Arc::new(spec(&mut self.rng, lasts));
-        let came_ms = self.wall_ms();
+        let arrived_ms = self.wall_ms();
         self.apply(Command::Submit {
             id,
             queue,
             customer: Some(customer_of(id)),
             spec,
-            came_ms,
+            arrived_ms,
         });
     }
 
--- a/crates/cleat-jobs/tests/state.rs
+++ b/crates/cleat-jobs/tests/state.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use cleat_jobs::{
-    Answer, Catalogue, Command, ControlState, Draft, EndKind, JobId, JobSpec, JobState, Queue,
-    StepSpec, TaskId,
+    Catalogue, CatalogueDraft, Command, CommandOutcome, ControlState, EndKind, JobId, JobSpec,
+    JobState, Queue, StepSpec, TaskId,
 };
 use scaffold::{catalogue, draft, end, ends, job, pool, queue, record, step, task};
 
@@ -26,7 +26,7 @@
         queue,
         customer: None,
         spec,
-        came_ms: 0,
+        arrived_ms: 0,
     }
 }
 
@@ -44,7 +44,10 @@
     let before = state.clone();
     let queue = state.catalogue.as_ref().expect("configured").queues[0].clone();
     let (id, spec) = (JobId(7), job(vec![step(5, 100)]));
-    assert_eq!(state.apply(20, submit(id, queue, spec)), Answer::Done);
+    assert_eq!(
+        state.apply(20, submit(id, queue, spec)),
+        CommandOutcome::Done
+    );
     assert_eq!(state, before);
 }
 
@@ -83,7 +86,7 @@
 fn apply_ends_after_a_gap_are_not_noted() {
     let mut state = with_job(vec![step(2, 1_000)]);
     note(&mut state, 2, task(7, 0, 1), EndKind::Done);
-    assert_eq!(state.workers["w1"].history.noted, 0);
+    assert_eq!(state.workers["w1"].history.last_recorded_end, 0);
     note(&mut state, 1, task(7, 0, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
     note(&mut state, 2, task(7, 0, 1), EndKind::Done);
@@ -144,13 +147,16 @@
     let unknown = JobId(8);
     assert_eq!(
         state.apply(20, Command::Cancel { id: unknown }),
-        Answer::NoSuchJob
+        CommandOutcome::NoSuchJob
     );
     let id = JobId(7);
-    assert_eq!(state.apply(21, Command::Cancel { id }), Answer::Done);
+    assert_eq!(
+        state.apply(21, Command::Cancel { id }),
+        CommandOutcome::Done
+    );
     assert_eq!(
         state.apply(22, Command::Cancel { id }),
-        Answer::Done,
+        CommandOutcome::Done,
         "sent again"
     );
     assert_eq!(state.job_state(id), Some(JobState::Cancelled));
@@ -161,7 +167,7 @@
     let mut state = with_job(vec![step(1, 100)]);
     note(&mut state, 1, task(7, 0, 0), EndKind::Done);
     let answer = state.apply(20, Command::Cancel { id: JobId(7) });
-    assert_eq!(answer, Answer::Over(JobState::Completed));
+    assert_eq!(answer, CommandOutcome::Over(JobState::Completed));
 }
 
 #[test]
@@ -185,22 +191,29 @@
 }
 
 /// Whether something may run on `w1` after a note that its lease is over.
-fn may_run_after_lapse(token: u64, uses: u32) -> bool {
+fn may_have_runs_after_lapse(token: u64, activations: u32) -> bool {
     let mut state = ControlState::default();
     state.apply(1, Command::TakeOver { member: 1 });
     state.apply(2, Command::TakeOver { member: 2 });
     state.apply(3, Command::AddWorker(record("w1", "a")));
     state.apply(4, Command::AddWorker(record("w1", "a")));
     let name = "w1".into();
-    state.apply(5, Command::WorkerLapsed { name, token, uses });
-    state.workers["w1"].history.may_run
+    state.apply(
+        5,
+        Command::WorkerLapsed {
+            name,
+            token,
+            activations,
+        },
+    );
+    state.workers["w1"].history.may_have_runs
 }
 
 #[test]
 fn apply_worker_lapsed_counts_for_its_owner_and_use() {
-    assert!(!may_run_after_lapse(2, 2));
-    assert!(may_run_after_lapse(1, 2), "of an earlier owner");
-    assert!(may_run_after_lapse(2, 1), "of an earlier use");
+    assert!(!may_have_runs_after_lapse(2, 2));
+    assert!(may_have_runs_after_lapse(1, 2), "of an earlier owner");
+    assert!(may_have_runs_after_lapse(2, 1), "of an earlier use");
 }
 
 #[test]
@@ -218,8 +231,8 @@
 }
 
 /// A configuration of pool `a`.
-fn with_queues(queues: Vec<Queue>) -> Draft {
-    Draft {
+fn with_queues(queues: Vec<Queue>) -> CatalogueDraft {
+    CatalogueDraft {
         queues,
         pools: vec![pool("a", false)],
         ..draft(1)
--- a/crates/cleat-operate/src/jobs/mod.rs
+++ b/crates/cleat-operate/src/jobs/mod.rs
@@ -143,7 +143,7 @@
 
 fn job_id(text: &str) -> Result<JobId, Problem> {
     let parsed = text.parse();
-    parsed.map_err(|error: cleat_jobs::ParseTaskError| {
+    parsed.map_err(|error: cleat_jobs::ParseIdError| {
         Problem::new(ProblemKind::BadRequest, error.to_string())
     })
 }
