--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -331,8 +331,8 @@
             weight: customer.weight,
             jobs: state.jobs.values().filter(own).count() as u64,
             waiting: view.map_or(0, |view| view.waiting as u64),
-            used: view.map(|view| view.held).unwrap_or_default(),
-            in_doubt: view.map(|view| view.hidden).unwrap_or_default(),
+            used: view.map(|view| view.used).unwrap_or_default(),
+            in_doubt: view.map(|view| view.in_doubt).unwrap_or_default(),
             cap,
         }
     };
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -5,14 +5,14 @@
 //! or its lease is over. What an earlier owner may have started on workers that
 //! have not answered yet counts as well, as if all of it ran.
 
-mod keep;
-mod tell;
+mod report;
+mod usage;
 
 use std::time::Duration;
 
 use indexmap::{IndexMap, IndexSet};
 
-pub use tell::CustomerView;
+pub use report::CustomerView;
 
 use super::shares::{Sent, Standing};
 use crate::{Cap, Catalogue, Size};
@@ -44,13 +44,13 @@
     ///
     /// Invariant: the sum of the charges of its attempts that hold room and of
     /// its strays.
-    pub(crate) held: Size,
+    pub(crate) used: Size,
     /// What may run beside that without this owner's knowledge.
-    pub(crate) hidden: Size,
+    pub(crate) in_doubt: Size,
     /// The pools in which its steps were passed over for its cap.
-    blocked_in: IndexSet<Box<str>>,
+    blocked_pools: IndexSet<Box<str>>,
     /// When it was last logged that its cap holds steps back.
-    told_at: Option<Duration>,
+    cap_logged_at: Option<Duration>,
 }
 
 /// The accounts of all customers that have had jobs in this owner's time.
@@ -64,8 +64,8 @@
 
 impl Account {
     /// What the customer may start beside what it has.
-    pub(crate) fn left(&self) -> Size {
-        self.cap.remaining(self.held + self.hidden)
+    pub(crate) fn remaining(&self) -> Size {
+        self.cap.remaining(self.used + self.in_doubt)
     }
 }
 
@@ -81,7 +81,11 @@
 
 impl Accounts {
     /// The account of a customer, opened if there is none.
-    pub(crate) fn open(&mut self, name: &str, catalogue: Option<&Catalogue>) -> CustomerKey {
+    pub(crate) fn get_or_create(
+        &mut self,
+        name: &str,
+        catalogue: Option<&Catalogue>,
+    ) -> CustomerKey {
         if let Some(key) = self.by_name.get(name) {
             return *key;
         }
@@ -106,9 +110,9 @@
     }
 
     /// Counts a run.
-    pub(crate) fn hold(&mut self, charge: Charge) {
+    pub(crate) fn add(&mut self, charge: Charge) {
         if let Some(key) = charge.customer {
-            self.get_mut(key).held += charge.size;
+            self.get_mut(key).used += charge.size;
         }
     }
 
@@ -119,8 +123,8 @@
             return IndexSet::new();
         };
         let account = self.get_mut(key);
-        account.held -= charge.size;
-        std::mem::take(&mut account.blocked_in)
+        account.used -= charge.size;
+        std::mem::take(&mut account.blocked_pools)
     }
 
     /// Whether `count` tasks of a customer may start together.
@@ -133,28 +137,28 @@
             return true;
         };
         let account = self.get(key);
-        let held = account.held + account.hidden;
+        let held = account.used + account.in_doubt;
         account.cap.allows(held + charge.size.scaled(count))
             || (count == 1 && account.cap.is_under_half(held))
     }
 
     /// Notes that a step was passed over in a pool; gives the account if that is
     /// to be logged.
-    fn block(&mut self, charge: Charge, pool: &str, now: Duration) -> Option<&Account> {
+    fn record_blocked(&mut self, charge: Charge, pool: &str, now: Duration) -> Option<&Account> {
         let account = self.get_mut(charge.customer?);
-        if !account.blocked_in.contains(pool) {
-            account.blocked_in.insert(pool.into());
+        if !account.blocked_pools.contains(pool) {
+            account.blocked_pools.insert(pool.into());
         }
-        let told = account.told_at;
-        if told.is_some_and(|told| now < told + tell::INTERVAL) {
+        let logged_at = account.cap_logged_at;
+        if logged_at.is_some_and(|logged_at| now < logged_at + report::CAP_LOG_INTERVAL) {
             return None;
         }
-        account.told_at = Some(now);
+        account.cap_logged_at = Some(now);
         Some(account)
     }
 
     /// Takes over the caps of a configuration; whether they were others.
-    fn configure(&mut self, catalogue: &Catalogue) -> bool {
+    fn apply_catalogue(&mut self, catalogue: &Catalogue) -> bool {
         let version = Some(catalogue.version);
         if self.version == version {
             return false;
@@ -168,29 +172,29 @@
     }
 
     /// Whether any customer has a limit.
-    fn any_capped(&self) -> bool {
+    fn has_caps(&self) -> bool {
         let mut accounts = self.arena.iter();
         accounts.any(|account| account.cap != Cap::default())
     }
 
     /// Where a job stands that a customer sent at `at`.
-    pub(crate) fn take_job(&mut self, key: CustomerKey, at: Duration) -> Standing {
+    pub(crate) fn record_job(&mut self, key: CustomerKey, at: Duration) -> Standing {
         let account = self.get_mut(key);
         account.sent.take(at, account.weight)
     }
 
     /// Whether a customer holds more of what all hold than its part of all shares.
-    pub(crate) fn standing_by_room(&self, key: CustomerKey) -> Standing {
+    pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> Standing {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
-            all += account.held;
+            all += account.used;
             weights += account.weight;
         }
         let own = self.get(key);
         #[allow(clippy::cast_precision_loss)]
         let part = |own: u64, all: u64| own as f64 / all.max(1) as f64;
-        let cpu = part(own.held.cpu_milli, all.cpu_milli);
-        let memory = part(own.held.memory_mb, all.memory_mb);
+        let cpu = part(own.used.cpu_milli, all.cpu_milli);
+        let memory = part(own.used.memory_mb, all.memory_mb);
         let share = own.weight / f64::max(weights, f64::MIN_POSITIVE);
         if cpu.max(memory) > share {
             Standing::Beyond
--- a/crates/cleat-jobs/src/schedule/account/tell.rs
+++ b/crates/cleat-jobs/src/schedule/account/report.rs
@@ -8,13 +8,13 @@
 
 /// How often it is logged that a customer's cap holds its steps back: often enough
 /// for a caller who asks why a job waits, and bounded under any load.
-pub(super) const INTERVAL: Duration = Duration::from_secs(1);
+pub(super) const CAP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 fn view(account: &Account) -> CustomerView<'_> {
     CustomerView {
         name: &account.name,
-        held: account.held,
-        hidden: account.hidden,
+        used: account.used,
+        in_doubt: account.in_doubt,
         waiting: 0,
     }
 }
@@ -25,29 +25,31 @@
     /// Its name.
     pub name: &'a str,
     /// What its runs take up.
-    pub held: Size,
+    pub used: Size,
     /// What may run beside that without this owner's knowledge.
-    pub hidden: Size,
+    pub in_doubt: Size,
     /// How many of its tasks wait for a start.
     pub waiting: usize,
 }
 
 impl Scheduler {
     /// Notes that a step has to wait for its customer's cap.
-    pub(in crate::schedule) fn block_for_cap(&mut self, id: StepId) {
+    pub(in crate::schedule) fn record_cap_reached(&mut self, id: StepId) {
         let Some(step) = self.steps.get(&id) else {
             return;
         };
-        let account = self.accounts.block(step.charge, &step.pool, self.now);
+        let account = self
+            .accounts
+            .record_blocked(step.charge, &step.pool, self.now);
         let decision = account.map(|account| {
             let Cap(cap) = account.cap;
             Decision::CapReached {
                 customer: account.name.clone(),
                 step: id.to_string().into(),
-                held_cpu_milli: account.held.cpu_milli,
-                hidden_cpu_milli: account.hidden.cpu_milli,
+                held_cpu_milli: account.used.cpu_milli,
+                hidden_cpu_milli: account.in_doubt.cpu_milli,
                 cap_cpu_milli: cap.cpu_milli,
-                held_memory_mb: account.held.memory_mb,
+                held_memory_mb: account.used.memory_mb,
                 cap_memory_mb: cap.memory_mb,
             }
         });
--- a/crates/cleat-jobs/src/schedule/account/keep.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// What a run of a step of the job counts for. What fills counts whole: a cap
     /// is on what runs, not on what it leaves to others.
-    pub(in crate::schedule) fn charge(
+    pub(in crate::schedule) fn charge_for(
         &mut self,
         state: &ControlState,
         job: &Job,
@@ -22,7 +22,7 @@
         let catalogue = state.catalogue.as_deref();
         let name = job.customer.as_deref();
         Charge {
-            customer: name.map(|name| self.accounts.open(name, catalogue)),
+            customer: name.map(|name| self.accounts.get_or_create(name, catalogue)),
             size: spec.size,
         }
     }
@@ -30,12 +30,12 @@
     /// What a run that should not be there counts for, and takes up. That of a job
     /// which is over counts as the largest of its tasks; of one that is not known any
     /// more it is only certain that it fits.
-    fn measure_stray(&mut self, state: &ControlState, at: (WorkerKey, TaskId)) -> (Charge, Size) {
+    fn stray_usage(&mut self, state: &ControlState, at: (WorkerKey, TaskId)) -> (Charge, Size) {
         let (key, task) = at;
         if let Some(job) = state.jobs.get(&task.job())
             && let Some(spec) = job.step(task.step)
         {
-            return (self.charge(state, job, spec), spec.footprint());
+            return (self.charge_for(state, job, spec), spec.footprint());
         }
         let Some(ended) = state.ended.get(&task.job()) else {
             return (Charge::default(), self.workers[key].record.capacity);
@@ -43,7 +43,7 @@
         let catalogue = state.catalogue.as_deref();
         let name = ended.customer.as_deref();
         let charge = Charge {
-            customer: name.map(|name| self.accounts.open(name, catalogue)),
+            customer: name.map(|name| self.accounts.get_or_create(name, catalogue)),
             size: ended.largest_task,
         };
         (charge, ended.largest_task)
@@ -51,13 +51,13 @@
 
     /// Counts a run of a worker that should not be there, once: it goes on until the
     /// worker lists its end.
-    pub(in crate::schedule) fn hold_stray(
+    pub(in crate::schedule) fn add_stray(
         &mut self,
         state: &ControlState,
         at: (WorkerKey, TaskId, Run),
     ) {
-        let (charge, footprint) = self.measure_stray(state, (at.0, at.1));
-        self.accounts.hold(charge);
+        let (charge, footprint) = self.stray_usage(state, (at.0, at.1));
+        self.accounts.add(charge);
         self.workers[at.0].used_by_strays += footprint;
         let stray = Stray {
             sent_at: self.now,
@@ -96,29 +96,29 @@
 
     /// Brings the caps up to the configuration in force, and what may run without
     /// this owner's knowledge up to what workers have listed.
-    pub(in crate::schedule) fn settle_accounts(&mut self, state: &ControlState) {
+    pub(in crate::schedule) fn update_accounts(&mut self, state: &ControlState) {
         if let Some(catalogue) = &state.catalogue
-            && self.accounts.configure(catalogue)
+            && self.accounts.apply_catalogue(catalogue)
         {
             self.unsettled = Unsettled::All;
         }
-        let hidden = self.hidden_runs && self.accounts.any_capped();
+        let hidden = self.hidden_runs && self.accounts.has_caps();
         let unknown = hidden && self.workers.iter().any(|(_, worker)| !worker.is_known());
         if unknown {
-            self.count_hidden(state);
+            self.update_in_doubt(state);
         } else if self.hidden_runs {
             self.hidden_runs = self.workers.iter().any(|(_, worker)| !worker.is_known());
             for account in &mut self.accounts.arena {
-                account.hidden = Size::default();
+                account.in_doubt = Size::default();
             }
         }
     }
 
     /// Counts everything that an earlier owner may have started on workers which
     /// have not listed their runs to this one.
-    fn count_hidden(&mut self, state: &ControlState) {
+    fn update_in_doubt(&mut self, state: &ControlState) {
         let off = !self.cfg.protections.hidden_runs_count;
-        let mut hidden: IndexMap<CustomerKey, Size> = IndexMap::new();
+        let mut in_doubt: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(customer) = step.charge.customer else {
                 continue;
@@ -126,24 +126,24 @@
             let until = self.unknown_until(&step.pool);
             if until.is_some_and(|until| step.ready_index <= until) {
                 let pending = step.pending.len() as u64;
-                *hidden.entry(customer).or_default() += step.charge.size.scaled(pending);
+                *in_doubt.entry(customer).or_default() += step.charge.size.scaled(pending);
             }
         }
         for stopping in state.stopping.values() {
             let catalogue = state.catalogue.as_deref();
-            let customer = self.accounts.open(&stopping.customer, catalogue);
-            *hidden.entry(customer).or_default() += stopping.size;
+            let customer = self.accounts.get_or_create(&stopping.customer, catalogue);
+            *in_doubt.entry(customer).or_default() += stopping.size;
         }
         for (at, account) in self.accounts.arena.iter_mut().enumerate() {
             let key = CustomerKey(u32::try_from(at).unwrap_or(u32::MAX));
-            let size = hidden.get(&key).copied().unwrap_or_default();
-            account.hidden = if off { Size::default() } else { size };
+            let size = in_doubt.get(&key).copied().unwrap_or_default();
+            account.in_doubt = if off { Size::default() } else { size };
         }
     }
 
     /// Has it noted of which jobs that ended before their time nothing can run
     /// any more: the next owner need not count them.
-    pub(in crate::schedule) fn settle_stopped(&mut self, state: &ControlState) {
+    pub(in crate::schedule) fn propose_stopped_jobs(&mut self, state: &ControlState) {
         if state.stopping.is_empty() || self.hidden_runs {
             return;
         }
@@ -164,7 +164,7 @@
     /// The accounts as they follow from the runs that are known, to be compared
     /// with those that are kept.
     #[doc(hidden)]
-    pub fn recounted(&self) -> Vec<(Box<str>, Size, Size)> {
+    pub fn recount_usage(&self) -> Vec<(Box<str>, Size, Size)> {
         let attempts = self.attempts.values().filter(|a| a.holds_room());
         let attempts = attempts.map(|attempt: &Attempt| attempt.charge);
         let strays = self.strays.values().map(|stray| stray.charge);
@@ -176,7 +176,7 @@
         }
         let rows = self.accounts.by_name.iter().map(|(name, key)| {
             let counted = counted.get(key).copied().unwrap_or_default();
-            (name.clone(), self.accounts.get(*key).held, counted)
+            (name.clone(), self.accounts.get(*key).used, counted)
         });
         rows.collect()
     }
--- a/crates/cleat-jobs/src/schedule/attempt.rs
+++ b/crates/cleat-jobs/src/schedule/attempt.rs
@@ -80,7 +80,7 @@
     /// Adds a run that takes up room on its worker.
     pub(super) fn add_attempt(&mut self, task: TaskId, attempt: Attempt) {
         if attempt.holds_room() {
-            self.accounts.hold(attempt.charge);
+            self.accounts.add(attempt.charge);
         }
         let worker = &mut self.workers[attempt.worker];
         worker.used += attempt.footprint;
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -95,7 +95,7 @@
     /// Whether a worker whose life is over crashed: nobody meant it to end.
     fn has_crashed(&self, key: WorkerKey, how: LifeOver) -> bool {
         let seen = matches!(how, LifeOver::Replaced | LifeOver::Absent);
-        seen && !self.workers[key].draining && !self.was_taken_away(key)
+        seen && !self.workers[key].draining && !self.was_ended_by_order(key)
     }
 
     /// Has the runs counted that a worker took along if it crashed. Their tasks wait
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -17,7 +17,7 @@
 impl Scheduler {
     /// Ends the lives that two lists in a row say are over. One may hold an entry
     /// of another writer, with its worker left out.
-    pub(super) fn end_absent_lives(&mut self, list: &[MachineView], sent_at: Duration) {
+    pub(super) fn end_absent_workers(&mut self, list: &[MachineView], sent_at: Duration) {
         let named: IndexSet<&str> = list
             .iter()
             .filter_map(|view| view.worker.as_deref())
@@ -31,7 +31,7 @@
                 return None;
             }
             let view = by_machine.get(worker.record.machine.as_deref()?)?;
-            tells_what_it_runs(view).then(|| match view.was_taken_from(&worker.record.pool) {
+            is_conclusive(view).then(|| match view.has_left_pool(&worker.record.pool) {
                 true => LifeOver::MachineOrdered,
                 false => LifeOver::Absent,
             })
@@ -53,7 +53,7 @@
 
 /// Whether a machine is listed as being away, or as running a worker; a machine
 /// that is up and names none says nothing.
-fn tells_what_it_runs(view: &MachineView) -> bool {
+fn is_conclusive(view: &MachineView) -> bool {
     match view.state {
         MachineState::Moving | MachineState::Maintained | MachineState::Down => true,
         MachineState::Up => view.worker.is_some(),
--- a/crates/cleat-jobs/src/schedule/fleet/evacuate.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/evict.rs
@@ -11,13 +11,13 @@
 use crate::state::ControlState;
 
 impl Scheduler {
-    pub(super) fn evacuate(&mut self, state: &ControlState) {
-        for key in self.leaving_workers() {
-            self.evacuate_worker(state, key);
+    pub(super) fn evict_long_running(&mut self, state: &ControlState) {
+        for key in self.workers_to_empty() {
+            self.evict_from_worker(state, key);
         }
     }
 
-    fn evacuate_worker(&mut self, state: &ControlState, key: WorkerKey) {
+    fn evict_from_worker(&mut self, state: &ControlState, key: WorkerKey) {
         let runs = |task: &&TaskId| {
             let attempt = self.attempts.get(*task);
             attempt.is_some_and(|attempt| matches!(attempt.phase, Phase::Running { .. }))
@@ -29,17 +29,17 @@
             let Some(spec) = job.and_then(|job| job.step(task.step)) else {
                 continue;
             };
-            if !spec.long_running || !self.may_interrupt(task, spec) {
+            if !spec.long_running || !self.allows_eviction(task, spec) {
                 continue;
             }
-            if self.has_place(task, spec) {
+            if self.fits_elsewhere(task, spec) {
                 self.stop(task, StopReason::Draining);
             }
         }
     }
 
     /// Whether stopping a task leaves as many of its step at work as it asks.
-    pub(super) fn may_interrupt(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
+    pub(super) fn allows_eviction(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
         let Some(most) = spec.max_unavailable else {
             return true;
         };
@@ -59,7 +59,7 @@
     }
 
     /// Whether another worker could take the task at once.
-    fn has_place(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
+    fn fits_elsewhere(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
         let Some(step) = self.steps.get(&task.step) else {
             return false;
         };
--- a/crates/cleat-jobs/src/schedule/fleet/mod.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/mod.rs
@@ -2,11 +2,11 @@
 
 mod absent;
 mod demand;
-mod evacuate;
+mod evict;
 mod machine;
 mod moves;
 mod orders;
-mod reserve;
+mod reservations;
 mod waves;
 
 pub(super) use machine::Machines;
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -16,9 +16,9 @@
 const IDLE_LIMIT: Duration = Duration::from_millis(900);
 /// The same in a pool that holds far more than it needs: demand has fallen, and what is
 /// still to come finds room.
-const PLENTY_IDLE_LIMIT: Duration = Duration::from_millis(150);
+const SURPLUS_IDLE_LIMIT: Duration = Duration::from_millis(150);
 /// How much more than its need a pool holds that has plenty, in percent.
-const PLENTY_PERCENT: u64 = 50;
+const SURPLUS_PERCENT: u64 = 50;
 /// What tasks of different sizes leave unused of a worker, in percent: they take up
 /// about a tenth of one each.
 pub(super) const FRAGMENTATION_PERCENT: u64 = 10;
@@ -26,10 +26,10 @@
 /// How many orders for machines may be without an answer. The platform takes some
 /// hundred a second: what waits longer than its call may take is ordered again, and holds
 /// up what is more urgent by then.
-const ORDERS_AT_ONCE: usize = 64;
+const MAX_UNANSWERED_ORDERS: usize = 64;
 /// The same before idle machines go back to the spare pool, which can wait for those
 /// that a pool lacks.
-const RETURNS_AT_ONCE: usize = 16;
+const MAX_UNANSWERED_BEFORE_RETURNS: usize = 16;
 
 /// Where a machine for a pool comes from; the first goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,9 +37,9 @@
     /// A pool that holds more than it needs.
     Surplus,
     /// The spare pool.
-    Spare,
+    SparePool,
     /// A pool that seems to hold more than it needs, to a new owner.
-    Unsure,
+    UncertainSurplus,
 }
 
 /// The balance of each pool that queues use.
@@ -52,35 +52,36 @@
     /// spare pool once they stay idle.
     pub(super) fn move_machines(&mut self, state: &ControlState) {
         let mut balances = self.balances(state);
-        self.tell_balances(&balances);
-        let mut room = ORDERS_AT_ONCE.saturating_sub(self.machines.unanswered());
+        self.log_balances(&balances);
+        let mut allowed_orders =
+            MAX_UNANSWERED_ORDERS.saturating_sub(self.machines.unanswered_orders());
         let mut without_donor = IndexSet::new();
         let mut idle = None;
-        while room > 0
-            && let Some(pool) = most_lacking(&balances, &without_donor)
+        while allowed_orders > 0
+            && let Some(pool) = pool_with_largest_shortage(&balances, &without_donor)
         {
             let idle = idle.get_or_insert_with(|| self.idle_machines());
-            match self.take_donor(state, &pool, &balances, idle) {
+            match self.choose_donor_machine(state, &pool, &balances, idle) {
                 Some(name) => {
-                    self.give(&name, &pool, &mut balances);
-                    room -= 1;
+                    self.order_move(&name, &pool, &mut balances);
+                    allowed_orders -= 1;
                 }
                 None => drop(without_donor.insert(pool)),
             }
         }
         for pool in without_donor {
-            self.reserve(&pool, &mut balances);
+            self.reserve_machines(&pool, &mut balances);
         }
-        self.move_reserved(&balances);
+        self.move_reserved_machines(&balances);
         let mut balances = self.balances(state);
-        self.send_back(state, &mut balances);
+        self.return_idle_machines(state, &mut balances);
     }
 
     /// The machines of each pool that are idle and free to go, the last by name first.
     fn idle_machines(&self) -> IdleMachines {
         let mut idle = IdleMachines::new();
         let free = self.machines.by_name.iter();
-        for (name, machine) in free.filter(|(_, machine)| self.may_move(machine)) {
+        for (name, machine) in free.filter(|(_, machine)| self.is_movable(machine)) {
             let pool = idle.entry(machine.view.pool.clone()).or_default();
             pool.push(name.clone());
         }
@@ -93,30 +94,30 @@
     /// An idle machine for a pool: one of the pool that has most to spare, else a
     /// spare one. The other way round each machine of a turn of demand that ends moves
     /// twice, back and out again.
-    fn take_donor(
+    fn choose_donor_machine(
         &self,
         state: &ControlState,
         pool: &str,
         balances: &Balances,
         idle: &mut IdleMachines,
     ) -> Option<Box<str>> {
-        let lender = match self.knows_demand() {
+        let lender = match self.has_demand_history() {
             true => Donor::Surplus,
-            false => Donor::Unsure,
+            false => Donor::UncertainSurplus,
         };
         let rank = |from: &str, name: &str| {
-            if is_spare(state, from) {
-                return Some((Donor::Spare, 0));
+            if is_spare_pool(state, from) {
+                return Some((Donor::SparePool, 0));
             }
             let size = self.machines.by_name.get(name)?.view.capacity;
-            let rest = balances.get(from)?.without(size);
-            let spares = rest.workers > 0 && rest.suffices(FRAGMENTATION_PERCENT);
+            let rest = balances.get(from)?.without_machine(size);
+            let spares = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
             let surplus = rest.offered.cpu_milli.saturating_sub(rest.needed.cpu_milli);
             spares.then_some((lender, u64::MAX - surplus))
         };
         let first = |names: &[Box<str>]| {
             let mut names = names.iter();
-            names.rposition(|name| !self.machines.refuses(name, pool))
+            names.rposition(|name| !self.machines.is_refused(name, pool))
         };
         let others = idle.iter().filter(|(from, _)| ***from != *pool);
         let ranked = others.filter_map(|(from, names)| {
@@ -130,14 +131,14 @@
     /// Whether this owner has seen demand for as long as its forecast looks back.
     /// Before, a pool between two turns looks as one that needs nothing, and what
     /// is given away may be missing a second later.
-    fn knows_demand(&self) -> bool {
+    fn has_demand_history(&self) -> bool {
         self.now >= self.taken_over_at + forecast::MEMORY
     }
 
     /// Whether a machine is idle and free to go.
-    fn may_move(&self, machine: &Machine) -> bool {
+    fn is_movable(&self, machine: &Machine) -> bool {
         let up = machine.view.state == MachineState::Up && machine.missing_since.is_none();
-        up && machine.is_free() && self.is_idle(machine)
+        up && machine.is_unassigned() && self.is_idle(machine)
     }
 
     /// Whether nothing runs on a machine, and all that ended there has been
@@ -162,34 +163,35 @@
             && !worker.has_strays
     }
 
-    fn give(&mut self, name: &str, pool: &str, balances: &mut Balances) {
+    fn order_move(&mut self, name: &str, pool: &str, balances: &mut Balances) {
         let Some(machine) = self.machines.by_name.get(name) else {
             return;
         };
         let size = machine.view.capacity;
         if let Some(from) = balances.get_mut(&machine.view.pool) {
-            *from = from.without(size);
+            *from = from.without_machine(size);
         }
         if let Some(to) = balances.get_mut(pool) {
-            *to = to.with(size);
+            *to = to.with_machine(size);
         }
         self.order_machine(name, MachineOrder::Move { pool: pool.into() });
     }
 
     /// Sends machines back that stay idle, but for one of each pool.
-    fn send_back(&mut self, state: &ControlState, balances: &mut Balances) {
+    fn return_idle_machines(&mut self, state: &ControlState, balances: &mut Balances) {
         let Some(spare) = spare_pool(state) else {
             return;
         };
         let rested = |machine: &Machine| {
             let since = machine.idle_since;
-            since.is_some_and(|since| self.now >= since + PLENTY_IDLE_LIMIT)
+            since.is_some_and(|since| self.now >= since + SURPLUS_IDLE_LIMIT)
         };
         let machines = self.machines.by_name.iter();
         let of_pools = machines.filter(|(_, machine)| balances.contains_key(&machine.view.pool));
         let idle = of_pools.filter(|(_, machine)| rested(machine));
         let names: Vec<Box<str>> = idle.map(|(name, _)| name.clone()).collect();
-        let mut room = RETURNS_AT_ONCE.saturating_sub(self.machines.unanswered());
+        let mut allowed_orders =
+            MAX_UNANSWERED_BEFORE_RETURNS.saturating_sub(self.machines.unanswered_orders());
         for name in names {
             let machine = &self.machines.by_name[&name];
             let size = machine.view.capacity;
@@ -198,38 +200,41 @@
                 continue;
             };
             // One machine stays free for what comes next.
-            let rest = balance.without(size).without(size);
-            let plenty = self.knows_demand() && rest.suffices(PLENTY_PERCENT);
+            let rest = balance.without_machine(size).without_machine(size);
+            let plenty = self.has_demand_history() && rest.covers_need(SURPLUS_PERCENT);
             let limit = if plenty {
-                PLENTY_IDLE_LIMIT
+                SURPLUS_IDLE_LIMIT
             } else {
                 IDLE_LIMIT
             };
             let idle = since.is_some_and(|since| self.now >= since + limit);
-            let spares = rest.workers > 0 && rest.suffices(FRAGMENTATION_PERCENT);
-            let goes = !self.machines.refuses(&name, &spare) && self.may_move(machine);
+            let spares = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
+            let goes = !self.machines.is_refused(&name, &spare) && self.is_movable(machine);
             if idle && spares && goes {
-                if room == 0 {
+                if allowed_orders == 0 {
                     return;
                 }
-                room -= 1;
-                self.give(&name, &spare, balances);
+                allowed_orders -= 1;
+                self.order_move(&name, &spare, balances);
             }
         }
     }
 }
 
 /// The pool that lacks most, if any does.
-fn most_lacking(balances: &Balances, except: &IndexSet<Box<str>>) -> Option<Box<str>> {
+fn pool_with_largest_shortage(
+    balances: &Balances,
+    except: &IndexSet<Box<str>>,
+) -> Option<Box<str>> {
     let lacking = balances
         .iter()
         .filter(|(pool, _)| !except.contains(*pool))
-        .filter(|(_, balance)| !balance.suffices(FRAGMENTATION_PERCENT));
-    let most = lacking.max_by_key(|(_, balance)| balance.lack_milli());
+        .filter(|(_, balance)| !balance.covers_need(FRAGMENTATION_PERCENT));
+    let most = lacking.max_by_key(|(_, balance)| balance.shortage_milli());
     most.map(|(pool, _)| pool.clone())
 }
 
-pub(super) fn is_spare(state: &ControlState, pool: &str) -> bool {
+pub(super) fn is_spare_pool(state: &ControlState, pool: &str) -> bool {
     let catalogue = state.catalogue.as_ref();
     let pool = catalogue.and_then(|catalogue| catalogue.pools.get(pool));
     pool.is_some_and(|pool| pool.spare)
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexSet;
 
-use super::machine::{Machine, MachineOrder, MachineState, MachineView, Ordered};
+use super::machine::{Machine, MachineOrder, MachineState, MachineView, PendingOrder};
 use crate::schedule::decision::LifeOver;
 use crate::schedule::event::MachineAnswer;
 use crate::schedule::worker::WorkerKey;
@@ -25,24 +25,24 @@
 
 impl Scheduler {
     /// Looks after machines: called at each tick.
-    pub(in crate::schedule) fn tend_machines(&mut self, state: &ControlState) {
+    pub(in crate::schedule) fn manage_machines(&mut self, state: &ControlState) {
         self.list_machines();
-        if self.machines.listed_at.is_none() {
+        if self.machines.list_requested_at.is_none() {
             return;
         }
-        self.hold_planned();
-        self.watch_idle();
-        self.settle_orders();
-        self.run_waves(state);
-        self.evacuate(state);
+        self.cordon_planned();
+        self.update_idle_times();
+        self.check_orders();
+        self.advance_waves(state);
+        self.evict_long_running(state);
         self.move_machines(state);
     }
 
     fn list_machines(&mut self) {
-        if self.machines.listing || self.now < self.machines.list_due {
+        if self.machines.list_in_progress || self.now < self.machines.next_list_at {
             return;
         }
-        self.machines.listing = true;
+        self.machines.list_in_progress = true;
         self.effects.push(Effect::ListMachines);
     }
 
@@ -51,21 +51,21 @@
         sent_at: Duration,
         list: Option<Vec<MachineView>>,
     ) {
-        let interval = if self.awaits_a_list() {
+        let interval = if self.awaits_list() {
             LIST_INTERVAL_BUSY
         } else {
             LIST_INTERVAL
         };
-        self.machines.listing = false;
-        self.machines.list_due = self.now + interval;
+        self.machines.list_in_progress = false;
+        self.machines.next_list_at = self.now + interval;
         let Some(list) = list else {
             return;
         };
-        self.machines.listed_at = Some(sent_at);
-        self.end_absent_lives(&list, sent_at);
+        self.machines.list_requested_at = Some(sent_at);
+        self.end_absent_workers(&list, sent_at);
         let names: IndexSet<Box<str>> = list.iter().map(|view| view.name.clone()).collect();
         for view in list {
-            self.take_view(view, sent_at);
+            self.update_view(view, sent_at);
         }
         let now = self.now;
         for (name, machine) in &mut self.machines.by_name {
@@ -76,17 +76,17 @@
     }
 
     /// Whether a list tells something that is waited for.
-    fn awaits_a_list(&self) -> bool {
+    fn awaits_list(&self) -> bool {
         let mut machines = self.machines.by_name.values();
         let mut workers = self.workers.iter();
-        machines.any(|machine| machine.ordered.is_some())
+        machines.any(|machine| machine.pending_order.is_some())
             || workers.any(|(_, worker)| worker.is_out_of_reach())
     }
 
-    fn take_view(&mut self, view: MachineView, sent_at: Duration) {
+    fn update_view(&mut self, view: MachineView, sent_at: Duration) {
         let name = view.name.clone();
         match self.machines.by_name.get_mut(&name) {
-            Some(machine) => machine.take_view(view, sent_at),
+            Some(machine) => machine.update_view(view, sent_at),
             None => drop(self.machines.by_name.insert(name, Machine::new(view))),
         }
     }
@@ -94,9 +94,9 @@
     /// Keeps work from the workers whose machine is to be emptied, also from those
     /// that became known after that was decided: else they go on taking work,
     /// and a wave ends without their machine.
-    fn hold_planned(&mut self) {
+    fn cordon_planned(&mut self) {
         let machines = self.machines.by_name.iter();
-        let planned = machines.filter(|(_, machine)| machine.is_planned());
+        let planned = machines.filter(|(_, machine)| machine.must_be_emptied());
         // While an order has no answer, a worker that no list names may be the
         // one that the order brought.
         let held = planned.filter_map(|(name, machine)| match machine.awaits_answer() {
@@ -111,27 +111,27 @@
 
     /// Ends the orders whose machine is up again, and repeats those that
     /// have no clear answer.
-    fn settle_orders(&mut self) {
-        let listed_at = self.machines.listed_at.unwrap_or_default();
+    fn check_orders(&mut self) {
+        let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         let machines = self.machines.by_name.iter();
-        let ordered = machines.filter(|(_, machine)| machine.ordered.is_some());
+        let ordered = machines.filter(|(_, machine)| machine.pending_order.is_some());
         let names: Vec<Box<str>> = ordered.map(|(name, _)| name.clone()).collect();
         for name in names {
-            let back = self.is_back(&name);
+            let back = self.has_answering_worker(&name);
             let machine = &mut self.machines.by_name[&name];
-            let Some(ordered) = &machine.ordered else {
+            let Some(ordered) = &machine.pending_order else {
                 continue;
             };
-            match ordered.accepted {
+            match ordered.accepted_at {
                 Some(at) => {
-                    let listed = machine.view.state == MachineState::Up && listed_at > at;
+                    let listed = machine.view.state == MachineState::Up && list_requested_at > at;
                     let up = listed || back;
                     if up || self.now > at + ORDER_LIMIT {
-                        machine.ordered = None;
+                        machine.pending_order = None;
                         machine.idle_since = None;
                     }
                 }
-                None if self.now >= ordered.sent + ORDER_RETRY => {
+                None if self.now >= ordered.sent_at + ORDER_RETRY => {
                     let order = ordered.order.clone();
                     self.send_machine_order(&name, order);
                 }
@@ -141,7 +141,7 @@
     }
 
     /// Whether a worker that says that it runs on a machine answers.
-    fn is_back(&self, name: &str) -> bool {
+    fn has_answering_worker(&self, name: &str) -> bool {
         let worker = self.workers.on_machine(name);
         worker.is_some_and(|worker| self.workers[worker].answers())
     }
@@ -158,10 +158,10 @@
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
         };
-        machine.ordered = Some(Ordered {
+        machine.pending_order = Some(PendingOrder {
             order: order.clone(),
-            sent: now,
-            accepted: None,
+            sent_at: now,
+            accepted_at: None,
         });
         let decision = Decision::machine(name, &machine.view.pool, &order);
         self.tell(decision);
@@ -183,13 +183,13 @@
     }
 
     /// Whether an order took the machine of a worker away, as far as is known.
-    pub(in crate::schedule) fn was_taken_away(&self, key: WorkerKey) -> bool {
+    pub(in crate::schedule) fn was_ended_by_order(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let name = worker.record.machine.as_deref();
         let machine = name.and_then(|name| self.machines.by_name.get(name));
-        let listed_at = self.machines.listed_at.unwrap_or_default();
+        let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         machine.is_some_and(|machine| {
-            machine.took_away(&worker.record.pool, worker.known_since, listed_at)
+            machine.order_ended_life(&worker.record.pool, worker.known_since, list_requested_at)
         })
     }
 
@@ -210,34 +210,34 @@
             return;
         };
         let Some(ordered) = machine
-            .ordered
+            .pending_order
             .as_mut()
             .filter(|known| known.order == *order)
         else {
             return;
         };
-        if ordered.accepted.is_some() {
+        if ordered.accepted_at.is_some() {
             return;
         }
         self.effects
             .push(Effect::Tell(Decision::machine_answer(name, answer)));
         match answer {
             MachineAnswer::Done => {
-                ordered.accepted = Some(now);
-                machine.changed_at = Some(now);
-                self.machine_left(name, order);
+                ordered.accepted_at = Some(now);
+                machine.last_accepted_at = Some(now);
+                self.order_accepted(name, order);
             }
             MachineAnswer::Unknown => {}
             MachineAnswer::Fenced => self.effects.push(Effect::Fenced {
                 worker: name.into(),
             }),
             MachineAnswer::Busy | MachineAnswer::Refused => {
-                machine.ordered = None;
+                machine.pending_order = None;
                 machine.reserved_for = None;
                 if answer == MachineAnswer::Refused
                     && let MachineOrder::Move { pool } = order
                 {
-                    self.machines.refuse(name, pool);
+                    self.machines.record_refusal(name, pool);
                 }
                 if let Some(worker) = self.worker_on(name) {
                     self.workers[worker].cordoned = false;
@@ -247,7 +247,7 @@
     }
 
     /// A machine has gone down for an order: its worker's life is over.
-    fn machine_left(&mut self, name: &str, order: &MachineOrder) {
+    fn order_accepted(&mut self, name: &str, order: &MachineOrder) {
         if let Some(worker) = self.listed_worker(name) {
             self.life_over(worker, LifeOver::MachineOrdered);
         }
@@ -263,17 +263,20 @@
             }
             MachineOrder::Maintain { wave } => {
                 machine.view.state = MachineState::Maintained;
-                machine.emptied_for = None;
+                machine.draining_for_wave = None;
                 let wave = *wave;
                 let machine = name.into();
                 self.propose(Command::Maintained { wave, machine });
             }
         }
-        self.machines.list_due = self.machines.list_due.min(self.now + LIST_INTERVAL_BUSY);
+        self.machines.next_list_at = self
+            .machines
+            .next_list_at
+            .min(self.now + LIST_INTERVAL_BUSY);
     }
 
     /// Notes since when each machine has been idle.
-    fn watch_idle(&mut self) {
+    fn update_idle_times(&mut self) {
         let now = self.now;
         let machines = self.machines.by_name.values();
         let idle: Vec<bool> = machines.map(|machine| self.is_idle(machine)).collect();
--- a/crates/cleat-jobs/src/schedule/fleet/waves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/waves.rs
@@ -11,82 +11,83 @@
 /// shows in the lists by then.
 const TAKEOVER_PAUSE: Duration = Duration::from_secs(2);
 /// How long a machine may be missing in the lists before it is taken as gone.
-const GONE_AFTER: Duration = Duration::from_secs(6);
+const MISSING_LIMIT: Duration = Duration::from_secs(6);
 
 impl Scheduler {
     /// Takes the next steps of all waves.
-    pub(super) fn run_waves(&mut self, state: &ControlState) {
+    pub(super) fn advance_waves(&mut self, state: &ControlState) {
         if self.now < self.taken_over_at + TAKEOVER_PAUSE {
             return;
         }
         for (number, wave) in &state.waves {
             let now = self.now;
-            self.machines.wave_known.entry(*number).or_insert(now);
+            self.machines.wave_seen_at.entry(*number).or_insert(now);
             if !wave.is_completed() {
-                self.run_wave(*number, wave);
+                self.advance_wave(*number, wave);
             }
         }
     }
 
-    fn run_wave(&mut self, number: u64, wave: &Wave) {
-        self.drop_gone(number, wave);
+    fn advance_wave(&mut self, number: u64, wave: &Wave) {
+        self.remove_missing(number, wave);
         let most = usize::try_from(wave.max_at_once).unwrap_or(usize::MAX);
-        let room = most.saturating_sub(self.under_way(number, wave));
+        let room = most.saturating_sub(self.machines_in_progress(number, wave));
         let mut waiting: Vec<Box<str>> = wave
             .waiting
             .iter()
-            .filter(|name| self.may_begin(name))
+            .filter(|name| self.can_be_drained(name))
             .cloned()
             .collect();
-        waiting.sort_by_key(|name| self.effort(name));
+        waiting.sort_by_key(|name| self.drain_cost(name));
         for name in waiting.into_iter().take(room) {
-            self.begin(&name, number);
+            self.drain_machine(&name, number);
         }
-        self.maintain_empty(number);
+        self.order_maintenance(number);
     }
 
     /// How many machines of a wave are down or being emptied for it.
-    fn under_way(&self, number: u64, wave: &Wave) -> usize {
+    fn machines_in_progress(&self, number: u64, wave: &Wave) -> usize {
         let of_wave = wave.waiting.iter().chain(&wave.maintained);
         let machines = of_wave.filter_map(|name| self.machines.by_name.get(name));
         let busy = |machine: &&Machine| {
-            let ordered = machine.ordered.as_ref();
+            let ordered = machine.pending_order.as_ref();
             let maintained = |order: &MachineOrder| matches!(order, MachineOrder::Maintain { .. });
             let ordered = ordered.is_some_and(|ordered| maintained(&ordered.order));
             ordered
-                || machine.emptied_for == Some(number)
+                || machine.draining_for_wave == Some(number)
                 || machine.view.state == MachineState::Maintained
         };
         machines.filter(busy).count()
     }
 
-    fn may_begin(&self, name: &str) -> bool {
+    fn can_be_drained(&self, name: &str) -> bool {
         let machine = self.machines.by_name.get(name);
         machine.is_some_and(|machine| {
-            let free = machine.is_free();
+            let free = machine.is_unassigned();
             free && machine.view.state == MachineState::Up && machine.missing_since.is_none()
         })
     }
 
     /// How much work a machine has: those with none go first.
-    fn effort(&self, name: &str) -> u64 {
+    fn drain_cost(&self, name: &str) -> u64 {
         let worker = self.worker_on(name);
         worker.map_or(0, |worker| 1 + self.workers[worker].used.cpu_milli)
     }
 
     /// Lets a machine take no more work, so that it becomes empty.
-    fn begin(&mut self, name: &str, number: u64) {
+    fn drain_machine(&mut self, name: &str, number: u64) {
         if let Some(worker) = self.worker_on(name) {
             self.workers[worker].cordoned = true;
         }
         if let Some(machine) = self.machines.by_name.get_mut(name) {
-            machine.emptied_for = Some(number);
+            machine.draining_for_wave = Some(number);
         }
     }
 
-    fn maintain_empty(&mut self, number: u64) {
+    fn order_maintenance(&mut self, number: u64) {
         let ready = |machine: &Machine| {
-            let chosen = machine.emptied_for == Some(number) && machine.ordered.is_none();
+            let chosen =
+                machine.draining_for_wave == Some(number) && machine.pending_order.is_none();
             chosen && machine.view.state == MachineState::Up && self.is_idle(machine)
         };
         let machines = self.machines.by_name.iter();
@@ -100,21 +101,21 @@
     }
 
     /// Takes machines out of a wave that are gone for good.
-    fn drop_gone(&mut self, number: u64, wave: &Wave) {
+    fn remove_missing(&mut self, number: u64, wave: &Wave) {
         let gone = |name: &str| {
             let machine = self.machines.by_name.get(name);
             let missing = machine.and_then(|machine| machine.missing_since);
             let since = missing.or_else(|| match machine {
-                None => self.machines.wave_known.get(&number).copied(),
+                None => self.machines.wave_seen_at.get(&number).copied(),
                 Some(_) => None,
             });
-            since.is_some_and(|since| self.now >= since + GONE_AFTER)
+            since.is_some_and(|since| self.now >= since + MISSING_LIMIT)
         };
         let waiting = wave.waiting.iter();
         let names: Vec<Box<str>> = waiting.filter(|name| gone(name)).cloned().collect();
         for machine in names {
             if let Some(known) = self.machines.by_name.get_mut(&machine) {
-                known.emptied_for = None;
+                known.draining_for_wave = None;
             }
             let wave = number;
             self.propose(Command::LeftWave { wave, machine });
@@ -123,7 +124,7 @@
 
     /// The workers that are to become empty: on machines chosen for a wave,
     /// and those that say that they end.
-    pub(super) fn leaving_workers(&self) -> Vec<WorkerKey> {
+    pub(super) fn workers_to_empty(&self) -> Vec<WorkerKey> {
         let leaving = |worker: &crate::schedule::worker::Worker| worker.draining || worker.cordoned;
         let workers = self.workers.iter();
         workers
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -255,7 +255,7 @@
         for event in events {
             self.take(state, event);
         }
-        self.settle_accounts(state);
+        self.update_accounts(state);
         self.place(state);
         std::mem::take(&mut self.effects)
     }
--- a/crates/cleat-jobs/src/schedule/place.rs
+++ b/crates/cleat-jobs/src/schedule/place.rs
@@ -137,7 +137,7 @@
         };
         let allowed = self.accounts.allows(step.charge, count);
         if !allowed {
-            self.block_for_cap(id);
+            self.record_cap_reached(id);
         }
         allowed
     }
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -68,7 +68,7 @@
         match (self.cfg.sharing, step.charge.customer) {
             (Sharing::TimeFirst, _) | (_, None) => Standing::Within,
             (Sharing::JobsASecond, _) => step.standing,
-            (Sharing::RoomInUse, Some(customer)) => self.accounts.standing_by_room(customer),
+            (Sharing::RoomInUse, Some(customer)) => self.accounts.standing_by_usage(customer),
         }
     }
 
@@ -114,7 +114,9 @@
         if !any {
             ranked.clear();
         }
-        capped.into_iter().for_each(|id| self.block_for_cap(id));
+        capped
+            .into_iter()
+            .for_each(|id| self.record_cap_reached(id));
         let mut heap = BinaryHeap::from(ranked);
         std::iter::from_fn(move || heap.pop().map(|Reverse((.., order))| order.step))
     }
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -350,7 +350,7 @@
         match self.strays.get_mut(&(key, task, run)) {
             Some(stray) if self.now < stray.sent_at + RENEWAL_RETRY => return,
             Some(stray) => stray.sent_at = self.now,
-            None => self.hold_stray(state, (key, task, run)),
+            None => self.add_stray(state, (key, task, run)),
         }
         self.send_stop(key, task, run, StopReason::Stray);
     }
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -200,7 +200,7 @@
         let Some(spec) = job.step(id) else {
             return;
         };
-        let charge = self.charge(state, job, spec);
+        let charge = self.charge_for(state, job, spec);
         let unstarted = |index: &u32| {
             !job.is_task_done(id, *index) && !self.attempts.contains_key(&id.task(*index))
         };
--- a/crates/cleat-jobs/src/schedule/tick.rs
+++ b/crates/cleat-jobs/src/schedule/tick.rs
@@ -17,8 +17,8 @@
         self.start_due(state);
         self.forget_old();
         self.crashed_machines.forget(self.now);
-        self.settle_stopped(state);
-        self.tend_machines(state);
+        self.propose_stopped_jobs(state);
+        self.manage_machines(state);
         // Pauses may have ended.
         self.unsettled = Unsettled::All;
     }
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -166,8 +166,10 @@
         let Some(name) = job.customer.as_deref() else {
             return;
         };
-        let key = self.accounts.open(name, state.catalogue.as_deref());
-        if self.accounts.take_job(key, came) == Standing::Beyond {
+        let key = self
+            .accounts
+            .get_or_create(name, state.catalogue.as_deref());
+        if self.accounts.record_job(key, came) == Standing::Beyond {
             self.standings.insert(id, Standing::Beyond);
         }
     }
--- a/crates/cleat-jobs/tests/caps.rs
+++ b/crates/cleat-jobs/tests/caps.rs
@@ -204,7 +204,7 @@
     let begun = starts(&submit(&mut bed, 1, vec![step(5, 1_000)]));
     bed.answer(&begun[0].0, &begun[0].1, OrderAnswer::Unknown);
     bed.apply(Command::Cancel { id: JobId(1) });
-    for (name, kept, counted) in bed.owner.recounted() {
+    for (name, kept, counted) in bed.owner.recount_usage() {
         assert_eq!(kept, counted, "{name}");
         assert_eq!(kept.cpu_milli, 3_000);
     }
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -88,7 +88,7 @@
 
     /// What is kept of each customer has to be what follows from its runs.
     pub(super) fn check_accounts(&self) -> Result<(), Violation> {
-        let rows = self.owner.as_ref().map(Scheduler::recounted);
+        let rows = self.owner.as_ref().map(Scheduler::recount_usage);
         let mut rows = rows.unwrap_or_default().into_iter();
         match rows.find(|(_, kept, counted)| kept != counted) {
             Some((customer, ..)) => {
