--- a/crates/cleat-jobs/src/catalogue/check.rs
+++ b/crates/cleat-jobs/src/catalogue/check.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration.
+//! Validation of a configuration.
 
 use indexmap::IndexMap;
 
@@ -16,7 +16,7 @@
 
 fn queue_faults(draft: &CatalogueDraft) -> Vec<CatalogueFault> {
     let mut faults = Vec::new();
-    let mut places: IndexMap<(&str, &str), &str> = IndexMap::new();
+    let mut addresses: IndexMap<(&str, &str), &str> = IndexMap::new();
     for queue in &draft.queues {
         let Queue { name, pool, .. } = queue;
         if !draft.pools.iter().any(|known| known.name == *pool) {
@@ -29,7 +29,7 @@
             let queue = name.clone();
             faults.push(CatalogueFault::NoTimeout { queue });
         }
-        if let Some(other) = places.insert((&queue.host, &queue.prefix), name) {
+        if let Some(other) = addresses.insert((&queue.host, &queue.prefix), name) {
             faults.push(CatalogueFault::DuplicateQueue {
                 first: other.into(),
                 second: name.clone(),
@@ -59,7 +59,7 @@
             at: *at,
         }));
         for (at, key) in draft.customer.keys.iter().enumerate() {
-            // A key that stands twice with one customer is that customer's.
+            // A customer may list the same key twice.
             let other = keys.insert(*key, name).filter(|other| **other != **name);
             faults.extend(other.map(|other| CatalogueFault::SharedKey {
                 customer: name.clone(),
--- a/crates/cleat-jobs/src/catalogue/error.rs
+++ b/crates/cleat-jobs/src/catalogue/error.rs
@@ -1,12 +1,12 @@
-//! Why a configuration can't be put into force.
+//! Faults of a configuration.
 
 use snafu::Snafu;
 
-/// Everything that is wrong with a configuration. The one before stays in force.
+/// An invalid configuration. The previous one stays in force.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("{}", joined(faults)))]
 pub struct CatalogueError {
-    /// The faults, one at least.
+    /// The faults, at least one.
     pub faults: Vec<CatalogueFault>,
 }
 
@@ -15,24 +15,24 @@
     texts.join("; ")
 }
 
-/// One place where a configuration contradicts itself.
+/// One fault of a configuration.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CatalogueFault {
-    /// A queue names a pool that is not listed.
-    #[snafu(display("queue {queue}: there is no pool {pool}; list it or name another"))]
+    /// A queue refers to a pool that does not exist.
+    #[snafu(display("queue {queue}: pool {pool} does not exist; add it or choose another pool"))]
     UnknownPool {
         /// The queue.
         queue: Box<str>,
-        /// The name.
+        /// The name of the pool.
         pool: Box<str>,
     },
     /// Two queues have the same host and prefix.
     #[snafu(display("queues {first} and {second} have the same host and prefix; change one"))]
     DuplicateQueue {
-        /// One of them.
+        /// The first queue.
         first: Box<str>,
-        /// The other.
+        /// The second queue.
         second: Box<str>,
     },
     /// A queue's time-out is 0.
@@ -42,39 +42,43 @@
         queue: Box<str>,
     },
     /// Two customers have the same name.
-    #[snafu(display("customers {at} and {first}: both are called {name}; rename one"))]
+    #[snafu(display("customers {at} and {first}: both have the name {name}; rename one"))]
     DuplicateCustomer {
-        /// The place of the first in the list.
+        /// The position of the first in the list.
         first: usize,
-        /// The place of the other.
+        /// The position of the second.
         at: usize,
-        /// The name.
+        /// Their name.
         name: Box<str>,
     },
     /// A customer's key is empty.
-    #[snafu(display("customer {customer}, key {at}: it is empty; remove it"))]
+    #[snafu(display("customer {customer}, key {at}: the key is empty; remove it"))]
     EmptyKey {
         /// The customer.
         customer: Box<str>,
-        /// The place of the key in the customer's list.
+        /// The position of the key in the customer's list.
         at: usize,
     },
-    /// A customer's weight is below 0 or no number.
-    #[snafu(display("customer {customer}: its weight is {weight}; give a number of 0 or more"))]
+    /// A customer's weight is negative or not finite.
+    #[snafu(display(
+        "customer {customer}: its weight is {weight}; expected a finite number of 0 or more"
+    ))]
     WeightOutOfRange {
         /// The customer.
         customer: Box<str>,
         /// The weight.
         weight: f64,
     },
-    /// Two customers have the same key. The key itself is not told.
-    #[snafu(display("customer {customer}, key {at}: {other} has it too; give each its own"))]
+    /// Two customers have the same key. The message does not show the key.
+    #[snafu(display(
+        "customer {customer}, key {at}: customer {other} has the same key; use different keys"
+    ))]
     SharedKey {
         /// The customer.
         customer: Box<str>,
-        /// The place of the key in the customer's list.
+        /// The position of the key in the customer's list.
         at: usize,
-        /// The other.
+        /// The other customer.
         other: Box<str>,
     },
 }
--- a/crates/cleat-jobs/src/catalogue/mod.rs
+++ b/crates/cleat-jobs/src/catalogue/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: queues of jobs and the pools that run them.
+//! The operator's configuration: the queues of jobs, the pools that run them and the
+//! customers.
 
 mod check;
 mod error;
@@ -12,57 +13,57 @@
 
 use crate::{Caller, Customer, Customers, Document, KeyDigest};
 
-/// A whole configuration. It replaces the one before.
+/// A complete, validated configuration. It replaces the previous one as a whole.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// The operator's number; the highest is in force.
+    /// The version that the operator gave it; the highest version is in force.
     pub version: u64,
-    /// The queues. Invariant: no two share host and prefix, and each names a
-    /// pool of `pools`.
+    /// The queues. Invariant: no two have the same host and prefix, and the pool of each
+    /// is in `pools`.
     pub queues: Vec<Arc<Queue>>,
-    /// The pools by name.
+    /// The pools, by name.
     pub pools: IndexMap<Box<str>, Pool>,
-    /// The customers; none where calls need no key.
+    /// The customers; `None` if calls need no key.
     ///
-    /// Invariant: no two share a name or a key.
+    /// Invariant: no two have the same name or a key in common.
     pub customers: Option<Customers>,
-    /// The operator's document as it came, to be read back.
+    /// The operator's document as received, which operators can read back.
     pub document: Document,
 }
 
-/// A queue of jobs: where they arrive and how they are run.
+/// A queue of jobs: the address that they are submitted to, and how they are run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
     /// Its name.
     pub name: Box<str>,
-    /// The host that its callers name.
+    /// The host that its callers address.
     pub host: Box<str>,
-    /// What the paths of its jobs begin with.
+    /// The prefix of the paths of its jobs.
     pub prefix: Box<str>,
     /// The pool whose workers run its tasks.
     pub pool: Box<str>,
-    /// The class of urgency; 0 goes first.
+    /// The priority class; 0 is the most urgent.
     pub priority: u32,
-    /// How often a task may fail before its job fails.
+    /// The number of failed attempts of a task at which its job fails.
     pub max_attempts: u32,
-    /// How much longer than its chain of work a job may take.
+    /// The factor by which a job may take longer than its longest chain of steps.
     pub stretch: f64,
-    /// What is added to that, in milliseconds.
+    /// The time that a job may take in addition to that, in milliseconds.
     pub target_latency_ms: u64,
-    /// How long a call may take, in milliseconds.
+    /// The time-out of a call, in milliseconds.
     pub timeout_ms: u64,
-    /// Whether its callers need no key.
+    /// Whether calls need no key.
     pub public: bool,
-    /// Set where starts need the adviser's permission.
+    /// The time that permissions take, if starts need the adviser's permission.
     pub advice: Option<Advice>,
 }
 
-/// How long the adviser takes for a queue's steps.
+/// The time that the adviser's permissions take for the steps of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// The fixed part of a call, in milliseconds.
+    /// The fixed part of the duration of a call, in milliseconds.
     pub decision_ms: u64,
-    /// The part for each worker named, in microseconds.
+    /// The part for each worker in the call, in microseconds.
     pub per_worker_us: u64,
     /// How long a permission is valid, in milliseconds.
     pub validity_ms: u64,
@@ -73,44 +74,44 @@
 pub struct Pool {
     /// Its name.
     pub name: Box<str>,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse tasks that exceed their capacity.
     pub enforces_capacity: bool,
-    /// Whether its machines are off until they are moved elsewhere.
+    /// Whether this is the spare pool, whose machines are off until they are moved to
+    /// another pool.
     pub spare: bool,
-    /// Where its workers answer health checks.
+    /// The path at which its workers answer health checks.
     pub health_path: Box<str>,
 }
 
-/// A configuration as it was read, not checked yet.
+/// A configuration that was parsed but not validated.
 #[derive(Clone, Debug)]
 pub struct CatalogueDraft {
-    /// The operator's number.
+    /// The version that the operator gave it.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Queue>,
     /// The pools.
     pub pools: Vec<Pool>,
-    /// The customers, each with its keys as they were written; none where calls
-    /// need no key.
+    /// The customers; `None` if calls need no key.
     pub customers: Option<Vec<CustomerDraft>>,
-    /// The operator's document as it came.
+    /// The operator's document as received.
     pub document: Document,
 }
 
-/// A customer as it was read, not checked yet.
+/// A customer that was parsed but not validated.
 #[derive(Clone, Debug)]
 pub struct CustomerDraft {
-    /// The customer; its `keys` are those of `keys`.
+    /// The customer, with the digests of all its keys.
     pub customer: Customer,
-    /// The places of empty keys in its list.
+    /// The positions of empty keys in its list of keys.
     pub empty_keys: Vec<usize>,
 }
 
 impl CustomerDraft {
-    /// A customer with keys as they were written.
+    /// Creates a draft of a customer with the given keys, which are stored as digests.
     pub fn new(customer: Customer, keys: &[Box<str>]) -> CustomerDraft {
-        let places = keys.iter().enumerate();
-        let empty = places.filter(|(_, key)| key.is_empty()).map(|(at, _)| at);
+        let keys_at = keys.iter().enumerate();
+        let empty = keys_at.filter(|(_, key)| key.is_empty()).map(|(at, _)| at);
         CustomerDraft {
             customer: Customer {
                 keys: keys.iter().map(|key| KeyDigest::of(key)).collect(),
@@ -122,10 +123,10 @@
 }
 
 impl Catalogue {
-    /// Checks a configuration as a whole.
+    /// Validates a configuration.
     ///
     /// # Errors
-    /// [`CatalogueError`] names every fault and its place.
+    /// [`CatalogueError`] lists every fault with its position in the configuration.
     pub fn new(draft: CatalogueDraft) -> Result<Catalogue, CatalogueError> {
         let faults = check::faults(&draft);
         if !faults.is_empty() {
@@ -145,7 +146,7 @@
         })
     }
 
-    /// Whose a call of a queue is that carries this key.
+    /// Authenticates a call to a queue by its key.
     pub fn authenticate(&self, queue: &Queue, key: Option<&KeyDigest>) -> Caller {
         let Some(customers) = self.customers.as_ref().filter(|_| !queue.public) else {
             return Caller::Anyone;
@@ -154,13 +155,13 @@
         known.map_or(Caller::Unknown, |known| Caller::Customer(known.clone()))
     }
 
-    /// The customer of that name.
+    /// The customer with this name.
     pub fn customer(&self, name: &str) -> Option<&Arc<Customer>> {
         self.customers.as_ref()?.get(name)
     }
 
-    /// The queue of a call: that of the host with the longest prefix that the
-    /// path begins with.
+    /// The queue that a call addresses: the one with this host and the longest prefix
+    /// that `path` starts with.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Queue>> {
         let matches =
             |queue: &&Arc<Queue>| *queue.host == *host && path.starts_with(&*queue.prefix);
--- a/crates/cleat-jobs/src/customer/customers.rs
+++ b/crates/cleat-jobs/src/customer/customers.rs
@@ -1,4 +1,4 @@
-//! All customers of a configuration, and whose a call is.
+//! The customers of a configuration, and the authentication of calls by their keys.
 
 use std::sync::Arc;
 
@@ -10,27 +10,27 @@
 /// The customers of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Customers {
-    /// By name.
+    /// The customers, by name.
     by_name: IndexMap<Box<str>, Arc<Customer>>,
-    /// Whose each key is.
+    /// The customer that each key belongs to.
     ///
-    /// Invariant: names only customers of `by_name`.
+    /// Invariant: holds only customers of `by_name`.
     by_key: IndexMap<KeyDigest, Arc<Customer>>,
 }
 
-/// Whose call it is.
+/// The origin of a call, as authenticated by its key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// No key is asked for: the queue is public, or there are no customers.
+    /// No key is required: the queue is public, or no customers are configured.
     Anyone,
-    /// This customer's.
+    /// The customer that the key belongs to.
     Customer(Arc<Customer>),
-    /// Nobody's: it has no key, or one that no customer has.
+    /// A key is required, but the call has none or one that belongs to no customer.
     Unknown,
 }
 
 impl Caller {
-    /// The customer's name, if the call is one's.
+    /// The name of the customer, if the call comes from one.
     pub fn name(&self) -> Option<&str> {
         match self {
             Caller::Customer(customer) => Some(&customer.name),
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Whether the call may read and cancel a job of `owner`. A job that is
-    /// nobody's came through a public queue, or before there were customers.
+    /// Whether the call may read and cancel a job that belongs to the customer `owner`.
+    /// A job without a customer was submitted to a public queue, or before customers
+    /// were configured.
     pub fn may_access(&self, owner: Option<&str>) -> bool {
         match self {
             Caller::Anyone => true,
@@ -50,8 +51,8 @@
 }
 
 impl Customers {
-    /// Customers without a name or key that stands twice: the later of two
-    /// customers, or of two holders of a key, would take the place of the first.
+    /// Indexes customers whose names and keys must be unique: of two customers with the
+    /// same name or key the later one would replace the first.
     pub(crate) fn new(customers: Vec<Customer>) -> Customers {
         let mut all = Customers::default();
         for customer in customers {
@@ -64,27 +65,27 @@
         all
     }
 
-    /// The customer of that name.
+    /// The customer with this name.
     pub fn get(&self, name: &str) -> Option<&Arc<Customer>> {
         self.by_name.get(name)
     }
 
-    /// The customer that has this key.
+    /// The customer that the key belongs to.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Customer>> {
         self.by_key.get(key)
     }
 
-    /// All of them, in the operator's order.
+    /// All customers, in the order of the operator's document.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Customer>> {
         self.by_name.values()
     }
 
-    /// How many there are.
+    /// The number of customers.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is none: then every key is unknown.
+    /// Whether there are no customers, so that every key is unknown.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/crates/cleat-jobs/src/customer/document.rs
+++ b/crates/cleat-jobs/src/customer/document.rs
@@ -1,18 +1,17 @@
-//! The operator's document, which holds keys.
+//! The operator's configuration document, which contains secret keys.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A configuration as its operator wrote it, to be read back by operators.
+/// The text of a configuration as the operator wrote it, which operators can read back.
 ///
-/// It holds customers' keys, so that it shows nothing but its length where it is
-/// printed.
+/// It contains the customers' keys, so its `Debug` output shows only its length.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document(Box<str>);
 
 impl Document {
-    /// The text, for an operator only.
+    /// The text. It contains keys and must be shown to operators only.
     pub fn reveal(&self) -> &str {
         &self.0
     }
--- a/crates/cleat-jobs/src/customer/key.rs
+++ b/crates/cleat-jobs/src/customer/key.rs
@@ -1,31 +1,31 @@
-//! A customer's key, as the fleet keeps it.
+//! Digests of customers' keys.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// How many bytes of a digest its fingerprint shows: enough to tell the keys of
-/// a fleet apart, too few to find a key by.
+/// The number of digest bytes in a fingerprint: enough to distinguish the keys of a
+/// fleet, too few to search for a key with that digest.
 const FINGERPRINT_BYTES: usize = 4;
 
 /// The SHA-256 digest of a key.
 ///
-/// A key itself goes no further than the instance that reads it from a call or
-/// from the operator's document: what is compared, sent on, kept and logged is
-/// its digest. Whoever times a comparison of digests learns nothing of a key,
-/// as nobody can choose a key by its digest.
+/// A key itself does not leave the instance that reads it from a call or from the
+/// operator's document. Its digest is compared, forwarded, stored and logged instead.
+/// The comparison needs no constant time: a timing attack needs keys with chosen
+/// digests, and nobody can choose a key by its digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 }
 
-/// The fingerprint, by which operators tell keys apart.
+/// Prints the fingerprint, by which operators distinguish keys.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut bytes = self.0.iter().take(FINGERPRINT_BYTES);
--- a/crates/cleat-jobs/src/customer/mod.rs
+++ b/crates/cleat-jobs/src/customer/mod.rs
@@ -1,4 +1,4 @@
-//! Customers: who may submit jobs, and how much each may have running.
+//! Customers, who submit jobs, and the limits on what each may have running.
 
 mod customers;
 mod document;
@@ -12,56 +12,54 @@
 
 use crate::Size;
 
-/// Someone whose jobs the fleet runs.
+/// A customer, whose jobs the fleet runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
     /// Its name.
     pub name: Box<str>,
-    /// The digests of its keys; any of them names it. Two at a time let a key be
-    /// exchanged without a gap.
+    /// The digests of its keys, each of which authenticates it. With two keys a key can
+    /// be rotated without an interruption.
     pub keys: Vec<KeyDigest>,
-    /// Its share when all is full: how many jobs a second it may count on.
+    /// Its guaranteed share under full load, in jobs a second.
     pub weight: f64,
-    /// The most that it may have running on all workers together; 0 of a
-    /// resource is no limit.
+    /// The maximum that it may have running on all workers together.
     pub cap: Cap,
 }
 
-/// The most that a customer may have running.
+/// The maximum that a customer may have running; a resource of 0 has no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cap(pub Size);
 
 impl Cap {
-    /// Whether so much may run.
-    pub fn allows(self, held: Size) -> bool {
-        let fits = |held: u64, most: u64| most == 0 || held <= most;
-        let Cap(most) = self;
-        fits(held.cpu_milli, most.cpu_milli)
-            && fits(held.memory_mb, most.memory_mb)
-            && fits(held.gpu, most.gpu)
+    /// Whether the cap allows `used` to be in use.
+    pub fn allows(self, used: Size) -> bool {
+        let fits = |used: u64, limit: u64| limit == 0 || used <= limit;
+        let Cap(limit) = self;
+        fits(used.cpu_milli, limit.cpu_milli)
+            && fits(used.memory_mb, limit.memory_mb)
+            && fits(used.gpu, limit.gpu)
     }
 
-    /// Whether less than half of each limited resource is in use.
-    pub fn is_under_half(self, held: Size) -> bool {
-        let free = |held: u64, most: u64| most == 0 || held.saturating_mul(2) < most;
-        let Cap(most) = self;
-        free(held.cpu_milli, most.cpu_milli)
-            && free(held.memory_mb, most.memory_mb)
-            && free(held.gpu, most.gpu)
+    /// Whether `used` is less than half of the limit of each limited resource.
+    pub fn is_under_half(self, used: Size) -> bool {
+        let under_half = |used: u64, limit: u64| limit == 0 || used.saturating_mul(2) < limit;
+        let Cap(limit) = self;
+        under_half(used.cpu_milli, limit.cpu_milli)
+            && under_half(used.memory_mb, limit.memory_mb)
+            && under_half(used.gpu, limit.gpu)
     }
 
-    /// How much may be added to what is held; without end where there is no
-    /// limit.
-    pub fn remaining(self, held: Size) -> Size {
-        let left = |held: u64, most: u64| match most {
+    /// What may be used in addition to `used`; `u64::MAX` of a resource without a limit.
+    pub fn remaining(self, used: Size) -> Size {
+        let remaining = |used: u64, limit: u64| match limit {
             0 => u64::MAX,
-            _ => most.saturating_sub(held),
+            _ => limit.saturating_sub(used),
         };
-        let Cap(most) = self;
+        let Cap(limit) = self;
         Size {
-            cpu_milli: left(held.cpu_milli, most.cpu_milli),
-            memory_mb: left(held.memory_mb, most.memory_mb),
-            gpu: left(held.gpu, most.gpu),
+            cpu_milli: remaining(used.cpu_milli, limit.cpu_milli),
+            memory_mb: remaining(used.memory_mb, limit.memory_mb),
+            gpu: remaining(used.gpu, limit.gpu),
         }
     }
 }
--- a/crates/cleat-jobs/src/ids.rs
+++ b/crates/cleat-jobs/src/ids.rs
@@ -1,4 +1,4 @@
-//! The names of jobs, steps, tasks and runs.
+//! Identifiers of jobs, steps, tasks and runs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
 
-/// How many hexadecimal digits a job's id has.
+/// The number of hexadecimal digits in the id of a job.
 const JOB_DIGITS: usize = 16;
 
-/// A job, named by whoever submitted it.
+/// The id of a job, chosen by the client that submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -22,8 +22,8 @@
 impl FromStr for JobId {
     type Err = ParseIdError;
 
-    /// Takes 16 lower-case hexadecimal digits, so that the id that is printed
-    /// is the one that was given.
+    /// Accepts exactly 16 lower-case hexadecimal digits, so that a parsed id is printed
+    /// as it was written.
     fn from_str(text: &str) -> Result<JobId, ParseIdError> {
         let digits = text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let parsed = u64::from_str_radix(text, 16).ok();
@@ -32,19 +32,19 @@
     }
 }
 
-/// A step of one occurrence of a job.
+/// The id of a step in one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// The occurrence, counted from 0; 0 for a job that runs once.
+    /// The number of the occurrence, from 0; 0 for a job that runs once.
     pub occurrence: u32,
-    /// The step, counted from 0.
+    /// The number of the step, from 0.
     pub step: u16,
 }
 
 impl StepId {
-    /// One of the step's tasks.
+    /// The id of a task of the step.
     pub fn task(self, index: u32) -> TaskId {
         TaskId { step: self, index }
     }
@@ -56,12 +56,12 @@
     }
 }
 
-/// One task of a step.
+/// The id of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
     /// The step.
     pub step: StepId,
-    /// The task, counted from 0.
+    /// The number of the task in its step, from 0.
     pub index: u32,
 }
 
@@ -104,7 +104,7 @@
     part.parse().ok().context(TaskSnafu { text })
 }
 
-/// The number of a task's start. A later start has a higher number.
+/// The number of a run of a task. A run that is started later has a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -116,17 +116,17 @@
     }
 }
 
-/// A text that names no job or task.
+/// A text that can't be parsed as the id of a job or task.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ParseIdError {
-    /// A job's id has 16 lower-case hexadecimal digits.
-    #[snafu(display("{text:?} is no job id: give 16 lower-case hexadecimal digits"))]
+    /// The text is not 16 lower-case hexadecimal digits.
+    #[snafu(display("{text:?} is not a job id: expected 16 lower-case hexadecimal digits"))]
     JobId {
         /// The text.
         text: Box<str>,
     },
-    /// A task is named `JOB.OCCURRENCE.STEP.INDEX`.
-    #[snafu(display("{text:?} is no task: expected JOB.OCCURRENCE.STEP.INDEX"))]
+    /// The text does not have the form `JOB.OCCURRENCE.STEP.INDEX`.
+    #[snafu(display("{text:?} is not a task id: expected JOB.OCCURRENCE.STEP.INDEX"))]
     Task {
         /// The text.
         text: Box<str>,
--- a/crates/cleat-jobs/src/job/error.rs
+++ b/crates/cleat-jobs/src/job/error.rs
@@ -1,21 +1,20 @@
-//! Why a job can't be taken.
+//! Errors in the specification of a job.
 
 use snafu::Snafu;
 
-/// A job that contradicts itself. Nothing was stored; correct it and submit
-/// it again.
+/// An invalid job specification. Nothing was stored; correct it and submit it again.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum JobSpecError {
     /// The job has no step.
     #[snafu(display("steps: a job needs at least one step"))]
     NoSteps,
-    /// There are more steps than can be numbered.
-    #[snafu(display("steps: {count} steps are too many; at most {limit} are taken"))]
+    /// The job has too many steps.
+    #[snafu(display("steps: {count} steps are too many; at most {limit} are accepted"))]
     TooManySteps {
-        /// How many there are.
+        /// The number of steps.
         count: usize,
-        /// How many are taken.
+        /// The maximum.
         limit: usize,
     },
     /// A step has no task.
@@ -24,30 +23,32 @@
         /// The step.
         step: usize,
     },
-    /// A step has more tasks than are taken.
-    #[snafu(display("steps.{step}.count: {count} tasks are too many; at most {limit} are taken"))]
+    /// A step has too many tasks.
+    #[snafu(display(
+        "steps.{step}.count: {count} tasks are too many; at most {limit} are accepted"
+    ))]
     TooManyTasks {
         /// The step.
         step: usize,
-        /// How many it asks for.
+        /// The number of tasks.
         count: u32,
-        /// How many are taken.
+        /// The maximum.
         limit: u32,
     },
-    /// A step waits for itself, a later one or one that is not there.
+    /// A step depends on itself, on a later step or on one that does not exist.
     #[snafu(display("steps.{step}.after: step {after} is not an earlier step"))]
     DependencyNotEarlier {
         /// The step.
         step: usize,
-        /// What it names.
+        /// The step that it depends on.
         after: usize,
     },
     /// The specification is too long.
-    #[snafu(display("specification: {bytes} bytes are too many; at most {limit} are taken"))]
+    #[snafu(display("specification: {bytes} bytes are too many; at most {limit} are accepted"))]
     SpecificationTooLong {
-        /// Its length.
+        /// The length in bytes.
         bytes: usize,
-        /// How many bytes are taken.
+        /// The maximum in bytes.
         limit: usize,
     },
 }
--- a/crates/cleat-jobs/src/job/mod.rs
+++ b/crates/cleat-jobs/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! What a submitted job asks for.
+//! Specifications of submitted jobs.
 
 mod error;
 mod spec;
--- a/crates/cleat-jobs/src/job/spec.rs
+++ b/crates/cleat-jobs/src/job/spec.rs
@@ -1,4 +1,4 @@
-//! Jobs and their steps as submitted.
+//! Submitted specifications of jobs and their steps.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,37 +9,37 @@
 };
 use crate::Size;
 
-/// The most steps of a job: far above the widest seen (5), and low enough for
-/// a step's number to fit its type.
+/// The maximum number of steps of a job. The widest job seen has 5, and a step number
+/// must fit into `u16`.
 const MAX_STEPS: usize = 1_000;
-/// The most tasks of a step. Bounds the memory that one submission can take:
-/// a bit a task in the replicated state.
+/// The maximum number of tasks of a step. It bounds the memory that one submission can
+/// use, since the replicated state has a bit for each task.
 const MAX_TASKS: u32 = 100_000;
-/// The longest specification, in bytes; the platform's own limit is 4,000.
+/// The maximum length of a specification, in bytes. The platform's own limit is 4,000.
 const MAX_SPECIFICATION_BYTES: usize = 16 * 1024;
 
-/// A job as submitted. Optional keys have the value of the default.
+/// The specification of a job. A field that is left out has its default value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
-    /// What the job's tasks are told when they start.
+    /// The text that is passed to each task when it starts.
     #[serde(default)]
     pub specification: Box<str>,
-    /// The steps. Invariant: at least one, and each waits for earlier ones only.
+    /// The steps. Invariant: at least one, and each depends only on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// Set where the steps run again and again.
+    /// The schedule of a job whose steps run more than once.
     #[serde(default)]
     pub repeat: Option<Repeat>,
 }
 
-/// When the occurrences of a job are due.
+/// The schedule by which the occurrences of a job are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
     /// The time of occurrence 0, in milliseconds since the Unix epoch.
     pub first_ms: u64,
     /// The time between two occurrences, in milliseconds.
     pub interval_ms: u64,
-    /// How many occurrences there are; at least 1.
+    /// The number of occurrences; at least 1.
     pub times: u32,
 }
 
@@ -51,47 +51,46 @@
     }
 }
 
-/// One step: equal tasks that may run side by side.
+/// One step of a job: a number of equal tasks that may run at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StepSpec {
-    /// How many tasks there are.
+    /// The number of tasks.
     pub count: u32,
-    /// What each of them takes up.
+    /// The resources that each task needs.
     pub size: Size,
-    /// A rough estimate of a task's run time, in milliseconds.
+    /// A rough estimate of the run time of a task, in milliseconds.
     pub estimate_ms: u64,
-    /// The earlier steps whose tasks have to be done before.
+    /// The numbers of the earlier steps that must be done before this one starts.
     pub after: Vec<u16>,
-    /// Whether the tasks work only while all of them run, and end together.
+    /// Whether the tasks make progress only while all of them run, and end together.
     pub gang: bool,
-    /// Whether the tasks are slowed down when they run on several racks.
+    /// Whether the tasks run slower if they are spread over several racks.
     pub rack_local: bool,
     /// A label that the worker must have.
     pub required_label: Option<Box<str>>,
-    /// The rack that holds the data; elsewhere the tasks are slowed down.
+    /// The rack that holds the data; the tasks run slower on other racks.
     pub data_rack: Option<Box<str>>,
-    /// How many of the step's tasks one worker may run at once.
+    /// The maximum number of tasks of the step that one worker may run at the same time.
     pub max_per_worker: Option<u32>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
     /// Whether the tasks write checkpoints.
     pub checkpointing: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run. Tasks with the same image behave alike.
     pub image: Option<Box<str>>,
-    /// For tasks that serve users: what the tail of their response times has
-    /// to stay below, in milliseconds.
+    /// For tasks that serve users: the objective for their tail latency, in milliseconds.
     pub target_ms: Option<u64>,
-    /// Whether the tasks take only the processor time that others leave.
+    /// Whether the tasks use only the processor time that other tasks leave idle.
     pub fills: bool,
-    /// How many tasks may be kept from work by this system at the same time.
+    /// The maximum number of tasks that the scheduler may interrupt at the same time.
     pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
-    /// What a task takes up of a worker's capacity.
+    /// The part of a worker's capacity that a task uses.
     pub fn footprint(&self) -> Size {
         if self.fills {
             self.size.without_cpu()
@@ -102,10 +101,10 @@
 }
 
 impl JobSpec {
-    /// Checks that the job does not contradict itself.
+    /// Checks the limits and the dependencies of the steps.
     ///
     /// # Errors
-    /// [`JobSpecError`] names the field.
+    /// [`JobSpecError`] names the first invalid field.
     pub fn validate(&self) -> Result<(), JobSpecError> {
         let bytes = self.specification.len();
         if bytes > MAX_SPECIFICATION_BYTES {
@@ -124,20 +123,20 @@
         steps.try_for_each(|(at, step)| step.validate(at))
     }
 
-    /// How many occurrences the job has.
+    /// The number of occurrences of the job.
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.times.max(1))
     }
 
-    /// Whether any of its steps runs until the job is cancelled.
+    /// Whether any step runs until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 }
 
 impl StepSpec {
-    /// How many workers the step needs to run all its tasks at once, by how
-    /// many of them one may run.
+    /// The minimum number of workers on which all tasks of the step can run at the same
+    /// time, given `max_per_worker`.
     pub fn min_workers(&self) -> usize {
         let most = self.max_per_worker.unwrap_or(u32::MAX).max(1);
         self.count.div_ceil(most) as usize
--- a/crates/cleat-jobs/src/lib.rs
+++ b/crates/cleat-jobs/src/lib.rs
@@ -1,10 +1,12 @@
-//! Jobs of many tasks: what is replicated of them, and who runs what where.
+//! Jobs that consist of many tasks: their replicated state, and the scheduling of
+//! their tasks on workers.
 //!
-//! [`ControlState`] is what a majority of disks holds: accepted jobs, ends of
-//! tasks, the configuration. [`Scheduler`] is the owner's side: a pure
-//! `(state, event, now) -> effects` that starts tasks on workers, stops them
-//! and learns of their ends. A new owner builds it from the replicated state
-//! and from what the workers list.
+//! [`ControlState`] is replicated, so a majority of the members has it on disk. It
+//! holds the accepted jobs, the ends of their tasks and the configuration.
+//! [`Scheduler`] is used by the owner of the workers. It is a pure function
+//! `(state, event, now) -> effects` that starts and stops tasks on workers and
+//! processes their ends. A new owner builds it from the replicated state and from the
+//! runs that the workers report.
 
 mod catalogue;
 mod customer;
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -1,9 +1,9 @@
-//! What each customer has running, and how much more it may have.
+//! Accounts of what each customer has running, which enforce its cap.
 //!
-//! A customer's cap holds over all workers, also where this owner is in doubt: a
-//! run counts from the order that may start it until its worker lists its end,
-//! or its lease is over. What an earlier owner may have started on workers that
-//! have not answered yet counts as well, as if all of it ran.
+//! A cap applies to all workers together and is never exceeded because of doubt: a run
+//! counts from the order that may start it until its worker reports its end, or the
+//! worker's lease expires. Everything that an earlier owner may have started on workers
+//! that have not answered yet counts as if it were running.
 
 mod report;
 mod usage;
@@ -17,14 +17,14 @@
 use super::shares::{Sent, Standing};
 use crate::{Cap, Catalogue, Size};
 
-/// A customer of the arena. Keys are never reused.
+/// The index of an account in the arena. Indexes are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct CustomerKey(u32);
 
-/// What a run counts for, and against whom.
+/// The size that a run counts for, and the customer whose account it counts against.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Charge {
-    /// None if the run is nobody's.
+    /// None if the run belongs to no customer.
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) size: Size,
 }
@@ -33,54 +33,54 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Account {
     pub(crate) name: Box<str>,
-    /// The most it may have running, by the configuration in force; no limit for
-    /// a customer that is no longer there.
+    /// The cap in the configuration in force; no limit for a customer that was removed.
     pub(crate) cap: Cap,
-    /// Its share, in jobs a second, by the configuration in force.
+    /// The share in the configuration in force, in jobs a second.
     weight: f64,
-    /// The jobs that it sent lately within that.
+    /// The recent jobs that it submitted within its share.
     sent: Sent,
-    /// What its runs take up that this owner knows of.
+    /// The total size of its runs that this owner knows of.
     ///
-    /// Invariant: the sum of the charges of its attempts that hold room and of
-    /// its strays.
+    /// Invariant: the sum of the charges of its strays and of its attempts, except those
+    /// that have ended.
     pub(crate) used: Size,
-    /// What may run beside that without this owner's knowledge.
+    /// The total size of the tasks that may be running in addition, started by an earlier
+    /// owner.
     pub(crate) in_doubt: Size,
-    /// The pools in which its steps were passed over for its cap.
+    /// The pools in which its cap has held steps back since a run of it was last released.
     blocked_pools: IndexSet<Box<str>>,
     /// When it was last logged that its cap holds steps back.
     cap_logged_at: Option<Duration>,
 }
 
-/// The accounts of all customers that have had jobs in this owner's time.
+/// The accounts of all customers that have had jobs under this owner.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     arena: Vec<Account>,
     by_name: IndexMap<Box<str>, CustomerKey>,
-    /// The version of the configuration that the caps are of.
+    /// The version of the configuration that the caps and weights are from.
     version: Option<u64>,
 }
 
 impl Account {
-    /// What the customer may start beside what it has.
+    /// The total size of the tasks that may still be started for the customer.
     pub(crate) fn remaining(&self) -> Size {
         self.cap.remaining(self.used + self.in_doubt)
     }
 }
 
-/// A run that should not be there.
+/// A run that a worker reports but that should not exist.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stray {
-    /// When it was last told to stop.
+    /// When the last stop order was sent.
     pub(crate) sent_at: Duration,
     pub(crate) charge: Charge,
-    /// What it takes up on its worker.
+    /// The part of the worker's capacity that it uses.
     pub(crate) footprint: Size,
 }
 
 impl Accounts {
-    /// The account of a customer, opened if there is none.
+    /// The account of a customer, which is created if it does not exist.
     pub(crate) fn get_or_create(
         &mut self,
         name: &str,
@@ -89,7 +89,7 @@
         if let Some(key) = self.by_name.get(name) {
             return *key;
         }
-        // Customers are in the hundreds.
+        // There are hundreds of customers, far fewer than 2^32.
         let key = CustomerKey(u32::try_from(self.arena.len()).unwrap_or(u32::MAX));
         self.by_name.insert(name.into(), key);
         self.arena.push(Account {
@@ -109,15 +109,15 @@
         &mut self.arena[key.0 as usize]
     }
 
-    /// Counts a run.
+    /// Adds the charge of a run.
     pub(crate) fn add(&mut self, charge: Charge) {
         if let Some(key) = charge.customer {
             self.get_mut(key).used += charge.size;
         }
     }
 
-    /// Counts a run no more; gives the pools in which its customer's steps wait
-    /// for that.
+    /// Subtracts the charge of a run, and returns the pools in which steps of its customer
+    /// wait for that.
     pub(crate) fn release(&mut self, charge: Charge) -> IndexSet<Box<str>> {
         let Some(key) = charge.customer else {
             return IndexSet::new();
@@ -127,22 +127,22 @@
         std::mem::take(&mut account.blocked_pools)
     }
 
-    /// Whether `count` tasks of a customer may start together.
+    /// Whether the cap of a customer allows `count` tasks to start together.
     ///
-    /// One that has less than half of its cap may start one task more, though it
-    /// goes over: else a task larger than what is left of a small cap would wait
-    /// for ever beside free room.
+    /// A customer that uses less than half of its cap may start one task even if that
+    /// exceeds the cap. Otherwise a task larger than the rest of a small cap would wait
+    /// for ever although workers have free capacity.
     pub(crate) fn allows(&self, charge: Charge, count: u64) -> bool {
         let Some(key) = charge.customer else {
             return true;
         };
         let account = self.get(key);
-        let held = account.used + account.in_doubt;
-        account.cap.allows(held + charge.size.scaled(count))
-            || (count == 1 && account.cap.is_under_half(held))
+        let used = account.used + account.in_doubt;
+        account.cap.allows(used + charge.size.scaled(count))
+            || (count == 1 && account.cap.is_under_half(used))
     }
 
-    /// Notes that a step was passed over in a pool; gives the account if that is
+    /// Records that the cap held a step back in a pool, and returns the account if that is
     /// to be logged.
     fn record_blocked(&mut self, charge: Charge, pool: &str, now: Duration) -> Option<&Account> {
         let account = self.get_mut(charge.customer?);
@@ -157,7 +157,8 @@
         Some(account)
     }
 
-    /// Takes over the caps of a configuration; whether they were others.
+    /// Takes the caps and weights from a configuration, and returns whether its version is
+    /// new.
     fn apply_catalogue(&mut self, catalogue: &Catalogue) -> bool {
         let version = Some(catalogue.version);
         if self.version == version {
@@ -171,19 +172,21 @@
         true
     }
 
-    /// Whether any customer has a limit.
+    /// Whether any customer has a cap.
     fn has_caps(&self) -> bool {
         let mut accounts = self.arena.iter();
         accounts.any(|account| account.cap != Cap::default())
     }
 
-    /// Where a job stands that a customer sent at `at`.
+    /// Records a job that a customer submitted at `at`, and returns whether it is within the
+    /// customer's share.
     pub(crate) fn record_job(&mut self, key: CustomerKey, at: Duration) -> Standing {
         let account = self.get_mut(key);
         account.sent.take(at, account.weight)
     }
 
-    /// Whether a customer holds more of what all hold than its part of all shares.
+    /// Whether a customer is within its share, if shares apply to the capacity in use: it is
+    /// beyond if it uses a larger part of that than its weight is of all weights.
     pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> Standing {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
@@ -209,7 +212,7 @@
     customer.map(|customer| customer.cap).unwrap_or_default()
 }
 
-/// The share of a customer that is no longer there is that of the smallest.
+/// The weight of a customer. That of a removed customer is 0, the smallest share.
 fn weight_of(name: &str, catalogue: Option<&Catalogue>) -> f64 {
     let customer = catalogue.and_then(|catalogue| catalogue.customer(name));
     customer.map(|customer| customer.weight).unwrap_or_default()
--- a/crates/cleat-jobs/src/schedule/account/report.rs
+++ b/crates/cleat-jobs/src/schedule/account/report.rs
@@ -1,4 +1,4 @@
-//! What is told of customers: to operators, and to the log.
+//! Reports on customers' accounts, to operators and to the log.
 
 use std::time::Duration;
 
@@ -6,8 +6,9 @@
 use crate::schedule::{Decision, Effect, Scheduler};
 use crate::{Cap, Size, StepId};
 
-/// How often it is logged that a customer's cap holds its steps back: often enough
-/// for a caller who asks why a job waits, and bounded under any load.
+/// The minimum interval between two log events that a customer's cap holds its steps back.
+/// It is short enough to explain to a caller why a job waits, and bounds the log volume
+/// under any load.
 pub(super) const CAP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 fn view(account: &Account) -> CustomerView<'_> {
@@ -19,21 +20,22 @@
     }
 }
 
-/// What a customer has and wants, as its owner sees it.
+/// The owner's view of what a customer has running and waiting.
 #[derive(Clone, Copy, Debug)]
 pub struct CustomerView<'a> {
     /// Its name.
     pub name: &'a str,
-    /// What its runs take up.
+    /// The total size of its known runs.
     pub used: Size,
-    /// What may run beside that without this owner's knowledge.
+    /// The total size of the tasks that may be running in addition, started by an earlier
+    /// owner.
     pub in_doubt: Size,
-    /// How many of its tasks wait for a start.
+    /// The number of its tasks that wait for a start.
     pub waiting: usize,
 }
 
 impl Scheduler {
-    /// Notes that a step has to wait for its customer's cap.
+    /// Records that a step has to wait because of its customer's cap.
     pub(in crate::schedule) fn record_cap_reached(&mut self, id: StepId) {
         let Some(step) = self.steps.get(&id) else {
             return;
@@ -56,7 +58,7 @@
         self.effects.extend(decision.map(Effect::Tell));
     }
 
-    /// What each customer has and wants, by name.
+    /// What each customer has running and waiting.
     pub fn customers(&self) -> Vec<CustomerView<'_>> {
         let mut views: Vec<CustomerView<'_>> = self.accounts.arena.iter().map(view).collect();
         for step in self.steps.values() {
--- a/crates/cleat-jobs/src/schedule/account/usage.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -1,4 +1,4 @@
-//! Keeping the accounts by what happens to runs.
+//! Updates of the accounts as runs start and end.
 
 use indexmap::{IndexMap, IndexSet};
 
@@ -11,8 +11,8 @@
 use crate::{JobId, Run, Size, StepSpec, TaskId};
 
 impl Scheduler {
-    /// What a run of a step of the job counts for. What fills counts whole: a cap
-    /// is on what runs, not on what it leaves to others.
+    /// The charge for a run of a step of the job. A run that uses only idle processor time
+    /// is charged for its full size, since a cap limits what a customer has running.
     pub(in crate::schedule) fn charge_for(
         &mut self,
         state: &ControlState,
@@ -27,9 +27,9 @@
         }
     }
 
-    /// What a run that should not be there counts for, and takes up. That of a job
-    /// which is over counts as the largest of its tasks; of one that is not known any
-    /// more it is only certain that it fits.
+    /// The charge and footprint of a stray run. If its job has ended, the run counts as the
+    /// largest task of the job. If the job is unknown, the run is charged to no customer
+    /// and may use the whole worker.
     fn stray_usage(&mut self, state: &ControlState, at: (WorkerKey, TaskId)) -> (Charge, Size) {
         let (key, task) = at;
         if let Some(job) = state.jobs.get(&task.job())
@@ -49,8 +49,8 @@
         (charge, ended.largest_task)
     }
 
-    /// Counts a run of a worker that should not be there, once: it goes on until the
-    /// worker lists its end.
+    /// Counts a stray run of a worker. It counts until the worker no longer reports it as
+    /// running, so this must be called once for each stray.
     pub(in crate::schedule) fn add_stray(
         &mut self,
         state: &ControlState,
@@ -67,16 +67,16 @@
         self.strays.insert(at, stray);
     }
 
-    /// Counts the strays of a worker no more that `stays` is false for.
+    /// Releases the strays of a worker for which `is_running` returns false.
     pub(in crate::schedule) fn release_strays(
         &mut self,
         key: WorkerKey,
-        stays: impl Fn(TaskId, Run) -> bool,
+        is_running: impl Fn(TaskId, Run) -> bool,
     ) {
         let strays = self.strays.keys().copied();
-        let gone = strays.filter(|(at, task, run)| *at == key && !stays(*task, *run));
-        let gone: Vec<_> = gone.collect();
-        for at in gone {
+        let ended = strays.filter(|(at, task, run)| *at == key && !is_running(*task, *run));
+        let ended: Vec<_> = ended.collect();
+        for at in ended {
             let Some(stray) = self.strays.swap_remove(&at) else {
                 continue;
             };
@@ -86,25 +86,25 @@
         }
     }
 
-    /// Counts a run no more. Where its customer's cap held others back, these are
-    /// looked at again.
+    /// Releases the charge of a run. The pools in which the customer's cap held steps back
+    /// are scheduled again.
     pub(in crate::schedule) fn release_charge(&mut self, charge: Charge) {
         for pool in self.accounts.release(charge) {
             self.unsettle(&pool);
         }
     }
 
-    /// Brings the caps up to the configuration in force, and what may run without
-    /// this owner's knowledge up to what workers have listed.
+    /// Updates the caps from the configuration in force, and the usage in doubt from the
+    /// workers that have reported their runs.
     pub(in crate::schedule) fn update_accounts(&mut self, state: &ControlState) {
         if let Some(catalogue) = &state.catalogue
             && self.accounts.apply_catalogue(catalogue)
         {
             self.unsettled = Unsettled::All;
         }
-        let hidden = self.hidden_runs && self.accounts.has_caps();
-        let unknown = hidden && self.workers.iter().any(|(_, worker)| !worker.is_known());
-        if unknown {
+        let capped = self.hidden_runs && self.accounts.has_caps();
+        let in_doubt = capped && self.workers.iter().any(|(_, worker)| !worker.is_known());
+        if in_doubt {
             self.update_in_doubt(state);
         } else if self.hidden_runs {
             self.hidden_runs = self.workers.iter().any(|(_, worker)| !worker.is_known());
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Counts everything that an earlier owner may have started on workers which
-    /// have not listed their runs to this one.
+    /// Counts everything that an earlier owner may have started on workers that have not
+    /// reported their runs to this one.
     fn update_in_doubt(&mut self, state: &ControlState) {
         let off = !self.cfg.protections.hidden_runs_count;
         let mut in_doubt: IndexMap<CustomerKey, Size> = IndexMap::new();
@@ -141,28 +141,28 @@
         }
     }
 
-    /// Has it noted of which jobs that ended before their time nothing can run
-    /// any more: the next owner need not count them.
+    /// Proposes to record the cancelled and failed jobs of which no task can be running any
+    /// more, so that the next owner need not count them.
     pub(in crate::schedule) fn propose_stopped_jobs(&mut self, state: &ControlState) {
         if state.stopping.is_empty() || self.hidden_runs {
             return;
         }
         let strays: IndexSet<JobId> = self.strays.keys().map(|(_, task, _)| task.job()).collect();
-        let over = |id: &&JobId| {
+        let has_stopped = |id: &&JobId| {
             !self.settling.contains(*id)
                 && !self.live.contains(*id)
                 && !self.job_tasks.contains_key(*id)
                 && !strays.contains(*id)
         };
-        let ids: Vec<JobId> = state.stopping.keys().filter(over).copied().collect();
+        let ids: Vec<JobId> = state.stopping.keys().filter(has_stopped).copied().collect();
         if !ids.is_empty() {
             self.settling.extend(&ids);
             self.propose(Command::JobsStopped { ids });
         }
     }
 
-    /// The accounts as they follow from the runs that are known, to be compared
-    /// with those that are kept.
+    /// The used size of each account, and the same recounted from the known runs. Tests
+    /// compare the two.
     #[doc(hidden)]
     pub fn recount_usage(&self) -> Vec<(Box<str>, Size, Size)> {
         let attempts = self.attempts.values().filter(|a| a.holds_room());
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -1,9 +1,10 @@
-//! Workers whose machine is listed without them.
+//! Silent workers that are no longer listed on their machine.
 //!
-//! A worker that does not answer may run on, so its tasks wait until its lease
-//! is over: up to 4.9 s, after a takeover with all that an earlier owner may have
-//! started in its pool. Where the platform lists its machine as down, on its
-//! way, or with another life, it runs nothing any more and nobody has to wait.
+//! A worker that does not answer may still be running, so its tasks wait until its lease
+//! expires, which takes up to 4.9 s. After a takeover all tasks that an earlier owner may
+//! have started in its pool wait as well. If the platform lists its machine as down,
+//! moving, in maintenance or with another worker, the life of the worker is over and its
+//! tasks need not wait.
 
 use std::time::Duration;
 
@@ -15,8 +16,8 @@
 use crate::schedule::worker::{Worker, WorkerKey};
 
 impl Scheduler {
-    /// Ends the lives that two lists in a row say are over. One may hold an entry
-    /// of another writer, with its worker left out.
+    /// Ends the lives of workers that two successive lists show as absent. A single list
+    /// may lack a worker because its entry was written by another source.
     pub(super) fn end_absent_workers(&mut self, list: &[MachineView], sent_at: Duration) {
         let named: IndexSet<&str> = list
             .iter()
@@ -24,7 +25,7 @@
             .collect();
         let by_machine: IndexMap<&str, &MachineView> =
             list.iter().map(|view| (&*view.name, view)).collect();
-        // How the life of a worker would be over that the list leaves out.
+        // How the life of a worker ended, if the list shows that it has.
         let absent = |worker: &Worker| {
             let known_before = worker.known_since <= sent_at;
             if !known_before || !worker.is_out_of_reach() || named.contains(&*worker.record.name) {
@@ -51,8 +52,8 @@
     }
 }
 
-/// Whether a machine is listed as being away, or as running a worker; a machine
-/// that is up and names none says nothing.
+/// Whether an entry of the list shows which worker runs on its machine, if any. A machine
+/// that is up and names no worker may still run one.
 fn is_conclusive(view: &MachineView) -> bool {
     match view.state {
         MachineState::Moving | MachineState::Maintained | MachineState::Down => true,
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! How much each pool needs and has.
+//! The resources that each pool needs and offers.
 
 use std::time::Duration;
 
@@ -12,41 +12,42 @@
 use crate::schedule::{Decision, Scheduler};
 use crate::state::ControlState;
 
-/// Of the work that will be late anyway, the share in percent that machines
-/// are brought for. It is worth less than a tenth, but has to end some time.
+/// The percentage of late work that counts as demand for machines. Late work is worth
+/// less than a tenth of its value in time, but has to be done eventually.
 const LATE_WORK_PERCENT: u64 = 30;
-/// The same for work that is worth nothing any more.
+/// The percentage of worthless work, which is later still, that counts as demand.
 const WORTHLESS_WORK_PERCENT: u64 = 5;
 
-/// How often the balances are logged.
+/// The interval at which the balances are logged.
 const BALANCE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a pool needs and has.
+/// The resources that a pool needs and offers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Balance {
-    /// What its tasks take up that run, or should.
+    /// The resources for its running and waiting tasks and for the work that is forecast.
     pub(super) needed: Size,
-    /// What its workers offer, those on their way included.
+    /// The capacity of its workers, including those that are expected to join.
     pub(super) offered: Size,
-    /// How many workers that is.
+    /// The number of workers in `offered`.
     pub(super) workers: usize,
-    /// How many workers its steps need that may put only so many tasks on one.
+    /// The minimum number of workers that its tasks need, since tasks of some steps
+    /// can't share a worker.
     min_workers: usize,
-    /// What waits, as far as machines are brought for it.
+    /// The total size of its waiting tasks, as far as they count as demand for machines.
     pending: Size,
-    /// What runs.
+    /// The total size of its runs.
     used: Size,
-    /// How many tasks wait for room.
+    /// The number of waiting tasks.
     waiting_tasks: u64,
-    /// How many tasks run or wait that may not be beside each other.
+    /// The number of running and waiting tasks that must run alone on their worker.
     isolated_tasks: usize,
-    /// How many workers are there, those on their way not included.
+    /// The number of workers that accept tasks now, without those expected to join.
     accepting: usize,
-    /// The most of each resource that any of them has.
+    /// The maximum capacity of any accepting worker, for each resource.
     max_capacity: Size,
-    /// The most of each resource that any of them has free.
+    /// The maximum free capacity of any accepting worker, for each resource.
     max_free: Size,
-    /// What the tasks take up that wait and fit beside no worker's runs.
+    /// The total size of the waiting tasks for which no accepting worker has free capacity.
     unplaceable: Size,
 }
 
@@ -56,7 +57,7 @@
         self.workers += 1;
     }
 
-    /// This without a machine of that size.
+    /// The balance with one machine of this size less.
     pub(super) fn without_machine(&self, size: Size) -> Balance {
         Balance {
             offered: self.offered - size,
@@ -65,15 +66,15 @@
         }
     }
 
-    /// This with a machine of that size more.
+    /// The balance with one more machine of this size.
     pub(super) fn with_machine(&self, size: Size) -> Balance {
         let mut balance = *self;
         balance.add_worker(size);
         balance
     }
 
-    /// Whether tasks of this size in all find room, with `percent` of it left
-    /// unused since tasks differ in size.
+    /// Whether the offer covers the need plus `reserve_percent` of it. A reserve is
+    /// needed because tasks of different sizes leave part of a worker unused.
     pub(super) fn covers_need(&self, reserve_percent: u64) -> bool {
         let with_reserve = |part: u64| part + part * reserve_percent / 100;
         let needed = Size {
@@ -84,36 +85,40 @@
         needed.fits(self.offered) && self.workers >= self.min_workers
     }
 
-    /// Adds a worker that is there and takes work.
+    /// Adds a worker that accepts tasks now.
     fn add_accepting(&mut self, capacity: Size, free: Size) {
         self.accepting += 1;
         self.max_capacity = self.max_capacity.component_max(capacity);
         self.max_free = self.max_free.component_max(free);
     }
 
-    /// Adds waiting tasks, of which `placeable` find one on the workers that are there. Of
-    /// the rest those that take most of a worker don't share one.
+    /// Adds waiting tasks, of which up to `placeable` fit on the accepting workers. Of the
+    /// others, a task of more than half a worker counts as a whole one.
     fn add_waiting(&mut self, footprint: Size, count: u64, placeable: u64) {
         self.pending += footprint.scaled(count);
         if !footprint.fits(self.max_capacity) {
             return;
         }
-        let shares = footprint.scaled(2).fits(self.max_capacity);
-        let part = if shares { footprint } else { self.max_capacity };
-        self.unplaceable += part.scaled(count.saturating_sub(placeable));
+        let can_share = footprint.scaled(2).fits(self.max_capacity);
+        let size = if can_share {
+            footprint
+        } else {
+            self.max_capacity
+        };
+        self.unplaceable += size.scaled(count.saturating_sub(placeable));
     }
 
-    /// How many workers the tasks fill that fit beside no worker's runs.
+    /// The number of additional workers that the unplaceable tasks fill.
     fn workers_for_unplaceable(&self) -> usize {
-        let workers = |part: u64, of: u64| part.div_ceil(of.max(1));
+        let workers = |size: u64, capacity: u64| size.div_ceil(capacity.max(1));
         let cpu = workers(self.unplaceable.cpu_milli, self.max_capacity.cpu_milli);
         let memory = workers(self.unplaceable.memory_mb, self.max_capacity.memory_mb);
         usize::try_from(cpu.max(memory)).unwrap_or(usize::MAX)
     }
 
-    /// Counts the workers that its tasks need by their number. Of those that may not be
-    /// beside each other there may be hundreds after a crash, for a moment, so that no
-    /// more than twice the workers are asked for.
+    /// Raises the minimum number of workers for isolated and unplaceable tasks. After a
+    /// crash there may briefly be hundreds of isolated tasks, so they raise it to at most
+    /// twice the number of workers.
     fn update_min_workers(&mut self) {
         let isolated = self.isolated_tasks.min(2 * self.workers);
         let for_unplaceable = match self.workers_for_unplaceable() {
@@ -123,30 +128,30 @@
         self.min_workers = self.min_workers.max(isolated).max(for_unplaceable);
     }
 
-    /// Which part of the need is met, in thousandths; that of the resource
-    /// that lacks most.
+    /// The part of the need that the offer covers, in thousandths, of the scarcest
+    /// resource.
     pub(super) fn coverage_milli(&self) -> u64 {
-        let part = |needed: u64, offered: u64| match needed {
+        let coverage = |needed: u64, offered: u64| match needed {
             0 => u64::MAX,
             _ => offered * 1_000 / needed,
         };
-        let cpu = part(self.needed.cpu_milli, self.offered.cpu_milli);
-        cpu.min(part(self.needed.memory_mb, self.offered.memory_mb))
+        let cpu = coverage(self.needed.cpu_milli, self.offered.cpu_milli);
+        cpu.min(coverage(self.needed.memory_mb, self.offered.memory_mb))
     }
 
-    /// By how much the need exceeds the offer, in thousandths of the offer
-    /// and one machine more.
+    /// The amount by which the need exceeds the offer, in thousandths of the offer, of
+    /// the scarcest resource or of the number of workers.
     pub(super) fn shortage_milli(&self) -> u64 {
-        let part =
+        let shortage =
             |needed: u64, offered: u64| needed.saturating_sub(offered) * 1_000 / offered.max(1);
-        let cpu = part(self.needed.cpu_milli, self.offered.cpu_milli);
-        let size = cpu.max(part(self.needed.memory_mb, self.offered.memory_mb));
-        size.max(part(self.min_workers as u64, self.workers as u64))
+        let cpu = shortage(self.needed.cpu_milli, self.offered.cpu_milli);
+        let size = cpu.max(shortage(self.needed.memory_mb, self.offered.memory_mb));
+        size.max(shortage(self.min_workers as u64, self.workers as u64))
     }
 }
 
 impl Scheduler {
-    /// The balance of each pool that queues use.
+    /// The balance of each pool that a queue uses.
     pub(super) fn balances(&mut self, state: &ControlState) -> IndexMap<Box<str>, Balance> {
         let mut pools: IndexMap<Box<str>, Balance> = IndexMap::new();
         if let Some(catalogue) = &state.catalogue {
@@ -157,16 +162,16 @@
         self.add_workers(&mut pools);
         self.add_waiting_work(&mut pools);
         for (pool, balance) in &mut pools {
-            // What waits is behind what is coming: a pool that holds no more than
-            // what comes would never catch up.
-            let flow = self.times.forecast(pool, self.now) + self.long_running_usage(pool);
-            balance.needed = balance.used.component_max(flow) + balance.pending;
+            // Waiting tasks are added to the forecast. A pool with capacity for new work
+            // only would never reduce its backlog.
+            let expected = self.times.forecast(pool, self.now) + self.long_running_usage(pool);
+            balance.needed = balance.used.component_max(expected) + balance.pending;
             balance.update_min_workers();
         }
         pools
     }
 
-    /// Writes the balances to the log, once a second.
+    /// Logs the balances, once a second.
     pub(super) fn log_balances(&mut self, balances: &IndexMap<Box<str>, Balance>) {
         if self.now < self.balances_told + BALANCE_LOG_INTERVAL {
             return;
@@ -191,10 +196,11 @@
         }
     }
 
-    /// Adds what waits, to pools whose workers are known. What its customer's cap holds
-    /// back brings no machines: it could not start there.
+    /// Adds the waiting tasks. Workers must have been added before. Tasks beyond the cap
+    /// of their customer don't count as demand, since they could not start on more
+    /// machines either.
     fn add_waiting_work(&self, pools: &mut IndexMap<Box<str>, Balance>) {
-        let mut left: IndexMap<CustomerKey, Size> = IndexMap::new();
+        let mut remaining: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(balance) = pools.get_mut(&step.pool) else {
                 continue;
@@ -213,11 +219,11 @@
             };
             count = (count * percent).div_ceil(100);
             if let Some(key) = step.charge.customer {
-                let left = left
+                let remaining = remaining
                     .entry(key)
                     .or_insert_with(|| self.accounts.get(key).remaining());
-                count = count.min(step.charge.size.count_in(*left));
-                *left -= step.charge.size.scaled(count);
+                count = count.min(step.charge.size.count_in(*remaining));
+                *remaining -= step.charge.size.scaled(count);
             }
             balance.add_waiting(
                 step.footprint,
@@ -237,7 +243,7 @@
             balance.used += worker.used;
             balance.isolated_tasks += usize::from(self.is_taken_alone(key));
             if worker.answers() && !worker.draining && !worker.cordoned {
-                // What a task leaves free that is alone there is nobody's.
+                // No other task may use what an isolated task leaves free.
                 balance.add_worker(match self.is_taken_alone(key) {
                     true => worker.used,
                     false => record.capacity,
@@ -263,49 +269,51 @@
         }
     }
 
-    /// How many tasks of a step find a place on workers that are there, of which none has
-    /// more than `room` free. What others leave of each may be much in all and of no use
-    /// to a large task, or to one that others of its step have to be apart from.
-    fn placeable_tasks(&self, step: &ActiveStep, room: Size) -> u64 {
-        if step.pending.is_empty() || !step.footprint.fits(room) {
+    /// The number of tasks of a step that are assumed to fit on the accepting workers, of
+    /// which none has more than `max_free` free: one on each suitable worker if the step
+    /// limits its tasks on a worker, else any number. The total free capacity is no
+    /// measure, since it may be spread over workers that are each too full for a large
+    /// task, or that each have as many tasks of the step as they may.
+    fn placeable_tasks(&self, step: &ActiveStep, max_free: Size) -> u64 {
+        if step.pending.is_empty() || !step.footprint.fits(max_free) {
             return 0;
         }
         if step.most_on_one.is_none() {
             return u64::MAX;
         }
         let workers = self.workers.in_pool(&step.pool);
-        let takes = workers.filter(|(key, worker)| {
+        let suitable = workers.filter(|(key, worker)| {
             worker.takes_work(self.now)
                 && step.footprint.fits(worker.room())
                 && !step.is_full_on(*key)
         });
-        takes.count() as u64
+        suitable.count() as u64
     }
 
-    /// What the tasks of a pool take up that run until they are cancelled.
+    /// The total size of the placed tasks of a pool that run until they are cancelled.
     fn long_running_usage(&self, pool: &str) -> Size {
         let steps = self.steps.values();
-        let lasting = steps.filter(|step| *step.pool == *pool && !step.order.ends);
-        lasting.fold(Size::default(), |sum, step| {
+        let long_running = steps.filter(|step| *step.pool == *pool && !step.order.ends);
+        long_running.fold(Size::default(), |sum, step| {
             let placed: u32 = step.placed.values().sum();
             sum + step.footprint.scaled(u64::from(placed))
         })
     }
 }
 
-/// The pool in which a machine without a known worker is about to have one.
+/// The pool that a machine without an answering worker is expected to join.
 fn expected_pool(machine: &Machine) -> Option<&str> {
     let view = &machine.view;
-    if let Some(ordered) = &machine.pending_order {
-        return match &ordered.order {
+    if let Some(pending) = &machine.pending_order {
+        return match &pending.order {
             MachineOrder::Move { pool } => Some(pool),
             MachineOrder::Maintain { .. } => Some(&view.pool),
         };
     }
-    let arrives = match view.state {
+    let is_expected = match view.state {
         MachineState::Moving | MachineState::Maintained => true,
         MachineState::Up => view.worker.is_some(),
         MachineState::Down | MachineState::Unknown => false,
     };
-    arrives.then_some(&*view.pool)
+    is_expected.then_some(&*view.pool)
 }
--- a/crates/cleat-jobs/src/schedule/fleet/evict.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/evict.rs
@@ -1,7 +1,7 @@
-//! Emptying workers that are about to end.
+//! Eviction of long-running tasks from workers that must become empty.
 //!
-//! Tasks that end by themselves are left to it. Tasks that run until they are
-//! cancelled are stopped and started elsewhere, as far as their step allows.
+//! Other tasks are left to end by themselves. Tasks that run until they are cancelled are
+//! stopped and restarted on other workers, as far as their step allows interruptions.
 
 use crate::TaskId;
 use crate::schedule::Scheduler;
@@ -11,6 +11,7 @@
 use crate::state::ControlState;
 
 impl Scheduler {
+    /// Evicts the long-running tasks of all workers that must become empty.
     pub(super) fn evict_long_running(&mut self, state: &ControlState) {
         for key in self.workers_to_empty() {
             self.evict_from_worker(state, key);
@@ -38,16 +39,16 @@
         }
     }
 
-    /// Whether stopping a task leaves as many of its step at work as it asks.
+    /// Whether the step of a task allows one more of its tasks to be interrupted.
     pub(super) fn allows_eviction(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
-        let Some(most) = spec.max_unavailable else {
+        let Some(limit) = spec.max_unavailable else {
             return true;
         };
-        let away = (0..spec.count)
+        let unavailable = (0..spec.count)
             .filter(|index| *index != task.index)
             .filter(|index| !self.is_at_work(task.step.task(*index)))
             .count();
-        (away as u64) < u64::from(most)
+        (unavailable as u64) < u64::from(limit)
     }
 
     fn is_at_work(&self, task: TaskId) -> bool {
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Whether another worker could take the task at once.
+    /// Whether another worker has free capacity for the task now.
     fn fits_elsewhere(&self, task: TaskId, spec: &crate::StepSpec) -> bool {
         let Some(step) = self.steps.get(&task.step) else {
             return false;
--- a/crates/cleat-jobs/src/schedule/fleet/machine.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/machine.rs
@@ -7,88 +7,90 @@
 
 use crate::Size;
 
-/// What the platform says of a machine.
+/// The state of a machine as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It works, or could.
+    /// It is available.
     Up,
-    /// It is on its way to another pool.
+    /// It is being moved to another pool.
     Moving,
     /// It is being maintained.
     Maintained,
-    /// It is away for another cause.
+    /// It is unavailable for another reason.
     Down,
-    /// The platform says something that is not known here. The machine is not
-    /// used, and nothing is concluded.
+    /// The platform reported a state that this version does not know. The machine is not
+    /// used, and nothing is concluded about its worker.
     Unknown,
 }
 
-/// One machine as listed.
+/// One machine in a list from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineView {
-    /// Its name, which stays.
+    /// Its name, which never changes.
     pub name: Box<str>,
-    /// The pool that it works for.
+    /// The pool that it belongs to.
     pub pool: Box<str>,
-    /// What it does.
+    /// Its state.
     pub state: MachineState,
-    /// The worker that runs there, if one does.
+    /// The worker that runs there, if any.
     pub worker: Option<Box<str>>,
-    /// What it can hold.
+    /// Its capacity.
     pub capacity: Size,
     /// Its labels.
     pub labels: Vec<Box<str>>,
 }
 
 impl MachineView {
-    /// Whether an order ended the life of a worker that ran there for `pool`.
+    /// Whether the machine was ordered out of `pool`: it is moving, in maintenance or in
+    /// another pool. Such an order ends the life of its worker.
     pub(crate) fn has_left_pool(&self, pool: &str) -> bool {
-        let away = matches!(self.state, MachineState::Moving | MachineState::Maintained);
-        away || *self.pool != *pool
+        let unavailable = matches!(self.state, MachineState::Moving | MachineState::Maintained);
+        unavailable || *self.pool != *pool
     }
 }
 
-/// What is done with a machine.
+/// An order to the platform about a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineOrder {
-    /// It goes to another pool.
+    /// Move the machine to another pool.
     Move {
         /// The pool.
         pool: Box<str>,
     },
-    /// It is maintained.
+    /// Start the maintenance of the machine.
     Maintain {
-        /// The wave that asks for it.
+        /// The wave that the maintenance belongs to.
         wave: u64,
     },
 }
 
-/// An order under way.
+/// An order that was sent and is not completed.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOrder {
     pub(crate) order: MachineOrder,
-    /// When it was sent last.
+    /// When it was last sent.
     pub(crate) sent_at: Duration,
-    /// When the platform said that it is under way.
+    /// When the platform accepted it.
     pub(crate) accepted_at: Option<Duration>,
 }
 
-/// One machine.
+/// The owner's view of one machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
+    /// The machine as last listed, or as the last accepted order changed it.
     pub(crate) view: MachineView,
     pub(crate) pending_order: Option<PendingOrder>,
-    /// When the platform accepted the latest order. A list that was asked for
-    /// earlier may show the machine as it was before.
+    /// When the platform accepted the latest order. A list that was requested earlier may
+    /// show the machine as it was before that order.
     pub(crate) last_accepted_at: Option<Duration>,
-    /// Since when nothing runs there.
+    /// Since when nothing has run there.
     pub(crate) idle_since: Option<Duration>,
-    /// The wave for which it is being emptied.
+    /// The wave for which it is being drained.
     pub(crate) draining_for_wave: Option<u64>,
-    /// The pool to which it goes once it is empty.
+    /// The pool that it moves to once it is empty.
     pub(crate) reserved_for: Option<Box<str>>,
-    /// Since when the platform does not list it.
+    /// Since when the platform has not listed it.
     pub(crate) missing_since: Option<Duration>,
 }
 
@@ -106,9 +108,10 @@
         }
     }
 
-    /// Takes what a list says that was asked for at `sent_at`, unless an order
-    /// came since. Else a machine that has moved looks idle in its old pool, and
-    /// an order ends what runs there. Lists of large fleets take long.
+    /// Updates the machine from a list that was requested at `sent_at`, unless an order
+    /// was accepted since or awaits an answer. Otherwise a machine that has moved would
+    /// look idle in its old pool, and another order would end the tasks that run on it in
+    /// the new one. Lists of large fleets take long, so this does happen.
     pub(crate) fn update_view(&mut self, view: MachineView, sent_at: Duration) {
         let outdated = self.last_accepted_at.is_some_and(|at| at >= sent_at);
         if !outdated && !self.awaits_answer() {
@@ -117,15 +120,15 @@
         self.missing_since = None;
     }
 
-    /// Whether an order has no clear answer so far.
+    /// Whether an order was sent and not accepted or rejected yet.
     pub(crate) fn awaits_answer(&self) -> bool {
-        let ordered = self.pending_order.as_ref();
-        ordered.is_some_and(|ordered| ordered.accepted_at.is_none())
+        let pending = self.pending_order.as_ref();
+        pending.is_some_and(|pending| pending.accepted_at.is_none())
     }
 
-    /// Whether an order ended a life that worked for `pool` and became known at `since`.
-    /// The order that brought a life stays open until the machine is listed again, and is
-    /// no cause of its end.
+    /// Whether an order ended the life of a worker that belonged to `pool` and became
+    /// known at `since`. The order that moved the machine to `pool` stays pending until the
+    /// machine is listed again, but does not end the life that started because of it.
     pub(crate) fn order_ended_life(
         &self,
         pool: &str,
@@ -135,44 +138,46 @@
         if *self.view.pool != *pool || self.awaits_answer() {
             return true;
         }
-        let brought = self.last_accepted_at.is_some_and(|at| at < since);
-        match brought {
+        let started_after_order = self.last_accepted_at.is_some_and(|at| at < since);
+        match started_after_order {
             true => self.view.has_left_pool(pool) && list_requested_at > since,
             false => self.pending_order.is_some() || self.view.has_left_pool(pool),
         }
     }
 
-    /// Whether nothing was decided for it.
+    /// Whether no order, maintenance or move is planned for it.
     pub(crate) fn is_unassigned(&self) -> bool {
         self.pending_order.is_none()
             && self.draining_for_wave.is_none()
             && self.reserved_for.is_none()
     }
 
-    /// Whether something was decided for it that it has to be empty for.
+    /// Whether it must be empty for what is planned: an order without an answer,
+    /// maintenance or a move.
     pub(crate) fn must_be_emptied(&self) -> bool {
         self.awaits_answer() || self.draining_for_wave.is_some() || self.reserved_for.is_some()
     }
 }
 
-/// All machines that the platform listed.
+/// All machines that the platform has listed.
 #[derive(Debug, Default)]
 pub(crate) struct Machines {
     pub(crate) by_name: IndexMap<Box<str>, Machine>,
-    /// When the latest list was asked for; none before the first.
+    /// When the latest received list was requested; none before the first.
     pub(crate) list_requested_at: Option<Duration>,
-    /// Whether a list is under way.
+    /// Whether a requested list has not arrived yet.
     pub(crate) list_in_progress: bool,
-    /// When the next list is due.
+    /// When the next list is requested.
     pub(crate) next_list_at: Duration,
-    /// The pools to which the platform refuses to move each machine: they take others.
+    /// The pools to which the platform refused to move each machine, because they accept
+    /// other machines only.
     refused: IndexMap<Box<str>, IndexSet<Box<str>>>,
-    /// When each wave became known here.
+    /// When this owner first saw each wave.
     pub(crate) wave_seen_at: IndexMap<u64, Duration>,
 }
 
 impl Machines {
-    /// Notes that the platform refuses to move a machine to a pool.
+    /// Records that the platform refused to move a machine to a pool.
     pub(crate) fn record_refusal(&mut self, name: &str, pool: &str) {
         let pools = self.refused.entry(name.into()).or_default();
         pools.insert(pool.into());
@@ -184,7 +189,7 @@
         pools.is_some_and(|pools| pools.contains(pool))
     }
 
-    /// How many orders wait for an answer.
+    /// The number of orders without an answer.
     pub(crate) fn unanswered_orders(&self) -> usize {
         let machines = self.by_name.values();
         machines.filter(|machine| machine.awaits_answer()).count()
--- a/crates/cleat-jobs/src/schedule/fleet/mod.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Machines: which pool they work for, and when they are maintained.
+//! Assignment of machines to pools, and their maintenance.
 
 mod absent;
 mod demand;
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -1,4 +1,4 @@
-//! Moving machines after the demand.
+//! Moves of machines between pools according to demand.
 
 use std::time::Duration;
 
@@ -10,46 +10,48 @@
 use crate::schedule::{Scheduler, forecast};
 use crate::state::ControlState;
 
-/// How long a machine stays without work before it goes back to the spare pool. A move
-/// costs about as much as a machine for this long, so waiting costs at most twice what
-/// knowing the future would (ski rental).
+/// How long a machine is idle before it returns to the spare pool. A move costs about as
+/// much as a machine for this time, so that waiting costs at most twice as much as the
+/// best decision in hindsight (the ski rental problem).
 const IDLE_LIMIT: Duration = Duration::from_millis(900);
-/// The same in a pool that holds far more than it needs: demand has fallen, and what is
-/// still to come finds room.
+/// The same in a pool with a large surplus: demand has fallen, and enough free capacity
+/// remains for new work.
 const SURPLUS_IDLE_LIMIT: Duration = Duration::from_millis(150);
-/// How much more than its need a pool holds that has plenty, in percent.
+/// How far the offer of a pool with a large surplus exceeds its need, in percent.
 const SURPLUS_PERCENT: u64 = 50;
-/// What tasks of different sizes leave unused of a worker, in percent: they take up
-/// about a tenth of one each.
+/// The part of a worker that tasks of different sizes leave unused, in percent. A task
+/// uses about a tenth of a worker.
 pub(super) const FRAGMENTATION_PERCENT: u64 = 10;
 
-/// How many orders for machines may be without an answer. The platform takes some
-/// hundred a second: what waits longer than its call may take is ordered again, and holds
-/// up what is more urgent by then.
+/// The maximum number of orders without an answer. The platform processes some hundred
+/// orders a second. An order that waits longer than the time-out of its call is sent
+/// again, and would delay orders that are more urgent by then.
 const MAX_UNANSWERED_ORDERS: usize = 64;
-/// The same before idle machines go back to the spare pool, which can wait for those
-/// that a pool lacks.
+/// The number of orders without an answer from which no idle machine is returned to the
+/// spare pool. It is lower because returns are less urgent than moves to a pool with a
+/// shortage.
 const MAX_UNANSWERED_BEFORE_RETURNS: usize = 16;
 
-/// Where a machine for a pool comes from; the first goes first.
+/// The kind of pool that gives a machine away, most preferred first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Donor {
-    /// A pool that holds more than it needs.
+    /// A pool that offers more than it needs.
     Surplus,
     /// The spare pool.
     SparePool,
-    /// A pool that seems to hold more than it needs, to a new owner.
+    /// A pool that seems to offer more than it needs, but whose demand the owner has not
+    /// observed for long enough.
     UncertainSurplus,
 }
 
-/// The balance of each pool that queues use.
+/// The balance of each pool that a queue uses.
 pub(super) type Balances = IndexMap<Box<str>, Balance>;
 /// The names of idle machines, by pool.
 type IdleMachines = IndexMap<Box<str>, Vec<Box<str>>>;
 
 impl Scheduler {
-    /// Moves idle machines to pools whose tasks find no room, and back to the
-    /// spare pool once they stay idle.
+    /// Moves idle machines to pools with a shortage, and back to the spare pool once they
+    /// have been idle for long enough.
     pub(super) fn move_machines(&mut self, state: &ControlState) {
         let mut balances = self.balances(state);
         self.log_balances(&balances);
@@ -77,7 +79,7 @@
         self.return_idle_machines(state, &mut balances);
     }
 
-    /// The machines of each pool that are idle and free to go, the last by name first.
+    /// The movable machines of each pool, in descending order of their names.
     fn idle_machines(&self) -> IdleMachines {
         let mut idle = IdleMachines::new();
         let free = self.machines.by_name.iter();
@@ -91,9 +93,9 @@
         idle
     }
 
-    /// An idle machine for a pool: one of the pool that has most to spare, else a
-    /// spare one. The other way round each machine of a turn of demand that ends moves
-    /// twice, back and out again.
+    /// Removes a machine for `pool` from `idle`: one of the pool with the largest surplus,
+    /// or else one of the spare pool. If the spare pool came first, each machine that a
+    /// demand peak leaves behind would move twice, back to the spare pool and out again.
     fn choose_donor_machine(
         &self,
         state: &ControlState,
@@ -101,7 +103,7 @@
         balances: &Balances,
         idle: &mut IdleMachines,
     ) -> Option<Box<str>> {
-        let lender = match self.has_demand_history() {
+        let with_surplus = match self.has_demand_history() {
             true => Donor::Surplus,
             false => Donor::UncertainSurplus,
         };
@@ -111,9 +113,9 @@
             }
             let size = self.machines.by_name.get(name)?.view.capacity;
             let rest = balances.get(from)?.without_machine(size);
-            let spares = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
+            let has_surplus = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
             let surplus = rest.offered.cpu_milli.saturating_sub(rest.needed.cpu_milli);
-            spares.then_some((lender, u64::MAX - surplus))
+            has_surplus.then_some((with_surplus, u64::MAX - surplus))
         };
         let first = |names: &[Box<str>]| {
             let mut names = names.iter();
@@ -128,22 +130,22 @@
         Some(idle[&from].remove(at))
     }
 
-    /// Whether this owner has seen demand for as long as its forecast looks back.
-    /// Before, a pool between two turns looks as one that needs nothing, and what
-    /// is given away may be missing a second later.
+    /// Whether this owner has observed the demand for the whole window of its forecast.
+    /// Before that, a pool between two demand peaks seems to need nothing, and a machine
+    /// that it gives away may be missing a second later.
     fn has_demand_history(&self) -> bool {
         self.now >= self.taken_over_at + forecast::MEMORY
     }
 
-    /// Whether a machine is idle and free to go.
+    /// Whether a machine is up, idle and not assigned to anything.
     fn is_movable(&self, machine: &Machine) -> bool {
         let up = machine.view.state == MachineState::Up && machine.missing_since.is_none();
         up && machine.is_unassigned() && self.is_idle(machine)
     }
 
-    /// Whether nothing runs on a machine, and all that ended there has been
-    /// acknowledged. Where a list names no worker, one that says that it runs
-    /// there counts: an order would end its tasks.
+    /// Whether nothing runs on a machine, and all ends that its worker reported have been
+    /// acknowledged. If the list names no worker for the machine, a worker that reports
+    /// the machine as its own counts, because an order would end its tasks.
     pub(super) fn is_idle(&self, machine: &Machine) -> bool {
         let is_empty = |key| self.is_worker_empty(key);
         match &machine.view.worker {
@@ -177,18 +179,19 @@
         self.order_machine(name, MachineOrder::Move { pool: pool.into() });
     }
 
-    /// Sends machines back that stay idle, but for one of each pool.
+    /// Returns idle machines to the spare pool, as long as their pool keeps the free
+    /// capacity of one machine.
     fn return_idle_machines(&mut self, state: &ControlState, balances: &mut Balances) {
         let Some(spare) = spare_pool(state) else {
             return;
         };
-        let rested = |machine: &Machine| {
+        let has_been_idle = |machine: &Machine| {
             let since = machine.idle_since;
             since.is_some_and(|since| self.now >= since + SURPLUS_IDLE_LIMIT)
         };
         let machines = self.machines.by_name.iter();
         let of_pools = machines.filter(|(_, machine)| balances.contains_key(&machine.view.pool));
-        let idle = of_pools.filter(|(_, machine)| rested(machine));
+        let idle = of_pools.filter(|(_, machine)| has_been_idle(machine));
         let names: Vec<Box<str>> = idle.map(|(name, _)| name.clone()).collect();
         let mut allowed_orders =
             MAX_UNANSWERED_BEFORE_RETURNS.saturating_sub(self.machines.unanswered_orders());
@@ -199,18 +202,18 @@
             let Some(balance) = balances.get(&machine.view.pool) else {
                 continue;
             };
-            // One machine stays free for what comes next.
+            // Keeps the free capacity of one machine for new work.
             let rest = balance.without_machine(size).without_machine(size);
-            let plenty = self.has_demand_history() && rest.covers_need(SURPLUS_PERCENT);
-            let limit = if plenty {
+            let large_surplus = self.has_demand_history() && rest.covers_need(SURPLUS_PERCENT);
+            let limit = if large_surplus {
                 SURPLUS_IDLE_LIMIT
             } else {
                 IDLE_LIMIT
             };
             let idle = since.is_some_and(|since| self.now >= since + limit);
-            let spares = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
-            let goes = !self.machines.is_refused(&name, &spare) && self.is_movable(machine);
-            if idle && spares && goes {
+            let has_surplus = rest.workers > 0 && rest.covers_need(FRAGMENTATION_PERCENT);
+            let movable = !self.machines.is_refused(&name, &spare) && self.is_movable(machine);
+            if idle && has_surplus && movable {
                 if allowed_orders == 0 {
                     return;
                 }
@@ -221,17 +224,17 @@
     }
 }
 
-/// The pool that lacks most, if any does.
+/// The pool with the largest shortage, if any has one.
 fn pool_with_largest_shortage(
     balances: &Balances,
     except: &IndexSet<Box<str>>,
 ) -> Option<Box<str>> {
-    let lacking = balances
+    let short = balances
         .iter()
         .filter(|(pool, _)| !except.contains(*pool))
         .filter(|(_, balance)| !balance.covers_need(FRAGMENTATION_PERCENT));
-    let most = lacking.max_by_key(|(_, balance)| balance.shortage_milli());
-    most.map(|(pool, _)| pool.clone())
+    let largest = short.max_by_key(|(_, balance)| balance.shortage_milli());
+    largest.map(|(pool, _)| pool.clone())
 }
 
 pub(super) fn is_spare_pool(state: &ControlState, pool: &str) -> bool {
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! Lists of machines, orders about them, and what becomes of both.
+//! Lists of machines from the platform, and orders to it.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
 use crate::schedule::{Decision, Effect, Scheduler};
 use crate::state::{Command, ControlState};
 
-/// How often the machines are listed; a list is one call for 200 machines.
+/// The interval at which the machines are listed. A list takes one call for each 200
+/// machines.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same while an order is under way or a worker does not answer, so that
-/// the end of either is seen soon.
+/// The same while an order is pending or a worker does not answer, so that the result is
+/// seen soon.
 const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(400);
-/// How long after an order without a clear answer it is repeated. It is
+/// How long after it was sent an order without an answer is sent again. Orders are
 /// idempotent.
 const ORDER_RETRY: Duration = Duration::from_millis(700);
-/// How long an accepted order may take until the machine is listed as up. The
-/// platform needs 1.5 to 2 s.
+/// How long after it was accepted an order is pending if its machine is not listed as up.
+/// The platform needs 1.5 to 2 s.
 const ORDER_LIMIT: Duration = Duration::from_secs(8);
 
 impl Scheduler {
-    /// Looks after machines: called at each tick.
+    /// Lists, orders, maintains and moves machines. Called at each tick.
     pub(in crate::schedule) fn manage_machines(&mut self, state: &ControlState) {
         self.list_machines();
         if self.machines.list_requested_at.is_none() {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether a list tells something that is waited for.
+    /// Whether the next list may show the result of an order or the end of a worker.
     fn awaits_list(&self) -> bool {
         let mut machines = self.machines.by_name.values();
         let mut workers = self.workers.iter();
@@ -91,48 +92,48 @@
         }
     }
 
-    /// Keeps work from the workers whose machine is to be emptied, also from those
-    /// that became known after that was decided: else they go on taking work,
-    /// and a wave ends without their machine.
+    /// Cordons the workers on machines that must be emptied. This includes workers that
+    /// became known after the decision: otherwise they would continue to accept tasks, and
+    /// a wave would end without their machine.
     fn cordon_planned(&mut self) {
         let machines = self.machines.by_name.iter();
         let planned = machines.filter(|(_, machine)| machine.must_be_emptied());
-        // While an order has no answer, a worker that no list names may be the
-        // one that the order brought.
-        let held = planned.filter_map(|(name, machine)| match machine.awaits_answer() {
+        // While an order has no answer, a worker that no list names may have started
+        // because of that order.
+        let cordoned = planned.filter_map(|(name, machine)| match machine.awaits_answer() {
             true => self.listed_worker(name),
             false => self.worker_on(name),
         });
-        let held: Vec<WorkerKey> = held.collect();
-        for worker in held {
+        let cordoned: Vec<WorkerKey> = cordoned.collect();
+        for worker in cordoned {
             self.workers[worker].cordoned = true;
         }
     }
 
-    /// Ends the orders whose machine is up again, and repeats those that
-    /// have no clear answer.
+    /// Completes the orders whose machine is up again, and sends those without an answer
+    /// again.
     fn check_orders(&mut self) {
         let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         let machines = self.machines.by_name.iter();
         let ordered = machines.filter(|(_, machine)| machine.pending_order.is_some());
         let names: Vec<Box<str>> = ordered.map(|(name, _)| name.clone()).collect();
         for name in names {
-            let back = self.has_answering_worker(&name);
+            let answers = self.has_answering_worker(&name);
             let machine = &mut self.machines.by_name[&name];
-            let Some(ordered) = &machine.pending_order else {
+            let Some(pending) = &machine.pending_order else {
                 continue;
             };
-            match ordered.accepted_at {
+            match pending.accepted_at {
                 Some(at) => {
                     let listed = machine.view.state == MachineState::Up && list_requested_at > at;
-                    let up = listed || back;
+                    let up = listed || answers;
                     if up || self.now > at + ORDER_LIMIT {
                         machine.pending_order = None;
                         machine.idle_since = None;
                     }
                 }
-                None if self.now >= ordered.sent_at + ORDER_RETRY => {
-                    let order = ordered.order.clone();
+                None if self.now >= pending.sent_at + ORDER_RETRY => {
+                    let order = pending.order.clone();
                     self.send_machine_order(&name, order);
                 }
                 None => {}
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Whether a worker that says that it runs on a machine answers.
+    /// Whether a worker that reports the machine as its own answers.
     fn has_answering_worker(&self, name: &str) -> bool {
         let worker = self.workers.on_machine(name);
         worker.is_some_and(|worker| self.workers[worker].answers())
@@ -172,8 +173,8 @@
         });
     }
 
-    /// The worker that runs on a machine: the one that is listed there, else
-    /// one that says so itself.
+    /// The worker that runs on a machine: the one that is listed there, or else one that
+    /// reports the machine as its own.
     pub(super) fn worker_on(&self, name: &str) -> Option<WorkerKey> {
         let machine = self.machines.by_name.get(name)?;
         match &machine.view.worker {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Whether an order took the machine of a worker away, as far as is known.
+    /// Whether an order for its machine ended the life of a worker, as far as is known.
     pub(in crate::schedule) fn was_ended_by_order(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let name = worker.record.machine.as_deref();
@@ -209,21 +210,21 @@
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
         };
-        let Some(ordered) = machine
+        let Some(pending) = machine
             .pending_order
             .as_mut()
-            .filter(|known| known.order == *order)
+            .filter(|pending| pending.order == *order)
         else {
             return;
         };
-        if ordered.accepted_at.is_some() {
+        if pending.accepted_at.is_some() {
             return;
         }
         self.effects
             .push(Effect::Tell(Decision::machine_answer(name, answer)));
         match answer {
             MachineAnswer::Done => {
-                ordered.accepted_at = Some(now);
+                pending.accepted_at = Some(now);
                 machine.last_accepted_at = Some(now);
                 self.order_accepted(name, order);
             }
@@ -246,7 +247,7 @@
         }
     }
 
-    /// A machine has gone down for an order: its worker's life is over.
+    /// Processes an accepted order, which ends the life of the machine's worker.
     fn order_accepted(&mut self, name: &str, order: &MachineOrder) {
         if let Some(worker) = self.listed_worker(name) {
             self.life_over(worker, LifeOver::MachineOrdered);
@@ -275,7 +276,7 @@
             .min(self.now + LIST_INTERVAL_BUSY);
     }
 
-    /// Notes since when each machine has been idle.
+    /// Updates the times since which the machines have been idle.
     fn update_idle_times(&mut self) {
         let now = self.now;
         let machines = self.machines.by_name.values();
--- a/crates/cleat-jobs/src/schedule/fleet/reservations.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/reservations.rs
@@ -1,8 +1,8 @@
-//! Sharing machines between pools that all lack some.
+//! Reservation of busy machines for pools with a shortage.
 //!
-//! Machines of the pool whose need is met best are emptied for the one whose
-//! need is met least, as long as that evens them out. Without it a pool whose
-//! queue never ends would keep what it has, and the others would starve.
+//! If no idle machine is left, machines of the pool with the best coverage are emptied
+//! for the pool with a shortage, until their coverage is about equal. Otherwise a pool
+//! with an endless queue would never give a machine away, and the others would starve.
 
 use super::demand::Balance;
 use super::machine::{Machine, MachineOrder, MachineState};
@@ -11,11 +11,11 @@
 use crate::schedule::worker::WorkerKey;
 
 impl Scheduler {
-    /// Reserves machines of other pools for one that lacks some.
+    /// Reserves machines of other pools for a pool with a shortage.
     pub(super) fn reserve_machines(&mut self, pool: &str, balances: &mut Balances) {
-        while let Some(lacking) = balances.get(pool).copied()
-            && !lacking.covers_need(FRAGMENTATION_PERCENT)
-            && let Some(name) = self.machine_to_reserve(pool, &lacking, balances)
+        while let Some(receiver) = balances.get(pool).copied()
+            && !receiver.covers_need(FRAGMENTATION_PERCENT)
+            && let Some(name) = self.machine_to_reserve(pool, &receiver, balances)
         {
             let machine = &mut self.machines.by_name[&name];
             machine.reserved_for = Some(pool.into());
@@ -24,31 +24,31 @@
             if let Some(balance) = balances.get_mut(&from) {
                 *balance = balance.without_machine(size);
             }
-            balances[pool] = lacking.with_machine(size);
+            balances[pool] = receiver.with_machine(size);
             if let Some(worker) = self.worker_on(&name) {
                 self.workers[worker].cordoned = true;
             }
         }
     }
 
-    /// The machine with the least to do of the pool whose need is met best,
-    /// if giving it away leaves that pool better off than the other.
+    /// The machine with the lowest load in the pool with the best coverage, if that pool
+    /// without the machine is still better covered than the receiver with it.
     fn machine_to_reserve(
         &self,
         pool: &str,
-        lacking: &Balance,
+        receiver: &Balance,
         balances: &Balances,
     ) -> Option<Box<str>> {
-        let shares = |machine: &Machine| {
+        let rank = |machine: &Machine| {
             let view = &machine.view;
             let worker = self.worker_on(&view.name)?;
             let rest = balances.get(&view.pool)?.without_machine(view.capacity);
             let fair = rest.workers > 0
-                && rest.coverage_milli() > lacking.with_machine(view.capacity).coverage_milli()
+                && rest.coverage_milli() > receiver.with_machine(view.capacity).coverage_milli()
                 && *view.pool != *pool;
-            let ends = self.workers[worker].lasting == 0;
-            let free = fair && ends && self.is_reservable(machine, worker, pool);
-            free.then(|| {
+            let will_be_empty = self.workers[worker].lasting == 0;
+            let suitable = fair && will_be_empty && self.is_reservable(machine, worker, pool);
+            suitable.then(|| {
                 (
                     u64::MAX - rest.coverage_milli(),
                     self.workers[worker].used.cpu_milli,
@@ -56,28 +56,28 @@
             })
         };
         let machines = self.machines.by_name.iter();
-        let ranked = machines.filter_map(|(name, machine)| Some((shares(machine)?, name)));
+        let ranked = machines.filter_map(|(name, machine)| Some((rank(machine)?, name)));
         ranked.min().map(|(_, name)| name.clone())
     }
 
-    /// Whether nothing is planned for a machine and it may go to a pool.
+    /// Whether a machine is unassigned, up and in use, and may move to a pool.
     fn is_reservable(&self, machine: &Machine, key: WorkerKey, pool: &str) -> bool {
         let view = &machine.view;
-        let free = machine.is_unassigned()
+        let available = machine.is_unassigned()
             && view.state == MachineState::Up
             && machine.missing_since.is_none();
         let worker = &self.workers[key];
         let stays = worker.answers() && !worker.draining && !worker.cordoned;
-        free && stays && !self.machines.is_refused(&view.name, pool)
+        available && stays && !self.machines.is_refused(&view.name, pool)
     }
 
-    /// Moves the reserved machines that are empty, and lets go of those that
-    /// are not needed any more.
+    /// Moves the reserved machines that are empty, and releases those that are no longer
+    /// needed.
     pub(super) fn move_reserved_machines(&mut self, balances: &Balances) {
         let waiting = self.machines.by_name.iter().filter_map(|(name, machine)| {
             let pool = machine.reserved_for.clone()?;
-            let waits = machine.pending_order.is_none();
-            waits.then(|| (name.clone(), pool, machine.view.capacity))
+            let is_unsent = machine.pending_order.is_none();
+            is_unsent.then(|| (name.clone(), pool, machine.view.capacity))
         });
         let reserved: Vec<_> = waiting.collect();
         for (name, pool, size) in reserved {
--- a/crates/cleat-jobs/src/schedule/fleet/waves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/waves.rs
@@ -7,14 +7,14 @@
 use crate::schedule::worker::WorkerKey;
 use crate::state::{Command, ControlState, Wave};
 
-/// How long after a takeover waves go on: what the owner before ordered last
-/// shows in the lists by then.
+/// How long after a takeover the waves pause. By then the lists show the effect of the
+/// last orders of the previous owner.
 const TAKEOVER_PAUSE: Duration = Duration::from_secs(2);
-/// How long a machine may be missing in the lists before it is taken as gone.
+/// How long a machine may be missing from the lists before it counts as removed.
 const MISSING_LIMIT: Duration = Duration::from_secs(6);
 
 impl Scheduler {
-    /// Takes the next steps of all waves.
+    /// Advances all waves that are not completed.
     pub(super) fn advance_waves(&mut self, state: &ControlState) {
         if self.now < self.taken_over_at + TAKEOVER_PAUSE {
             return;
@@ -30,8 +30,8 @@
 
     fn advance_wave(&mut self, number: u64, wave: &Wave) {
         self.remove_missing(number, wave);
-        let most = usize::try_from(wave.max_at_once).unwrap_or(usize::MAX);
-        let room = most.saturating_sub(self.machines_in_progress(number, wave));
+        let limit = usize::try_from(wave.max_at_once).unwrap_or(usize::MAX);
+        let allowed = limit.saturating_sub(self.machines_in_progress(number, wave));
         let mut waiting: Vec<Box<str>> = wave
             .waiting
             .iter()
@@ -39,42 +39,43 @@
             .cloned()
             .collect();
         waiting.sort_by_key(|name| self.drain_cost(name));
-        for name in waiting.into_iter().take(room) {
+        for name in waiting.into_iter().take(allowed) {
             self.drain_machine(&name, number);
         }
         self.order_maintenance(number);
     }
 
-    /// How many machines of a wave are down or being emptied for it.
+    /// The number of machines of a wave that are in maintenance or being drained for it.
     fn machines_in_progress(&self, number: u64, wave: &Wave) -> usize {
         let of_wave = wave.waiting.iter().chain(&wave.maintained);
         let machines = of_wave.filter_map(|name| self.machines.by_name.get(name));
-        let busy = |machine: &&Machine| {
-            let ordered = machine.pending_order.as_ref();
-            let maintained = |order: &MachineOrder| matches!(order, MachineOrder::Maintain { .. });
-            let ordered = ordered.is_some_and(|ordered| maintained(&ordered.order));
+        let in_progress = |machine: &&Machine| {
+            let pending = machine.pending_order.as_ref();
+            let maintains = |order: &MachineOrder| matches!(order, MachineOrder::Maintain { .. });
+            let ordered = pending.is_some_and(|pending| maintains(&pending.order));
             ordered
                 || machine.draining_for_wave == Some(number)
                 || machine.view.state == MachineState::Maintained
         };
-        machines.filter(busy).count()
+        machines.filter(in_progress).count()
     }
 
     fn can_be_drained(&self, name: &str) -> bool {
         let machine = self.machines.by_name.get(name);
         machine.is_some_and(|machine| {
-            let free = machine.is_unassigned();
-            free && machine.view.state == MachineState::Up && machine.missing_since.is_none()
+            let unassigned = machine.is_unassigned();
+            unassigned && machine.view.state == MachineState::Up && machine.missing_since.is_none()
         })
     }
 
-    /// How much work a machine has: those with none go first.
+    /// The order in which machines are drained: those without a worker first, then those
+    /// with the lowest processor use.
     fn drain_cost(&self, name: &str) -> u64 {
         let worker = self.worker_on(name);
         worker.map_or(0, |worker| 1 + self.workers[worker].used.cpu_milli)
     }
 
-    /// Lets a machine take no more work, so that it becomes empty.
+    /// Cordons the worker of a machine, so that the machine becomes empty.
     fn drain_machine(&mut self, name: &str, number: u64) {
         if let Some(worker) = self.worker_on(name) {
             self.workers[worker].cordoned = true;
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Takes machines out of a wave that are gone for good.
+    /// Removes machines from a wave that have been missing for too long.
     fn remove_missing(&mut self, number: u64, wave: &Wave) {
         let gone = |name: &str| {
             let machine = self.machines.by_name.get(name);
@@ -122,8 +123,8 @@
         }
     }
 
-    /// The workers that are to become empty: on machines chosen for a wave,
-    /// and those that say that they end.
+    /// The workers with tasks that must become empty: those that are cordoned and those
+    /// that announced their end.
     pub(super) fn workers_to_empty(&self) -> Vec<WorkerKey> {
         let leaving = |worker: &crate::schedule::worker::Worker| worker.draining || worker.cordoned;
         let workers = self.workers.iter();
--- a/crates/cleat-jobs/src/size.rs
+++ b/crates/cleat-jobs/src/size.rs
@@ -1,4 +1,4 @@
-//! What a task takes up and a worker offers.
+//! Amounts of resources, such as the demand of a task or the capacity of a worker.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -17,13 +17,15 @@
 }
 
 impl Size {
-    /// Whether all of this fits into `room`.
-    pub fn fits(self, room: Size) -> bool {
-        self.cpu_milli <= room.cpu_milli && self.memory_mb <= room.memory_mb && self.gpu <= room.gpu
+    /// Whether no resource exceeds that of `capacity`.
+    pub fn fits(self, capacity: Size) -> bool {
+        self.cpu_milli <= capacity.cpu_milli
+            && self.memory_mb <= capacity.memory_mb
+            && self.gpu <= capacity.gpu
     }
 
-    /// The same without processor time: what a task takes up that runs in the
-    /// processor time that others leave.
+    /// This size with no processor time: the demand of a task that uses only the
+    /// processor time that other tasks leave idle.
     #[must_use]
     pub fn without_cpu(self) -> Size {
         Size {
@@ -32,7 +34,7 @@
         }
     }
 
-    /// The larger of both, of each resource.
+    /// The larger amount of each resource.
     #[must_use]
     pub fn component_max(self, other: Size) -> Size {
         Size {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// This much for each of `count` tasks.
+    /// The total for `count` tasks of this size.
     #[must_use]
     pub fn scaled(self, count: u64) -> Size {
         Size {
@@ -52,17 +54,16 @@
         }
     }
 
-    /// How many tasks of this size fit into `room`.
+    /// The number of tasks of this size that fit into `capacity`.
     #[must_use]
-    pub fn count_in(self, room: Size) -> u64 {
-        let times = |part: u64, room: u64| room.checked_div(part).unwrap_or(u64::MAX);
-        let cpu = times(self.cpu_milli, room.cpu_milli);
-        let memory = times(self.memory_mb, room.memory_mb);
-        cpu.min(memory).min(times(self.gpu, room.gpu))
+    pub fn count_in(self, capacity: Size) -> u64 {
+        let count = |size: u64, capacity: u64| capacity.checked_div(size).unwrap_or(u64::MAX);
+        let cpu = count(self.cpu_milli, capacity.cpu_milli);
+        let memory = count(self.memory_mb, capacity.memory_mb);
+        cpu.min(memory).min(count(self.gpu, capacity.gpu))
     }
 
-    /// What is left of this without `other`; nothing of a resource where
-    /// `other` has more.
+    /// Subtracts `other`; a resource of which `other` has more becomes 0.
     #[must_use]
     pub fn saturating_sub(self, other: Size) -> Size {
         Size {
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -1,4 +1,5 @@
-//! Applying commands. Nothing but the state and the command decides.
+//! Applies commands to the replicated state. The result depends on the state and the
+//! command only, so that it is the same on all members of the group.
 
 use std::sync::Arc;
 
@@ -9,38 +10,40 @@
 use super::{ControlState, CrashedRun, Owner, Wave, WorkerHistory, WorkerRecord};
 use crate::{Catalogue, JobId, Size};
 
-/// How many workers that are about to end are remembered. One ends within
-/// seconds, and a fleet of 1,100 workers that ends all at once fits twice.
+/// The maximum number of draining workers that are recorded; beyond it the oldest
+/// record is dropped. A draining worker ends within seconds, and the limit has room for
+/// a fleet of 1,100 workers that drain at the same time, twice over.
 const MAX_DRAINING_WORKERS: usize = 2_500;
 
-/// What a command came to.
+/// The result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// It holds now, or held before.
+    /// The command was applied, or had no effect because the state is as it asks.
     Done,
-    /// There is no such job.
+    /// The job does not exist.
     NoSuchJob,
-    /// The job is over and can't be cancelled any more.
+    /// The job has ended and can no longer be cancelled.
     Over(JobState),
-    /// The job's name is that of another customer's job.
+    /// The id belongs to another customer's job.
     Taken,
 }
 
 impl CommandOutcome {
-    /// The answer as bytes.
+    /// Encodes the outcome.
     pub fn encode(self) -> Box<[u8]> {
-        // Plain data of our own: writing it into a growing vector can't fail.
+        // Serialization into a growable vector fails only for types that refuse to be
+        // serialized, and an outcome holds none.
         postcard::to_stdvec(&self).unwrap_or_default().into()
     }
 
-    /// Reads [`encode`](Self::encode) back; none for anything else.
+    /// Decodes the result of [`encode`](Self::encode); none for any other bytes.
     pub fn decode(bytes: &[u8]) -> Option<CommandOutcome> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
 impl ControlState {
-    /// Applies the command at a position of the log.
+    /// Applies the command at position `index` of the log.
     pub fn apply(&mut self, index: u64, command: Command) -> CommandOutcome {
         match command {
             Command::Bootstrapped => self.bootstrapped = true,
@@ -138,8 +141,8 @@
         self.fail_jobs_over_crash_limit(ordinal);
     }
 
-    /// Gives up the jobs of which a task may have crashed too many workers, now that
-    /// the last crash under the owner before may not have been counted.
+    /// Fails the jobs that exceed the crash limit under a new owner. Each change of owner
+    /// may hide one crash that the previous owner did not record.
     fn fail_jobs_over_crash_limit(&mut self, ordinal: u32) {
         let jobs = self.jobs.iter();
         let over_limit = jobs.filter(|(_, job)| job.exceeds_crash_limit(ordinal));
@@ -149,7 +152,8 @@
         }
     }
 
-    /// The highest version wins, whatever the order of arrival.
+    /// Puts a configuration into force unless its version is lower than or equal to the
+    /// current one, whatever the order of arrival.
     fn configure(&mut self, catalogue: Arc<Catalogue>) {
         let held = self.catalogue.as_ref().map(|held| held.version);
         if held.is_none_or(|held| catalogue.version > held) {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// A job that is known stays as it is: submitted again, it is the same job.
+    /// Adds a job. A known job is not changed, so that submission is idempotent.
     fn submit(&mut self, id: JobId, job: Job) -> CommandOutcome {
         match self.customer_of(id) {
             None => {
@@ -207,7 +211,7 @@
         self.ended.insert(id, ended);
     }
 
-    /// Ends that were noted before, from this worker's life, count once.
+    /// Records ends that a worker reported, except those that were recorded before.
     fn record_ends(&mut self, index: u64, worker: &str, after: u64, ends: &[TaskEnd]) {
         let Some(record) = self.workers.get_mut(worker) else {
             return;
@@ -272,7 +276,7 @@
         self.workers.insert(name, record);
     }
 
-    /// Notes what a worker offers. A heartbeat that came late says what was.
+    /// Records the capacity of a worker, unless a later heartbeat reported it already.
     fn resize(&mut self, name: &str, capacity: Size, sequence: u64) {
         if let Some(record) = self.workers.get_mut(name)
             && record.history.capacity_sequence <= sequence
@@ -289,9 +293,9 @@
         }
     }
 
-    /// What is noted of a worker, for a note of its current use. One of an
-    /// earlier owner, or of a use before, says nothing of what was started
-    /// since.
+    /// The history of a worker, if `token` is that of the current owner and
+    /// `activations` the current number. A record by an earlier owner or for an earlier
+    /// activation does not cover the runs that were started since.
     fn current_activation(
         &mut self,
         name: &str,
--- a/crates/cleat-jobs/src/state/command.rs
+++ b/crates/cleat-jobs/src/state/command.rs
@@ -1,4 +1,4 @@
-//! What changes the replicated state.
+//! The commands that change the replicated state.
 
 use std::sync::Arc;
 
@@ -8,124 +8,124 @@
 use super::{CrashedRun, WorkerRecord};
 use crate::{Catalogue, JobId, JobSpec, Queue, Run, Size, TaskId};
 
-/// One entry of the log.
+/// One command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// The group has all the voters it needs.
+    /// The group has had the required number of voters for the first time.
     Bootstrapped,
-    /// A leader takes over the workers. Its position is the fencing token.
+    /// A leader becomes the owner of the workers. The log position of this command is
+    /// its fencing token.
     TakeOver {
-        /// The leader.
+        /// The group member that leads.
         member: u32,
     },
-    /// A configuration.
+    /// A new configuration.
     Configure(Arc<Catalogue>),
-    /// A job. One that is known already stays as it is.
+    /// A submitted job. A job with a known id is not changed.
     Submit {
-        /// Its name.
+        /// The id of the job.
         id: JobId,
-        /// Its queue at the time.
+        /// Its queue as configured when it was submitted.
         queue: Arc<Queue>,
-        /// The customer whose job it is; none if it is nobody's.
+        /// The customer that the job belongs to, if any.
         customer: Option<Box<str>>,
-        /// What it asks for.
+        /// The submitted specification.
         spec: Arc<JobSpec>,
-        /// When its caller came, by the accepting leader's time of day, in
-        /// milliseconds since the Unix epoch; 0 if that is not known.
+        /// When the submission arrived, by the clock of the leader that accepted it, in
+        /// milliseconds since the Unix epoch; 0 if unknown.
         arrived_ms: u64,
     },
-    /// The end of a job before its time.
+    /// The cancellation of a job.
     Cancel {
         /// The job.
         id: JobId,
     },
-    /// Ends of tasks that a worker lists. Nothing is noted before the ends up
-    /// to `after` are: the worker forgets all up to the last one noted.
+    /// Ends of runs that a worker reported. They are recorded only if all ends up to
+    /// `after` are, because the worker discards every end up to the last one recorded.
     RecordEnds {
         /// The worker.
         worker: Box<str>,
-        /// The number up to which ends were proposed before.
+        /// The number of the last end that was proposed before these.
         after: u64,
-        /// The ends, by rising number.
+        /// The ends, in ascending order of their numbers.
         ends: Vec<TaskEnd>,
     },
-    /// A worker on which tasks may be started from now on.
+    /// A worker on which tasks may be started from this log position on.
     AddWorker(WorkerRecord),
-    /// A worker that does not answer: it is given no work until it is added
-    /// again, but what it has may run on.
+    /// A worker that stopped answering. Nothing is started there until it is added
+    /// again, but its current runs may continue.
     WorkerSilent {
         /// The worker.
         name: Box<str>,
-        /// The token of the owner that says so.
+        /// The fencing token of the owner that proposed this.
         token: u64,
         /// The [`activations`](super::WorkerHistory::activations) to which this applies.
         activations: u32,
     },
-    /// A worker whose lease is over: nothing runs there.
+    /// A worker whose lease expired, so that nothing runs there.
     WorkerLapsed {
         /// The worker.
         name: Box<str>,
-        /// The token of the owner that says so.
+        /// The fencing token of the owner that proposed this.
         token: u64,
-        /// The [`activations`](super::WorkerHistory::activations) that are over.
+        /// The [`activations`](super::WorkerHistory::activations) to which this applies.
         activations: u32,
     },
-    /// Workers whose life is over, and nothing of theirs can run any more.
+    /// Workers whose life is over, so that none of their runs continues.
     RemoveWorkers {
         /// Their names.
         names: Vec<Box<str>>,
     },
-    /// Jobs that have been over for long enough.
+    /// Ended jobs whose retention time is over.
     Forget {
         /// The jobs.
         ids: Vec<JobId>,
     },
-    /// Jobs of which nothing can run any more, though they ended before their
-    /// time.
+    /// Cancelled or failed jobs of which no task can be running any more.
     JobsStopped {
         /// The jobs.
         ids: Vec<JobId>,
     },
     /// An operator's request that machines be maintained.
     StartWave {
-        /// The operator's number.
+        /// The number that the operator gave the wave.
         wave: u64,
         /// The machines.
         machines: Vec<Box<str>>,
-        /// Within which time, in milliseconds.
+        /// The time within which the wave must complete, in milliseconds.
         duration_ms: u64,
-        /// How many may be down for it at once.
+        /// The maximum number of machines that may be down for the wave at the same time.
         max_at_once: u32,
     },
-    /// A machine of a wave has gone down for its maintenance.
+    /// The maintenance of a machine of a wave has started.
     Maintained {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: Box<str>,
     },
-    /// A machine of a wave is gone for good.
+    /// A machine of a wave was removed, so the wave no longer waits for it.
     LeftWave {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: Box<str>,
     },
-    /// A worker that is about to end and takes no new work.
+    /// A worker that announced its end and accepts no new tasks.
     Draining {
         /// The worker.
         name: Box<str>,
     },
-    /// A worker offers more or less than before.
+    /// The capacity of a worker changed.
     Resized {
         /// The worker.
         name: Box<str>,
-        /// What it offers.
+        /// The new capacity.
         capacity: Size,
-        /// The heartbeat that said so.
+        /// The sequence number of the heartbeat that reported it.
         sequence: u64,
     },
-    /// A worker crashed with these runs. Each counts once against its task.
+    /// A worker crashed while it had these runs. Each run counts once against its task.
     Crashed {
         /// The runs.
         runs: Vec<CrashedRun>,
@@ -135,13 +135,13 @@
 /// How a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Its work is done.
+    /// The task completed.
     Done,
-    /// It failed, by its own fault or its worker's.
+    /// It failed, because of the task or the worker.
     Failed,
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopped,
-    /// Its worker's lease ran out.
+    /// The lease of its worker expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
@@ -158,21 +158,21 @@
     pub run: Run,
     /// How it ended.
     pub kind: EndKind,
-    /// Its last checkpoint; empty if there is none.
+    /// The last checkpoint; empty if there is none.
     pub checkpoint: Box<str>,
 }
 
-/// An end with the worker's number for it.
+/// An end with the number that the worker gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEnd {
-    /// Counts the ends of the worker's life from 1.
+    /// The number of the end, counted from 1 over the life of the worker.
     pub number: u64,
     /// The end.
     pub end: End,
 }
 
-/// Bytes that are no command or state of this version. Start the version that
-/// wrote them.
+/// Bytes that are not a command or state of this version. They can be read by the
+/// version that wrote them.
 #[derive(Debug, Snafu)]
 #[snafu(
     visibility(pub(crate)),
@@ -184,16 +184,17 @@
 }
 
 impl Command {
-    /// The command as bytes.
+    /// Encodes the command.
     pub fn encode(&self) -> Box<[u8]> {
-        // Plain data of our own: writing it into a growing vector can't fail.
+        // Serialization into a growable vector fails only for types that refuse to be
+        // serialized, and no command holds any.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// Reads [`encode`](Self::encode) back.
+    /// Decodes the result of [`encode`](Self::encode).
     ///
     /// # Errors
-    /// [`DecodeError`] if the bytes are of another version.
+    /// [`DecodeError`] if another version wrote the bytes.
     pub fn decode(bytes: &[u8]) -> Result<Command, DecodeError> {
         postcard::from_bytes(bytes).context(DecodeSnafu { what: "command" })
     }
--- a/crates/cleat-jobs/src/state/crash.rs
+++ b/crates/cleat-jobs/src/state/crash.rs
@@ -1,42 +1,47 @@
-//! Crashes of workers under a task, as they are replicated.
+//! Replicated counts of the worker crashes that each task may have caused.
 //!
-//! A worker that crashed lists no ends, so nothing of what ran there counts as a
-//! failed attempt. A task that crashes each worker on which it starts would go on
-//! for ever and take along whatever runs beside it; so the crashes under each task
-//! are counted, through changes of owner.
+//! A crashed worker reports no ends, so its runs don't count as failed attempts. A
+//! task that crashes every worker it starts on would be restarted for ever and
+//! would stop the other tasks on those workers each time. The crashes of the workers
+//! that ran a task are therefore counted per task, across changes of owner.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Run, TaskId};
 
-/// After how many crashes a task is given up if a worker that it had to itself crashed
-/// right after its start.
+/// The number of crashes at which a task fails its job if one of them is
+/// [`CrashEvidence::JustStartedAlone`].
 const CRASH_LIMIT_JUST_STARTED: usize = 2;
-/// The same if that worker crashed later: machines crash as well, the more the longer a
-/// run takes. Those count that an owner which died may have left uncounted.
+/// The number of crashes at which a task fails its job if one of them is
+/// [`CrashEvidence::RunningAlone`]. It is higher because the longer a run takes, the
+/// likelier its machine crashes for another reason. Crashes that a failed owner may
+/// not have recorded are included.
 const CRASH_LIMIT_RUNNING: usize = 3;
-/// The same where each start had no answer before its worker crashed.
+/// The number of crashes at which a task fails its job even if no start was answered
+/// before its worker crashed. Expired leases are not counted.
 const CRASH_LIMIT_UNANSWERED: usize = 5;
-/// How many workers crash under a task at least before it is given up.
+/// The minimum number of recorded crashes at which a task fails its job, whatever
+/// the evidence.
 const MIN_CRASHES: usize = 2;
-/// From how many crashes on a task has to have its worker to itself.
+/// The number of crashes from which a task runs alone on its worker.
 const MIN_CRASHES_FOR_ISOLATION: usize = 2;
 
-/// What part a run may have had in the crash of its worker; later ones say more.
+/// How strongly a worker's crash suggests that a run caused it, weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashEvidence {
-    /// Its worker left renewals unanswered until the lease was over, and may have
-    /// been cut off.
+    /// The worker left renewals unanswered until its lease expired. It may have been
+    /// disconnected rather than crashed.
     LeaseExpired,
-    /// Its start had no answer, and it may never have begun.
+    /// The start was not answered, so the run may never have started.
     StartUnanswered,
-    /// It had begun, as others had.
+    /// The run had started, and so had other runs on the worker.
     Running,
-    /// It had begun right before, beside others.
+    /// The run had started immediately before the crash, with other runs on the worker.
     JustStarted,
-    /// It had begun, and nothing else there could have been the cause.
+    /// The run had started, and no other run on the worker could have caused the crash.
     RunningAlone,
-    /// It had begun right before, and nothing else there could have been the cause.
+    /// The run had started immediately before the crash, and no other run on the worker
+    /// could have caused it.
     JustStartedAlone,
 }
 
@@ -47,26 +52,26 @@
     pub task: TaskId,
     /// The run.
     pub run: Run,
-    /// Its part in the crash.
+    /// How strongly the crash suggests that the run caused it.
     pub evidence: CrashEvidence,
 }
 
-/// The crashes under one task.
+/// The crashes of workers that ran one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCrashes {
-    /// The runs, with their parts.
+    /// The lost runs, with the evidence against the task.
     ///
-    /// Invariant: each run once, however often its crash was committed.
+    /// Invariant: each run occurs once, however often its crash was committed.
     runs: Vec<(Run, CrashEvidence)>,
 }
 
 impl TaskCrashes {
-    /// How many there are or may have been.
+    /// The number of workers that crashed or may have crashed while they ran the task.
     pub fn count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Notes a crash. A run that was noted before keeps the part that says more.
+    /// Records a crash. If the run is recorded already, the stronger evidence is kept.
     pub(super) fn record(&mut self, crashed: &CrashedRun) {
         let mut runs = self.runs.iter_mut();
         match runs.find(|(run, _)| *run == crashed.run) {
@@ -75,16 +80,17 @@
         }
     }
 
-    /// Whether the task has to have its worker to itself, so that the next crash tells.
-    /// At most `uncounted` workers more have crashed under it.
+    /// Whether the task must run alone on its worker, so that another crash is evidence
+    /// against this task only. Up to `uncounted` more workers that ran it may have
+    /// crashed.
     pub(super) fn needs_isolation(&self, uncounted: usize) -> bool {
         self.count() + uncounted >= MIN_CRASHES_FOR_ISOLATION
             || self.count_at_least(CrashEvidence::JustStarted) > 0
     }
 
-    /// Whether the task is not started any more. At most `uncounted` workers more have
-    /// crashed under it. What lasts is ended on two proofs only, as callers count on
-    /// what goes on.
+    /// Whether the task has crashed so many workers that its job fails. Up to `uncounted`
+    /// more workers that ran it may have crashed. A long-running task needs two crashes
+    /// while it ran alone, because callers depend on it staying up.
     pub(super) fn exceeds_limit(&self, uncounted: usize, long_running: bool) -> bool {
         let alone = self.count_at_least(CrashEvidence::RunningAlone);
         let proved = match long_running {
@@ -100,7 +106,7 @@
         unanswered || (proved && self.count() >= MIN_CRASHES)
     }
 
-    /// How many crashes say at least so much of the task.
+    /// The number of crashes with at least this evidence against the task.
     fn count_at_least(&self, minimum: CrashEvidence) -> usize {
         self.runs
             .iter()
@@ -109,11 +115,11 @@
     }
 }
 
-/// What workers' crashes lay on a task.
+/// How far a task is suspected of crashing its workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Suspicion {
-    /// How many workers crashed or may have crashed under it.
+    /// The number of workers that crashed or may have crashed while they ran it.
     pub(crate) crashes: usize,
-    /// Whether it has to have its worker to itself.
+    /// Whether it must run alone on its worker.
     pub(crate) needs_isolation: bool,
 }
--- a/crates/cleat-jobs/src/state/job.rs
+++ b/crates/cleat-jobs/src/state/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as they are replicated.
+//! Replicated jobs and their progress.
 
 use std::sync::Arc;
 
@@ -11,83 +11,86 @@
 
 const WORD_BITS: u32 = 64;
 
-/// What callers are told of a job.
+/// The state of a job as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted and not over.
+    /// Accepted and not ended.
     Active,
     /// All tasks are done.
     Completed,
-    /// A task failed as often as its queue allows, or crashed its workers.
+    /// A task reached the queue's limit of failed attempts, or crashed its workers.
     Failed,
     /// Its caller cancelled it.
     Cancelled,
 }
 
-/// A job that is not over.
+/// An active job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// The queue that it came through.
+    /// The queue that it was submitted to.
     pub queue: Arc<Queue>,
-    /// The customer whose job it is; none if it is nobody's. It stays the
-    /// customer's when that loses its keys or is removed: accepted is accepted.
+    /// The customer that the job belongs to, if any. An accepted job keeps its customer
+    /// when the customer's keys are revoked or the customer is removed.
     pub customer: Option<Box<str>>,
-    /// What it asks for.
+    /// The submitted specification.
     pub spec: Arc<JobSpec>,
-    /// The position in the log at which it was accepted.
+    /// The log position at which it was accepted.
     pub accepted_index: u64,
-    /// The ordinal of the owner at that time.
+    /// The ordinal of the owner at that position.
     pub accepted_ordinal: u32,
-    /// When its caller came, as in [`Command::Submit`](super::Command::Submit).
+    /// When the submission arrived, as in [`Command::Submit`](super::Command::Submit).
     pub arrived_ms: u64,
-    /// Occurrences of which an end was noted, by number.
+    /// The progress of the unfinished occurrences of which an end or a crash was
+    /// recorded, by number.
     pub occurrences: IndexMap<u32, Occurrence>,
-    /// How many occurrences are done; those are dropped from `occurrences`.
+    /// A bit for each occurrence that is done. A done occurrence is removed from
+    /// `occurrences`.
     pub occurrences_done: Vec<u64>,
 }
 
-/// A job that is over.
+/// A job that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
-    /// How it ended; never [`JobState::Active`].
+    /// Its final state; never [`JobState::Active`].
     pub state: JobState,
-    /// The customer whose job it was.
+    /// The customer that the job belonged to, if any.
     pub customer: Option<Box<str>>,
-    /// What the largest of its tasks takes up, for runs that outlive it.
+    /// The maximum of each resource that any of its tasks uses. Runs that continue after
+    /// the job ended count as this size.
     pub largest_task: Size,
 }
 
-/// A customer's job that ended before its time: its tasks may still run.
+/// A cancelled or failed job of a customer, whose tasks may still be running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoppingJob {
-    /// The customer whose job it was.
+    /// The customer that the job belonged to.
     pub customer: Box<str>,
-    /// What its tasks take up together that may run.
+    /// The total size of the tasks that may still be running.
     pub size: Size,
 }
 
-/// How far one occurrence of a job is.
+/// The progress of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// One for each step.
+    /// The progress of each step.
     pub steps: Vec<StepProgress>,
 }
 
-/// How far one step is.
+/// The progress of one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
     /// A bit for each task that is done.
     done: Vec<u64>,
-    /// How many bits are set.
+    /// The number of set bits in `done`.
     done_count: u32,
-    /// The position in the log at which the last of its tasks was noted as done;
-    /// 0 before.
+    /// The log position at which the end of its last task was recorded; 0 until then.
     done_index: u64,
-    /// How often each task has failed; a gang counts as its task 0.
+    /// The number of failed attempts of each task; those of a gang are recorded for its
+    /// task 0.
     failures: IndexMap<u32, u32>,
-    /// The crashes of workers under each task; a gang's members have their own.
+    /// The crashes of workers that ran each task; each member of a gang has its own.
     crashes: IndexMap<u32, TaskCrashes>,
-    /// The latest checkpoint of each task; a gang's is kept at its task 0.
+    /// The latest checkpoint of each task; that of a gang is recorded for its task 0.
     checkpoints: IndexMap<u32, Box<str>>,
 }
 
@@ -97,17 +100,17 @@
         is_set(&self.done, index)
     }
 
-    /// How many tasks are done.
+    /// The number of tasks that are done.
     pub fn done_count(&self) -> u32 {
         self.done_count
     }
 
-    /// How often a task has failed.
+    /// The number of failed attempts of a task.
     pub fn failures(&self, index: u32) -> u32 {
         self.failures.get(&index).copied().unwrap_or_default()
     }
 
-    /// How many crashes of workers are known under each task, of those with any.
+    /// The tasks with recorded crashes of workers, and the number of crashes of each.
     pub fn crashes(&self) -> impl Iterator<Item = (u32, usize)> {
         let tasks = self.crashes.iter();
         tasks.map(|(index, crashes)| (*index, crashes.count()))
@@ -130,7 +133,7 @@
     word.is_some_and(|word| word >> (index % WORD_BITS) & 1 == 1)
 }
 
-/// Sets a bit; whether it was clear.
+/// Sets a bit and returns whether it was clear.
 fn set(words: &mut Vec<u64>, index: u32) -> bool {
     let at = (index / WORD_BITS) as usize;
     if words.len() <= at {
@@ -162,21 +165,21 @@
         }
     }
 
-    /// What a step asks for.
+    /// The specification of a step.
     pub fn step(&self, id: StepId) -> Option<&StepSpec> {
         let known = id.occurrence < self.spec.occurrences();
         let step = self.spec.steps.get(usize::from(id.step));
         step.filter(|_| known)
     }
 
-    /// How far a step is; none if no end of its occurrence was noted, or if
-    /// the occurrence is done.
+    /// The progress of a step; none if no end or crash was recorded for its occurrence,
+    /// or if the occurrence is done.
     pub fn progress(&self, id: StepId) -> Option<&StepProgress> {
         let occurrence = self.occurrences.get(&id.occurrence)?;
         occurrence.steps.get(usize::from(id.step))
     }
 
-    /// How many tasks are done, in occurrences that are not over.
+    /// The number of tasks that are done, in occurrences that are not.
     pub fn done_count(&self) -> u64 {
         let steps = self
             .occurrences
@@ -205,7 +208,7 @@
         done || self.is_occurrence_done(id.occurrence)
     }
 
-    /// Whether a step waits for none that is not done.
+    /// Whether all steps that a step depends on are done.
     pub fn is_step_due(&self, id: StepId) -> bool {
         self.step(id).is_some_and(|spec| {
             let mut after = spec.after.iter();
@@ -213,8 +216,8 @@
         })
     }
 
-    /// The position in the log since which a step waits for no other: the job's
-    /// own, or that of the last end which the step waited for.
+    /// The log position at which a step became ready: that of the job, or that of the
+    /// last end among the steps it depends on.
     pub fn ready_index(&self, id: StepId) -> u64 {
         let after = self.step(id).map(|spec| spec.after.as_slice());
         let before = after.unwrap_or_default().iter();
@@ -223,13 +226,13 @@
         self.accepted_index.max(last.unwrap_or_default())
     }
 
-    /// What the largest of its tasks takes up, of each resource.
+    /// The maximum of each resource that any of its tasks uses.
     pub(crate) fn largest_task(&self) -> Size {
         let sizes = self.spec.steps.iter().map(|step| step.size);
         sizes.fold(Size::default(), Size::component_max)
     }
 
-    /// What all tasks that may have started and are not done take up together.
+    /// The total size of all tasks that may have been started and are not done.
     pub(crate) fn possibly_running_size(&self) -> Size {
         let mut sum = Size::default();
         for occurrence in 0..self.spec.occurrences() {
@@ -256,8 +259,8 @@
         spec.size.scaled(u64::from(spec.count.saturating_sub(done)))
     }
 
-    /// Notes an end at a position of the log and says whether that ended the
-    /// job.
+    /// Records an end at position `index` of the log and returns the resulting state of
+    /// the job.
     pub(crate) fn record_end(&mut self, index: u64, end: &End) -> JobState {
         let id = end.task.step;
         let Some(spec) = self.step(id) else {
@@ -266,14 +269,14 @@
         if end.task.index >= spec.count || self.is_occurrence_done(id.occurrence) {
             return JobState::Active;
         }
-        let (gang, lasts, count) = (spec.gang, spec.long_running, spec.count);
+        let (gang, long_running, count) = (spec.gang, spec.long_running, spec.count);
         let limit = self.queue.max_attempts.max(1);
         let step = self.progress_mut(id);
         let key = if gang { 0 } else { end.task.index };
         match end.kind {
             EndKind::Done if gang => (0..count).for_each(|index| step.set_done(index)),
-            EndKind::Done if !lasts => step.set_done(end.task.index),
-            EndKind::Failed if !lasts => *step.failures.entry(key).or_default() += 1,
+            EndKind::Done if !long_running => step.set_done(end.task.index),
+            EndKind::Failed if !long_running => *step.failures.entry(key).or_default() += 1,
             _ => {}
         }
         if step.done_count >= count && step.done_index == 0 {
@@ -290,7 +293,7 @@
         self.complete_occurrence(id.occurrence)
     }
 
-    /// The progress of a step that the job has.
+    /// The progress of a step, which must exist.
     fn progress_mut(&mut self, id: StepId) -> &mut StepProgress {
         let steps = self.spec.steps.len();
         let occurrence = self.occurrences.entry(id.occurrence).or_default();
@@ -298,7 +301,7 @@
         &mut occurrence.steps[usize::from(id.step)]
     }
 
-    /// Notes that a worker crashed under a task, or may have.
+    /// Records that a worker crashed, or may have, while it ran a task.
     pub(crate) fn record_crash(&mut self, crashed: &CrashedRun) {
         let (id, index) = (crashed.task.step, crashed.task.index);
         let known = self.step(id).is_some_and(|spec| index < spec.count);
@@ -308,8 +311,8 @@
         }
     }
 
-    /// Whether a task crashed its workers so often that it is not started any more.
-    /// `ordinal` is that of the current owner.
+    /// Whether a task has crashed so many workers that the job fails. `ordinal` is that
+    /// of the current owner.
     pub(crate) fn exceeds_crash_limit(&self, ordinal: u32) -> bool {
         let mut occurrences = self.occurrences.values();
         occurrences.any(|occurrence| {
@@ -325,8 +328,8 @@
         })
     }
 
-    /// What crashes lay on each task of a step under which workers crashed. `ordinal` is
-    /// that of the current owner.
+    /// The tasks of a step with recorded crashes of workers, and how far each is
+    /// suspected of causing them. `ordinal` is that of the current owner.
     pub(crate) fn suspicions(
         &self,
         id: StepId,
@@ -344,9 +347,9 @@
         })
     }
 
-    /// How many crashes under a task of the step may not have been counted: one with
-    /// each change of owner. A job that goes on for long sees many of those, which
-    /// tell nothing of its tasks.
+    /// The maximum number of crashes that a task of the step may have caused without a
+    /// record: one for each change of owner. It is 0 for long-running and repeated jobs,
+    /// which see many changes of owner that are no evidence against their tasks.
     fn uncounted_crashes(&self, spec: &StepSpec, ordinal: u32) -> usize {
         if spec.long_running || self.spec.repeat.is_some() {
             return 0;
@@ -354,7 +357,7 @@
         ordinal.saturating_sub(self.accepted_ordinal) as usize
     }
 
-    /// Drops an occurrence that is done; says whether it was the last.
+    /// Removes an occurrence if it is done, and returns the resulting state of the job.
     fn complete_occurrence(&mut self, occurrence: u32) -> JobState {
         let steps = 0..self.spec.steps.len();
         let ids = steps.map_while(|step| u16::try_from(step).ok());
--- a/crates/cleat-jobs/src/state/mod.rs
+++ b/crates/cleat-jobs/src/state/mod.rs
@@ -24,73 +24,73 @@
 use crate::state::command::DecodeSnafu;
 use crate::{Catalogue, JobId};
 
-/// Who gives orders to the workers.
+/// The leader that gives orders to the workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The member of the group.
+    /// Its member id in the group.
     pub member: u32,
-    /// The fencing token: the position in the log at which it took over.
+    /// The fencing token: the log position at which it took over.
     ///
-    /// Invariant: unique, and higher than that of every owner before.
+    /// Invariant: unique, and higher than that of every earlier owner.
     pub token: u64,
-    /// Which owner it is, counted from 0. A task's run numbers begin anew,
-    /// above all earlier ones, with each owner.
+    /// The number of earlier owners, 0 for the first. With each new owner the run numbers
+    /// of a task start in a new range, above all earlier ones.
     pub ordinal: u32,
 }
 
-/// Everything that a majority of the disks holds.
+/// The replicated state, which a majority of the members has on disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Whether the group once had all the voters it needs; before, nothing is
-    /// acknowledged.
+    /// Whether the group has ever had the required number of voters. Until then no
+    /// submission is acknowledged.
     pub bootstrapped: bool,
     /// The current owner.
     pub owner: Option<Owner>,
-    /// The configuration in force; none before the first.
+    /// The configuration in force, if there has been one.
     pub catalogue: Option<Arc<Catalogue>>,
-    /// The workers on which tasks may have been started, by name.
+    /// The workers on which tasks may have been started, by worker name.
     pub workers: IndexMap<Box<str>, WorkerRecord>,
-    /// The jobs that are not over, in the order in which they were accepted.
+    /// The active jobs, in the order in which they were accepted.
     pub jobs: IndexMap<JobId, Job>,
-    /// The jobs that are over, until they are forgotten.
+    /// The ended jobs, for as long as they are retained.
     pub ended: IndexMap<JobId, EndedJob>,
-    /// Customers' jobs that were cancelled or failed, until nothing of them runs.
+    /// Cancelled or failed jobs of customers, until none of their tasks can be running.
     pub stopping: IndexMap<JobId, StoppingJob>,
     /// The maintenance waves, by number.
     pub waves: IndexMap<u64, Wave>,
-    /// The workers that said lately that they are about to end, those first that
-    /// said so first.
+    /// The workers that announced their end recently, in the order in which they did.
     ///
-    /// Invariant: a worker is here before it hears that its word was taken, so
-    /// that no later owner gives it work.
+    /// Invariant: a worker is recorded here before its announcement is acknowledged, so
+    /// that no later owner starts tasks there.
     pub draining: IndexSet<Box<str>>,
 }
 
 impl ControlState {
-    /// The state of a job, over or not.
+    /// The state of an active or ended job.
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         let active = self.jobs.get(&id).map(|_| JobState::Active);
         active.or_else(|| self.ended.get(&id).map(|job| job.state))
     }
 
-    /// Whose a job is, over or not: none if it is not known, and no name if it
-    /// is nobody's.
+    /// The customer of an active or ended job: `None` if the job is unknown, and
+    /// `Some(None)` if it belongs to no customer.
     pub fn customer_of(&self, id: JobId) -> Option<Option<&str>> {
         let active = self.jobs.get(&id).map(|job| job.customer.as_deref());
         let ended = || self.ended.get(&id).map(|job| job.customer.as_deref());
         active.or_else(ended)
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Box<[u8]> {
-        // Plain data of our own: writing it into a growing vector can't fail.
+        // Serialization into a growable vector fails only for types that refuse to be
+        // serialized, and the state holds none.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// Reads [`snapshot`](Self::snapshot) back.
+    /// Decodes the result of [`snapshot`](Self::snapshot).
     ///
     /// # Errors
-    /// [`DecodeError`] if the bytes are of another version.
+    /// [`DecodeError`] if another version wrote the bytes.
     pub fn restore(data: &[u8]) -> Result<ControlState, DecodeError> {
         postcard::from_bytes(data).context(DecodeSnafu { what: "snapshot" })
     }
--- a/crates/cleat-jobs/src/state/wave.rs
+++ b/crates/cleat-jobs/src/state/wave.rs
@@ -1,23 +1,24 @@
-//! Maintenance waves as they are replicated.
+//! Replicated maintenance waves.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
-/// Machines that are to be maintained within a time.
+/// A set of machines to be maintained within a given time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// The machines that have not begun their maintenance.
+    /// The machines whose maintenance has not started.
     pub waiting: IndexSet<Box<str>>,
-    /// The machines that have begun it.
+    /// The machines whose maintenance has started.
     pub maintained: IndexSet<Box<str>>,
-    /// The time that the wave may take, in milliseconds.
+    /// The time within which the wave must complete, in milliseconds.
     pub duration_ms: u64,
-    /// How many machines may be down for it at once.
+    /// The maximum number of machines that may be down for the wave at the same time.
     pub max_at_once: u32,
 }
 
 impl Wave {
-    /// Whether each machine has begun its maintenance or is gone.
+    /// Whether the maintenance of every machine has started, apart from machines that
+    /// were removed.
     pub fn is_completed(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/cleat-jobs/src/state/worker.rs
+++ b/crates/cleat-jobs/src/state/worker.rs
@@ -1,57 +1,58 @@
-//! What is remembered of a worker.
+//! Replicated records of workers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Size;
 
-/// One life of a worker. A new owner asks each of them what it runs.
+/// One life of a worker: one run of its process. A new owner asks each recorded worker
+/// which tasks it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// The name of this life; a restarted worker has another.
+    /// The name of this life; a restarted worker has a new one.
     pub name: Box<str>,
-    /// Where it takes orders, `IP:PORT`.
+    /// The address at which it accepts orders, `IP:PORT`.
     pub address: Box<str>,
-    /// The pool that it works for.
+    /// The pool that it belongs to.
     pub pool: Box<str>,
-    /// The machine that it runs on, if it says so.
+    /// The machine that it runs on, if it reports one.
     pub machine: Option<Box<str>>,
     /// Its data centre.
     pub data_centre: Box<str>,
-    /// What it can hold; a worker may shrink and grow while it runs.
+    /// Its capacity, which may change while it runs.
     pub capacity: Size,
-    /// Its labels, its rack among them.
+    /// Its labels, including its rack.
     pub labels: Vec<Box<str>>,
-    /// Its rack, if it names one.
+    /// Its rack, if it reports one.
     pub rack: Option<Box<str>>,
-    /// What owners noted of it.
+    /// What owners have recorded about it.
     pub history: WorkerHistory,
 }
 
-/// What owners noted of a worker. A worker that only its heartbeats told of
-/// has the default.
+/// What owners have recorded about a worker. The default is that of a worker that is
+/// known from its heartbeats only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerHistory {
-    /// The number of the last end that was noted.
+    /// The number of the last end that was recorded.
     ///
-    /// Invariant: never falls, so an end that is listed again, to this owner
+    /// Invariant: never decreases, so an end that is reported again, to this owner
     /// or the next, counts once.
     pub last_recorded_end: u64,
-    /// Whether an owner may have started something that still runs there.
+    /// Whether a run that an owner started may still be running there.
     ///
-    /// Invariant: true before the first start there is sent, and false only
-    /// once nothing that was sent can run any more.
+    /// Invariant: true before the first start is sent to the worker, and false only
+    /// once none of the runs started there can still be running.
     pub may_have_runs: bool,
-    /// The position of the note that it does not answer; none while it may be
-    /// given work.
+    /// The log position at which the worker was recorded as silent; none while tasks
+    /// may be started there.
     ///
-    /// Invariant: nothing that became ready later than this runs there.
+    /// Invariant: no task that became ready at a later position runs there.
     pub silent_index: Option<u64>,
-    /// How often `may_have_runs` was asked to become true. Tells a note that its
-    /// lease is over, or that it is silent, from one that came before it was
-    /// used again.
+    /// How many times the worker was added, which sets `may_have_runs`. A record that
+    /// it is silent, or that its lease expired, applies only if it names the current
+    /// number: otherwise it dates from before the worker was last added.
     pub activations: u32,
-    /// The heartbeat that told its capacity.
+    /// The sequence number of the heartbeat that reported its capacity.
     ///
-    /// Invariant: never falls; what an earlier one said is out of date.
+    /// Invariant: never decreases; an earlier heartbeat is out of date.
     pub capacity_sequence: u64,
 }
