--- a/crates/cleat-jobs/src/catalogue/mod.rs
+++ b/crates/cleat-jobs/src/catalogue/mod.rs
@@ -55,12 +55,12 @@
     /// Whether calls need no key.
     pub public: bool,
     /// The time that permissions take, if starts need the adviser's permission.
-    pub advice: Option<Advice>,
+    pub advice: Option<AdviceTiming>,
 }
 
 /// The time that the adviser's permissions take for the steps of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advice {
+pub struct AdviceTiming {
     /// The fixed part of the duration of a call, in milliseconds.
     pub decision_ms: u64,
     /// The part for each worker in the call, in microseconds.
--- a/crates/cleat-jobs/src/lib.rs
+++ b/crates/cleat-jobs/src/lib.rs
@@ -17,7 +17,8 @@
 mod state;
 
 pub use catalogue::{
-    Advice, Catalogue, CatalogueDraft, CatalogueError, CatalogueFault, CustomerDraft, Pool, Queue,
+    AdviceTiming, Catalogue, CatalogueDraft, CatalogueError, CatalogueFault, CustomerDraft, Pool,
+    Queue,
 };
 pub use customer::{Caller, Cap, Customer, Customers, Document, KeyDigest};
 pub use ids::{JobId, ParseIdError, Run, StepId, TaskId};
--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -7,7 +7,7 @@
 use super::worker::{WorkerKey, millis};
 use super::{Effect, Scheduler};
 use crate::state::ControlState;
-use crate::{Advice, StepId};
+use crate::{AdviceTiming, StepId};
 
 /// How many workers one call names at most. Each makes the call longer; a
 /// step's objective allows for a call about 30.
@@ -96,7 +96,7 @@
         let Some(mut advice) = self.advice.swap_remove(&id) else {
             return;
         };
-        let Some(Advice { validity_ms, .. }) = policy else {
+        let Some(AdviceTiming { validity_ms, .. }) = policy else {
             return;
         };
         advice.asking = false;
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -76,7 +76,7 @@
     /// Whether the offer covers the need plus `reserve_percent` of it. A reserve is
     /// needed because tasks of different sizes leave part of a worker unused.
     pub(super) fn covers_need(&self, reserve_percent: u64) -> bool {
-        let with_reserve = |part: u64| part + part * reserve_percent / 100;
+        let with_reserve = |amount: u64| amount + amount * reserve_percent / 100;
         let needed = Size {
             cpu_milli: with_reserve(self.needed.cpu_milli),
             memory_mb: with_reserve(self.needed.memory_mb),
@@ -234,7 +234,7 @@
     }
 
     fn add_workers(&self, pools: &mut IndexMap<Box<str>, Balance>) {
-        let (mut working, mut leaving) = (IndexSet::new(), IndexSet::new());
+        let (mut accepting, mut leaving) = (IndexSet::new(), IndexSet::new());
         for (key, worker) in self.workers.iter() {
             let record = &worker.record;
             let Some(balance) = pools.get_mut(&record.pool) else {
@@ -249,7 +249,7 @@
                     false => record.capacity,
                 });
                 balance.add_accepting(record.capacity, worker.room());
-                working.extend(record.machine.as_deref());
+                accepting.extend(record.machine.as_deref());
             } else if worker.answers() {
                 leaving.extend(record.machine.as_deref());
             }
@@ -263,7 +263,7 @@
                 continue;
             };
             let stays = machine.pending_order.is_none() && leaving.contains(&**name);
-            if !stays && !working.contains(&**name) {
+            if !stays && !accepting.contains(&**name) {
                 balance.add_worker(machine.view.capacity);
             }
         }
--- a/crates/cleat-jobs/src/schedule/fleet/machine.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/machine.rs
@@ -120,7 +120,7 @@
         self.missing_since = None;
     }
 
-    /// Whether an order was sent and not accepted or rejected yet.
+    /// Whether an order was sent that the platform has not accepted or refused yet.
     pub(crate) fn awaits_answer(&self) -> bool {
         let pending = self.pending_order.as_ref();
         pending.is_some_and(|pending| pending.accepted_at.is_none())
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -17,11 +17,11 @@
 /// The same while an order is pending or a worker does not answer, so that the result is
 /// seen soon.
 const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(400);
-/// How long after it was sent an order without an answer is sent again. Orders are
-/// idempotent.
+/// How long after it was sent an order without a definite answer is sent again. Orders
+/// are idempotent.
 const ORDER_RETRY: Duration = Duration::from_millis(700);
-/// How long after it was accepted an order is pending if its machine is not listed as up.
-/// The platform needs 1.5 to 2 s.
+/// How long an accepted order stays pending if its machine is not listed as up. The
+/// platform needs 1.5 to 2 s.
 const ORDER_LIMIT: Duration = Duration::from_secs(8);
 
 impl Scheduler {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Completes the orders whose machine is up again, and sends those without an answer
-    /// again.
+    /// Completes the orders whose machine is up again, and resends those without a definite
+    /// answer.
     fn check_orders(&mut self) {
         let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         let machines = self.machines.by_name.iter();
--- a/crates/cleat-jobs/src/schedule/fleet/reservations.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/reservations.rs
@@ -60,7 +60,8 @@
         ranked.min().map(|(_, name)| name.clone())
     }
 
-    /// Whether a machine is unassigned, up and in use, and may move to a pool.
+    /// Whether a machine may be reserved for a pool: it is up and unassigned, its worker
+    /// answers and is not leaving, and the platform has not refused the move.
     fn is_reservable(&self, machine: &Machine, key: WorkerKey, pool: &str) -> bool {
         let view = &machine.view;
         let available = machine.is_unassigned()
@@ -74,20 +75,21 @@
     /// Moves the reserved machines that are empty, and releases those that are no longer
     /// needed.
     pub(super) fn move_reserved_machines(&mut self, balances: &Balances) {
-        let waiting = self.machines.by_name.iter().filter_map(|(name, machine)| {
+        let reserved = self.machines.by_name.iter().filter_map(|(name, machine)| {
             let pool = machine.reserved_for.clone()?;
             let is_unsent = machine.pending_order.is_none();
             is_unsent.then(|| (name.clone(), pool, machine.view.capacity))
         });
-        let reserved: Vec<_> = waiting.collect();
+        let reserved: Vec<_> = reserved.collect();
         for (name, pool, size) in reserved {
             let machine = &self.machines.by_name[&name];
             let without = balances
                 .get(&pool)
                 .map(|balance| balance.without_machine(size));
             let needed = without.is_some_and(|balance| !balance.covers_need(FRAGMENTATION_PERCENT));
-            let gone = machine.view.state != MachineState::Up || machine.view.worker.is_none();
-            if !needed || gone {
+            let unavailable =
+                machine.view.state != MachineState::Up || machine.view.worker.is_none();
+            if !needed || unavailable {
                 self.release_reservation(&name);
             } else if self.is_idle(machine) {
                 self.order_machine(&name, MachineOrder::Move { pool });
--- a/crates/cleat-jobs/src/schedule/fleet/waves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/waves.rs
@@ -68,8 +68,8 @@
         })
     }
 
-    /// The order in which machines are drained: those without a worker first, then those
-    /// with the lowest processor use.
+    /// The cost of draining a machine: 0 without a worker, else higher with more processor
+    /// time in use. Machines with the lowest cost are drained first.
     fn drain_cost(&self, name: &str) -> u64 {
         let worker = self.worker_on(name);
         worker.map_or(0, |worker| 1 + self.workers[worker].used.cpu_milli)
@@ -85,11 +85,12 @@
         }
     }
 
+    /// Orders the maintenance of the machines that were drained for a wave.
     fn order_maintenance(&mut self, number: u64) {
         let ready = |machine: &Machine| {
-            let chosen =
+            let is_drained =
                 machine.draining_for_wave == Some(number) && machine.pending_order.is_none();
-            chosen && machine.view.state == MachineState::Up && self.is_idle(machine)
+            is_drained && machine.view.state == MachineState::Up && self.is_idle(machine)
         };
         let machines = self.machines.by_name.iter();
         let names: Vec<Box<str>> = machines
@@ -103,7 +104,7 @@
 
     /// Removes machines from a wave that have been missing for too long.
     fn remove_missing(&mut self, number: u64, wave: &Wave) {
-        let gone = |name: &str| {
+        let is_removed = |name: &str| {
             let machine = self.machines.by_name.get(name);
             let missing = machine.and_then(|machine| machine.missing_since);
             let since = missing.or_else(|| match machine {
@@ -113,7 +114,7 @@
             since.is_some_and(|since| self.now >= since + MISSING_LIMIT)
         };
         let waiting = wave.waiting.iter();
-        let names: Vec<Box<str>> = waiting.filter(|name| gone(name)).cloned().collect();
+        let names: Vec<Box<str>> = waiting.filter(|name| is_removed(name)).cloned().collect();
         for machine in names {
             if let Some(known) = self.machines.by_name.get_mut(&machine) {
                 known.draining_for_wave = None;
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -138,25 +138,25 @@
             token: index,
             ordinal,
         });
-        self.fail_jobs_over_crash_limit(ordinal);
+        self.fail_jobs_at_crash_limit(ordinal);
     }
 
-    /// Fails the jobs that exceed the crash limit under a new owner. Each change of owner
-    /// may hide one crash that the previous owner did not record.
-    fn fail_jobs_over_crash_limit(&mut self, ordinal: u32) {
+    /// Fails the jobs that reach the crash limit because of a new owner. Each change of
+    /// owner may hide one crash that the previous owner did not record.
+    fn fail_jobs_at_crash_limit(&mut self, ordinal: u32) {
         let jobs = self.jobs.iter();
-        let over_limit = jobs.filter(|(_, job)| job.exceeds_crash_limit(ordinal));
-        let over_limit: Vec<JobId> = over_limit.map(|(id, _)| *id).collect();
-        for id in over_limit {
+        let at_limit = jobs.filter(|(_, job)| job.reaches_crash_limit(ordinal));
+        let at_limit: Vec<JobId> = at_limit.map(|(id, _)| *id).collect();
+        for id in at_limit {
             self.end_job(id, JobState::Failed);
         }
     }
 
-    /// Puts a configuration into force unless its version is lower than or equal to the
-    /// current one, whatever the order of arrival.
+    /// Puts a configuration into force if its version is higher than the current one. The
+    /// result does not depend on the order of arrival.
     fn configure(&mut self, catalogue: Arc<Catalogue>) {
-        let held = self.catalogue.as_ref().map(|held| held.version);
-        if held.is_none_or(|held| catalogue.version > held) {
+        let current = self.catalogue.as_ref().map(|current| current.version);
+        if current.is_none_or(|current| catalogue.version > current) {
             self.catalogue = Some(catalogue);
         }
     }
@@ -173,7 +173,7 @@
                 self.jobs.insert(id, job);
                 CommandOutcome::Done
             }
-            Some(owner) if owner == job.customer.as_deref() => CommandOutcome::Done,
+            Some(customer) if customer == job.customer.as_deref() => CommandOutcome::Done,
             Some(_) => CommandOutcome::Taken,
         }
     }
@@ -243,7 +243,7 @@
                 continue;
             };
             job.record_crash(crashed);
-            if job.exceeds_crash_limit(ordinal) {
+            if job.reaches_crash_limit(ordinal) {
                 self.end_job(id, JobState::Failed);
             }
         }
--- a/crates/cleat-jobs/src/state/crash.rs
+++ b/crates/cleat-jobs/src/state/crash.rs
@@ -9,11 +9,11 @@
 
 use crate::{Run, TaskId};
 
-/// The number of crashes at which a task fails its job if one of them is
+/// The number of crashes at which a task fails its job if the evidence of one of them is
 /// [`CrashEvidence::JustStartedAlone`].
 const CRASH_LIMIT_JUST_STARTED: usize = 2;
-/// The number of crashes at which a task fails its job if one of them is
-/// [`CrashEvidence::RunningAlone`]. It is higher because the longer a run takes, the
+/// The number of crashes at which a task fails its job if the evidence of one of them is
+/// [`CrashEvidence::RunningAlone`] or stronger. It is higher because the longer a run takes, the
 /// likelier its machine crashes for another reason. Crashes that a failed owner may
 /// not have recorded are included.
 const CRASH_LIMIT_RUNNING: usize = 3;
@@ -91,14 +91,14 @@
     /// Whether the task has crashed so many workers that its job fails. Up to `uncounted`
     /// more workers that ran it may have crashed. A long-running task needs two crashes
     /// while it ran alone, because callers depend on it staying up.
-    pub(super) fn exceeds_limit(&self, uncounted: usize, long_running: bool) -> bool {
+    pub(super) fn reaches_limit(&self, uncounted: usize, long_running: bool) -> bool {
         let alone = self.count_at_least(CrashEvidence::RunningAlone);
         let proved = match long_running {
             true => alone >= 2 && self.count() >= CRASH_LIMIT_RUNNING,
             false => {
-                let sudden = self.count_at_least(CrashEvidence::JustStartedAlone) > 0;
+                let just_started = self.count_at_least(CrashEvidence::JustStartedAlone) > 0;
                 let enough = alone > 0 && self.count() + uncounted >= CRASH_LIMIT_RUNNING;
-                enough || (sudden && self.count() >= CRASH_LIMIT_JUST_STARTED)
+                enough || (just_started && self.count() >= CRASH_LIMIT_JUST_STARTED)
             }
         };
         let unanswered =
--- a/crates/cleat-jobs/src/state/job.rs
+++ b/crates/cleat-jobs/src/state/job.rs
@@ -313,7 +313,7 @@
 
     /// Whether a task has crashed so many workers that the job fails. `ordinal` is that
     /// of the current owner.
-    pub(crate) fn exceeds_crash_limit(&self, ordinal: u32) -> bool {
+    pub(crate) fn reaches_crash_limit(&self, ordinal: u32) -> bool {
         let mut occurrences = self.occurrences.values();
         occurrences.any(|occurrence| {
             let steps = self.spec.steps.iter().zip(&occurrence.steps);
@@ -322,7 +322,7 @@
                 let uncounted = self.uncounted_crashes(spec, ordinal);
                 let mut tasks = step.crashes.iter();
                 tasks.any(|(index, crashes)| {
-                    !step.is_done(*index) && crashes.exceeds_limit(uncounted, spec.long_running)
+                    !step.is_done(*index) && crashes.reaches_limit(uncounted, spec.long_running)
                 })
             })
         })
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cleat_jobs::{Advice, Command, Effect, Event, JobId, Order, OrderAnswer, StepId};
+use cleat_jobs::{AdviceTiming, Command, Effect, Event, JobId, Order, OrderAnswer, StepId};
 use scaffold::{Bed, advice, job, queue, starts, step, task};
 
 const VALIDITY_MS: u64 = 3_000;
 
 fn submit(bed: &mut Bed, id: u64, count: u32) -> Vec<Effect> {
     let mut advised = queue("q", "a");
-    advised.advice = Some(Advice {
+    advised.advice = Some(AdviceTiming {
         decision_ms: 20,
         per_worker_us: 1_000,
         validity_ms: VALIDITY_MS,
