--- a/crates/cleat-jobs/src/catalogue/mod.rs
+++ b/crates/cleat-jobs/src/catalogue/mod.rs
@@ -54,11 +54,12 @@
     pub timeout_ms: u64,
     /// Whether calls need no key.
     pub public: bool,
-    /// The time that permissions take, if starts need the adviser's permission.
+    /// The timing of the adviser's permissions, if starts need them.
     pub advice: Option<AdviceTiming>,
 }
 
-/// The time that the adviser's permissions take for the steps of a queue.
+/// The expected duration and the validity of the adviser's permissions for the steps of a
+/// queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceTiming {
     /// The fixed part of the duration of a call, in milliseconds.
--- a/crates/cleat-jobs/src/customer/customers.rs
+++ b/crates/cleat-jobs/src/customer/customers.rs
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Whether the call may read and cancel a job that belongs to the customer `owner`.
-    /// A job without a customer was submitted to a public queue, or before customers
+    /// Whether the call may read and cancel a job that belongs to `job_customer`. A job
+    /// without a customer was submitted to a public queue, or before customers
     /// were configured.
-    pub fn may_access(&self, owner: Option<&str>) -> bool {
+    pub fn may_access(&self, job_customer: Option<&str>) -> bool {
         match self {
             Caller::Anyone => true,
-            Caller::Customer(customer) => owner.is_none_or(|owner| *owner == *customer.name),
+            Caller::Customer(customer) => job_customer.is_none_or(|name| *name == *customer.name),
             Caller::Unknown => false,
         }
     }
--- a/crates/cleat-jobs/src/customer/key.rs
+++ b/crates/cleat-jobs/src/customer/key.rs
@@ -6,7 +6,7 @@
 use sha2::{Digest, Sha256};
 
 /// The number of digest bytes in a fingerprint: enough to distinguish the keys of a
-/// fleet, too few to search for a key with that digest.
+/// fleet, too few to find the key.
 const FINGERPRINT_BYTES: usize = 4;
 
 /// The SHA-256 digest of a key.
--- a/crates/cleat-jobs/src/job/spec.rs
+++ b/crates/cleat-jobs/src/job/spec.rs
@@ -85,7 +85,8 @@
     pub target_ms: Option<u64>,
     /// Whether the tasks use only the processor time that other tasks leave idle.
     pub fills: bool,
-    /// The maximum number of tasks that the scheduler may interrupt at the same time.
+    /// The maximum number of tasks that may be unavailable at the same time when the
+    /// scheduler interrupts one.
     pub max_unavailable: Option<u32>,
 }
 
@@ -138,8 +139,8 @@
     /// The minimum number of workers on which all tasks of the step can run at the same
     /// time, given `max_per_worker`.
     pub fn min_workers(&self) -> usize {
-        let most = self.max_per_worker.unwrap_or(u32::MAX).max(1);
-        self.count.div_ceil(most) as usize
+        let per_worker = self.max_per_worker.unwrap_or(u32::MAX).max(1);
+        self.count.div_ceil(per_worker) as usize
     }
 
     fn validate(&self, step: usize) -> Result<(), JobSpecError> {
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -1,7 +1,7 @@
 //! Accounts of what each customer has running, which enforce its cap.
 //!
-//! A cap applies to all workers together and is never exceeded because of doubt: a run
-//! counts from the order that may start it until its worker reports its end, or the
+//! A cap applies to all workers together, and whatever may be running counts against it.
+//! A run counts from the order that may start it until its worker reports its end, or the
 //! worker's lease expires. Everything that an earlier owner may have started on workers
 //! that have not answered yet counts as if it were running.
 
@@ -185,8 +185,8 @@
         account.sent.take(at, account.weight)
     }
 
-    /// Whether a customer is within its share, if shares apply to the capacity in use: it is
-    /// beyond if it uses a larger part of that than its weight is of all weights.
+    /// Whether a customer is within its share of the capacity in use. It is beyond if its
+    /// part of that capacity is larger than its part of the sum of all weights.
     pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> Standing {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -26,7 +26,7 @@
         let by_machine: IndexMap<&str, &MachineView> =
             list.iter().map(|view| (&*view.name, view)).collect();
         // How the life of a worker ended, if the list shows that it has.
-        let absent = |worker: &Worker| {
+        let how_ended = |worker: &Worker| {
             let known_before = worker.known_since <= sent_at;
             if !known_before || !worker.is_out_of_reach() || named.contains(&*worker.record.name) {
                 return None;
@@ -40,7 +40,7 @@
         let mut over: Vec<(WorkerKey, LifeOver)> = Vec::new();
         for key in self.workers.keys() {
             let worker = &mut self.workers[key];
-            match absent(worker) {
+            match how_ended(worker) {
                 None => worker.absent_since = None,
                 Some(how) if worker.absent_since.is_some() => over.push((key, how)),
                 Some(_) => worker.absent_since = Some(sent_at),
--- a/crates/cleat-jobs/src/schedule/fleet/evict.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/evict.rs
@@ -19,13 +19,13 @@
     }
 
     fn evict_from_worker(&mut self, state: &ControlState, key: WorkerKey) {
-        let runs = |task: &&TaskId| {
+        let is_running = |task: &&TaskId| {
             let attempt = self.attempts.get(*task);
             attempt.is_some_and(|attempt| matches!(attempt.phase, Phase::Running { .. }))
         };
         let tasks = self.workers[key].tasks.iter();
-        let here: Vec<TaskId> = tasks.filter(runs).copied().collect();
-        for task in here {
+        let running: Vec<TaskId> = tasks.filter(is_running).copied().collect();
+        for task in running {
             let job = state.jobs.get(&task.job());
             let Some(spec) = job.and_then(|job| job.step(task.step)) else {
                 continue;
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -31,8 +31,7 @@
 impl CommandOutcome {
     /// Encodes the outcome.
     pub fn encode(self) -> Box<[u8]> {
-        // Serialization into a growable vector fails only for types that refuse to be
-        // serialized, and an outcome holds none.
+        // Can't fail: the value is plain data, and the vector grows as needed.
         postcard::to_stdvec(&self).unwrap_or_default().into()
     }
 
--- a/crates/cleat-jobs/src/state/command.rs
+++ b/crates/cleat-jobs/src/state/command.rs
@@ -186,8 +186,7 @@
 impl Command {
     /// Encodes the command.
     pub fn encode(&self) -> Box<[u8]> {
-        // Serialization into a growable vector fails only for types that refuse to be
-        // serialized, and no command holds any.
+        // Can't fail: the value is plain data, and the vector grows as needed.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
--- a/crates/cleat-jobs/src/state/mod.rs
+++ b/crates/cleat-jobs/src/state/mod.rs
@@ -50,7 +50,8 @@
     pub catalogue: Option<Arc<Catalogue>>,
     /// The workers on which tasks may have been started, by worker name.
     pub workers: IndexMap<Box<str>, WorkerRecord>,
-    /// The active jobs, in the order in which they were accepted.
+    /// The active jobs. They are not in the order of acceptance, since the last job takes
+    /// the place of one that is removed.
     pub jobs: IndexMap<JobId, Job>,
     /// The ended jobs, for as long as they are retained.
     pub ended: IndexMap<JobId, EndedJob>,
@@ -82,8 +83,7 @@
 
     /// Encodes the whole state.
     pub fn snapshot(&self) -> Box<[u8]> {
-        // Serialization into a growable vector fails only for types that refuse to be
-        // serialized, and the state holds none.
+        // Can't fail: the value is plain data, and the vector grows as needed.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
