--- a/crates/cleat-decide/src/lib.rs
+++ b/crates/cleat-decide/src/lib.rs
@@ -1,20 +1,25 @@
-//! Pure decisions of the request path and of control: (state, event, now) to
-//! effects.
+//! The decision logic of the request path and of slot sharing between entries,
+//! without side effects.
 //!
-//! Time is a monotonic `Duration` since the process's start, passed in as
-//! `now`; randomness is a seed or a number passed in. Nothing here locks, waits
-//! or does I/O.
+//! Each decision is a function of a state, an event and the current time.
+//!
+//! Time is a monotonic `Duration` since the process started, passed in as
+//! `now`. Randomness is passed in too, as a seed or as a random number. Nothing
+//! here takes locks, blocks or performs I/O.
 
 mod protections;
 mod request;
+mod retry_jitter;
 mod slots;
-mod spread;
 
 #[doc(hidden)]
 pub use protections::Protections;
 pub use request::{
-    Arrival, Arrived, AttemptOutcome, Candidate, FinalOutcome, Gate, Health, Refusal,
-    RefusalReason, Released, RequestFacts, RetryBudget, Ticket, UnknownReason, Verdict, choose,
-    choose_with, eject_slow, free_slots, share, verdict,
+    AdmissionController, AdmissionDecision, Arrival, AttemptContext, AttemptOutcome, Candidate,
+    Dequeued, FinalOutcome, Health, Refusal, RefusalReason, RetryBudget, RetryDecision, Ticket,
+    UnknownReason, choose_target, choose_target_with, decide_retry, eject_slow_targets, free_slots,
+    slot_share,
+};
+pub use slots::{
+    EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, Slots, TargetKey,
 };
-pub use slots::{Entry, Grant, GrantId, Message, Outgoing, Slot, SlotTerms, Slots, TargetKey};
--- a/crates/cleat-jobs/src/schedule/account/report.rs
+++ b/crates/cleat-jobs/src/schedule/account/report.rs
@@ -55,7 +55,7 @@
                 cap_memory_mb: cap.memory_mb,
             }
         });
-        self.effects.extend(decision.map(Effect::Tell));
+        self.effects.extend(decision.map(Effect::Log));
     }
 
     /// What each customer has running and waiting.
--- a/crates/cleat-jobs/src/schedule/account/usage.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -117,7 +117,7 @@
     /// Counts everything that an earlier owner may have started on workers that have not
     /// reported their runs to this one.
     fn update_in_doubt(&mut self, state: &ControlState) {
-        let off = !self.cfg.protections.hidden_runs_count;
+        let off = !self.cfg.protections.charge_hidden_runs;
         let mut in_doubt: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(customer) = step.charge.customer else {
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -221,7 +221,7 @@
             return;
         }
         self.effects
-            .push(Effect::Tell(Decision::machine_answer(name, answer)));
+            .push(Effect::Log(Decision::machine_answer(name, answer)));
         match answer {
             MachineAnswer::Done => {
                 pending.accepted_at = Some(now);
