--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -195,9 +195,9 @@
         }
         let own = self.get(key);
         #[allow(clippy::cast_precision_loss)]
-        let part = |own: u64, all: u64| own as f64 / all.max(1) as f64;
-        let cpu = part(own.used.cpu_milli, all.cpu_milli);
-        let memory = part(own.used.memory_mb, all.memory_mb);
+        let fraction = |own: u64, all: u64| own as f64 / all.max(1) as f64;
+        let cpu = fraction(own.used.cpu_milli, all.cpu_milli);
+        let memory = fraction(own.used.memory_mb, all.memory_mb);
         let share = own.weight / f64::max(weights, f64::MIN_POSITIVE);
         if cpu.max(memory) > share {
             Standing::Beyond
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -37,16 +37,16 @@
                 false => LifeOver::Absent,
             })
         };
-        let mut over: Vec<(WorkerKey, LifeOver)> = Vec::new();
+        let mut ended: Vec<(WorkerKey, LifeOver)> = Vec::new();
         for key in self.workers.keys() {
             let worker = &mut self.workers[key];
             match how_ended(worker) {
                 None => worker.absent_since = None,
-                Some(how) if worker.absent_since.is_some() => over.push((key, how)),
+                Some(how) if worker.absent_since.is_some() => ended.push((key, how)),
                 Some(_) => worker.absent_since = Some(sent_at),
             }
         }
-        for (key, how) in over {
+        for (key, how) in ended {
             self.life_over(key, how);
         }
     }
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -262,8 +262,9 @@
             let Some(balance) = expected_pool(machine).and_then(|pool| pools.get_mut(pool)) else {
                 continue;
             };
-            let stays = machine.pending_order.is_none() && leaving.contains(&**name);
-            if !stays && !accepting.contains(&**name) {
+            // A machine whose worker is leaving joins a pool only by an order.
+            let is_leaving = machine.pending_order.is_none() && leaving.contains(&**name);
+            if !is_leaving && !accepting.contains(&**name) {
                 balance.add_worker(machine.view.capacity);
             }
         }
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -117,13 +117,13 @@
             let surplus = rest.offered.cpu_milli.saturating_sub(rest.needed.cpu_milli);
             has_surplus.then_some((with_surplus, u64::MAX - surplus))
         };
-        let first = |names: &[Box<str>]| {
+        let first_accepted = |names: &[Box<str>]| {
             let mut names = names.iter();
             names.rposition(|name| !self.machines.is_refused(name, pool))
         };
         let others = idle.iter().filter(|(from, _)| ***from != *pool);
         let ranked = others.filter_map(|(from, names)| {
-            let at = first(names)?;
+            let at = first_accepted(names)?;
             Some((rank(from, &names[at])?, from.clone(), at))
         });
         let (_, from, at) = ranked.min()?;
