--- a/crates/cleat-jobs/src/job/spec.rs
+++ b/crates/cleat-jobs/src/job/spec.rs
@@ -83,7 +83,8 @@
     pub image: Option<Box<str>>,
     /// For tasks that serve users: the objective for their tail latency, in milliseconds.
     pub target_ms: Option<u64>,
-    /// Whether the tasks use only the processor time that other tasks leave idle.
+    /// Whether the tasks are best-effort: they use only the processor time that other tasks
+    /// leave idle.
     pub fills: bool,
     /// The maximum number of tasks that may be unavailable at the same time when the
     /// scheduler interrupts one.
--- a/crates/cleat-jobs/src/schedule/account/usage.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -11,8 +11,8 @@
 use crate::{JobId, Run, Size, StepSpec, TaskId};
 
 impl Scheduler {
-    /// The charge for a run of a step of the job. A run that uses only idle processor time
-    /// is charged for its full size, since a cap limits what a customer has running.
+    /// The charge for a run of a step of the job. A best-effort run is charged for its full
+    /// size, since a cap limits what a customer has running.
     pub(in crate::schedule) fn charge_for(
         &mut self,
         state: &ControlState,
--- a/crates/cleat-jobs/src/size.rs
+++ b/crates/cleat-jobs/src/size.rs
@@ -24,8 +24,8 @@
             && self.gpu <= capacity.gpu
     }
 
-    /// This size with no processor time: the demand of a task that uses only the
-    /// processor time that other tasks leave idle.
+    /// This size with no processor time: the demand of a best-effort task, which uses only
+    /// the processor time that other tasks leave idle.
     #[must_use]
     pub fn without_cpu(self) -> Size {
         Size {
