--- a/crates/cleat-control/src/lib.rs
+++ b/crates/cleat-control/src/lib.rs
@@ -1,30 +1,32 @@
-//! Control instances and gateways: the shells around `cleat-jobs`.
+//! Control instances and gateways: the I/O around the scheduler of `cleat-jobs`.
 //!
-//! A [`ControlNode`] holds the replicated state and, while it leads, runs the
-//! jobs of all pools. A [`Gateway`] stands before callers and finds the
-//! leader. Both speak [`ControlCall`](cleat_link::ControlCall)s; what the
-//! platform speaks is translated elsewhere, behind [`WorkerClient`].
+//! A [`ControlNode`] holds the replicated state and, while it is the leader,
+//! schedules the jobs of all pools. A [`Gateway`] accepts the calls of callers
+//! and forwards them to the leader. Both exchange
+//! [`ControlCall`](cleat_link::ControlCall)s; the platform's own protocol is
+//! implemented by other crates behind [`WorkerClient`], [`MachineClient`] and
+//! [`AdviceClient`].
 
-mod address;
+mod addressing;
 mod clock;
 mod error;
 mod events;
+mod gateway;
 mod keys;
-mod leader;
 mod links;
-mod local;
-mod machine;
 mod metrics;
 mod node;
 mod owner;
 mod platform;
+mod simulated;
+mod state_machine;
 
-pub use address::PeerAddress;
+pub use addressing::PeerAddressing;
 pub use error::StartError;
-pub use leader::{Gateway, GatewayConfig};
-pub use local::{LocalWorkers, ModelRun, ModelWorker};
+pub use gateway::{Gateway, GatewayConfig};
 pub use metrics::Metrics;
 pub use node::{ControlConfig, ControlNode};
 pub use platform::{
     AdviceClient, MachineClient, NoAdviser, NoMachines, PlatformClients, RenewalError, WorkerClient,
 };
+pub use simulated::{InProcessWorkers, SimulatedRun, SimulatedWorker};
--- a/crates/cleat-control/src/node/disk.rs
+++ b/crates/cleat-control/src/node/disk_recovery.rs
@@ -1,9 +1,9 @@
-//! What becomes of an instance whose disk refuses writes.
+//! Recovery of an instance whose disk failed a write.
 //!
-//! It takes no part in the group, but passes calls on to the leader. Once the disk
-//! takes writes again, the replica is opened anew from what the data folder holds,
-//! as a start of the process would: workers and operators that call this instance
-//! meanwhile get their answers, which they would not while it is started again.
+//! The replica stops, but the instance still forwards calls to the leader. Once the
+//! disk is writable again, it reopens the replica from the data folder, as a restart
+//! of the process would. Unlike during a restart, workers and operators that call this
+//! instance in the meantime get answers.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -22,14 +22,15 @@
 use crate::error::{DataFolderSnafu, ReplicaSnafu};
 use crate::events::ControlEvent;
 use crate::links::{LinkTransport, Links};
-use crate::machine::{JobsMachine, SharedState};
+use crate::state_machine::{JobsStateMachine, SharedState};
 
-/// How often it is tried whether the disk takes writes: a second without one of
-/// five voters costs callers nothing.
+/// The interval between write probes. Callers do not notice that one of five voters
+/// is missing for a second longer.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How much a disk has to take to count as well: the log of some seconds.
+/// The number of bytes that a probe must write: as much as the log grows in a few
+/// seconds.
 const PROBE_BYTES: usize = 256 * 1024;
-const PROBE: &str = "probe.tmp";
+const PROBE_FILE: &str = "probe.tmp";
 
 /// Opens the replica from the data folder.
 pub(super) fn open_replica(
@@ -39,13 +40,17 @@
 ) -> Result<Replica, StartError> {
     let disk = Journal::open(&cfg.data_folder, &cfg.name).context(DataFolderSnafu)?;
     let transport = LinkTransport(links.clone());
-    let machine = JobsMachine(state.clone());
+    let machine = JobsStateMachine(state.clone());
     let replica = Replica::spawn(replica_config(cfg), disk, transport, machine);
     replica.context(ReplicaSnafu)
 }
 
-/// Opens the replica anew whenever its disk failed, until the instance stops.
-pub(super) async fn reopen_failed(shared: Arc<Shared>, cfg: ControlConfig, links: Arc<Links>) {
+/// Reopens the replica after each disk failure, until the instance stops.
+pub(super) async fn reopen_after_disk_failure(
+    shared: Arc<Shared>,
+    cfg: ControlConfig,
+    links: Arc<Links>,
+) {
     loop {
         shared.replica().wait_stopped().await;
         if shared.is_stopping() {
@@ -55,11 +60,13 @@
         shared.events.emit(&ControlEvent::DiskFailed);
         let replica = loop {
             sleep(PROBE_INTERVAL).await;
-            if takes_writes(cfg.data_folder.clone()).await {
+            if is_writable(cfg.data_folder.clone()).await {
                 shared.state.clear();
                 match open_replica(&cfg, &links, &shared.state) {
                     Ok(replica) => break replica,
-                    Err(error) => warn!("the disk takes writes, but {error}"),
+                    Err(error) => {
+                        warn!("the disk is writable, but the replica can't be reopened: {error}");
+                    }
                 }
             }
         };
@@ -69,24 +76,24 @@
     }
 }
 
-async fn takes_writes(folder: PathBuf) -> bool {
+async fn is_writable(folder: PathBuf) -> bool {
     let probed = tokio::task::spawn_blocking(move || probe(&folder)).await;
     match probed {
         Ok(Ok(())) => true,
         Ok(Err(error)) => {
-            warn!("the disk takes no writes: {error}");
+            warn!("the data folder is not writable: {error}");
             false
         }
         Err(error) => {
-            warn!("the disk can't be tried: {error}");
+            warn!("the write probe of the data folder did not complete: {error}");
             false
         }
     }
 }
 
-/// Writes a file of its own, and removes it whatever came of that.
+/// Writes and syncs a probe file, and removes it whether or not that succeeded.
 fn probe(folder: &Path) -> io::Result<()> {
-    let path = folder.join(PROBE);
+    let path = folder.join(PROBE_FILE);
     let written = File::create(&path).and_then(|mut file| {
         file.write_all(&vec![0; PROBE_BYTES])?;
         file.sync_all()
--- a/crates/cleat-control/src/owner/mod.rs
+++ b/crates/cleat-control/src/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The task that owns the workers while this instance leads.
+//! The owner task, which runs the scheduler and sends orders to the workers while this
+//! instance leads.
 
 mod effects;
 
@@ -18,17 +19,17 @@
 use crate::events::{ControlEvent, OwnershipEnd};
 use crate::node::Shared;
 use crate::platform::{AdviceClient, MachineClient, PlatformClients, WorkerClient};
-use effects::{Call, end_commit_failures};
+use effects::{PendingCall, end_commit_failures};
 
-/// How often an instance that does not lead looks whether it does by now: well
-/// below the time of an election.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
-/// How often the owner looks at what is due by time alone.
-const TICK: Duration = Duration::from_millis(50);
-/// How many events are taken before effects are carried out.
-const BATCH: usize = 256;
+/// How often an instance that does not lead checks whether it became the leader:
+/// well below the time of an election.
+const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// The interval of the scheduler's tick events, which trigger what is due by time.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The maximum number of events that are handled before effects are executed.
+const MAX_EVENT_BATCH: usize = 256;
 
-/// Starts the task.
+/// Spawns the owner task.
 pub(crate) fn spawn<W: WorkerClient, M: MachineClient, A: AdviceClient>(
     shared: Arc<Shared>,
     cfg: SchedulerConfig,
@@ -40,7 +41,7 @@
         workers: Arc::new(clients.workers),
         machines: Arc::new(clients.machines),
         adviser: Arc::new(clients.adviser),
-        commits: Arc::default(),
+        commit_failures: Arc::default(),
     };
     tokio::spawn(owner.run())
 }
@@ -51,48 +52,49 @@
     workers: Arc<W>,
     machines: Arc<M>,
     adviser: Arc<A>,
-    /// Whether its commands are committed.
-    commits: Arc<Condition>,
+    /// Tracks whether proposed commands fail to commit.
+    commit_failures: Arc<Condition>,
 }
 
-/// Calls under way.
-type Calls = FuturesUnordered<Call>;
+/// The calls that have not completed yet.
+type PendingCalls = FuturesUnordered<PendingCall>;
 
 impl<W: WorkerClient, M: MachineClient, A: AdviceClient> OwnerTask<W, M, A> {
     async fn run(self) {
         loop {
             if self.shared.leads() {
-                self.own().await;
+                self.run_as_owner().await;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(LEADERSHIP_POLL_INTERVAL).await;
         }
     }
 
-    /// Takes over and owns the workers until the lead is lost.
-    async fn own(&self) {
+    /// Takes over the workers, and runs the scheduler until the leadership is lost.
+    async fn run_as_owner(&self) {
         let (tx, mut rx) = unbounded_channel();
-        self.shared.state.tell(Some(tx));
+        self.shared.state.set_owner(Some(tx));
         if self.take_over().await {
-            let token = self.tell_takeover();
-            let reason = self.serve(&mut rx).await;
-            end_commit_failures(&self.shared, &self.commits);
+            let token = self.log_takeover();
+            let reason = self.run_event_loop(&mut rx).await;
+            end_commit_failures(&self.shared, &self.commit_failures);
             let end = ControlEvent::OwnsNoMore { token, reason };
             self.shared.events.emit(&end);
         }
-        self.shared.state.tell(None);
-        self.put(None);
+        self.shared.state.set_owner(None);
+        self.set_scheduler(None);
     }
 
-    fn put(&self, scheduler: Option<Scheduler>) {
-        let mut place = self
+    fn set_scheduler(&self, scheduler: Option<Scheduler>) {
+        let mut guard = self
             .shared
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *place = scheduler;
+        *guard = scheduler;
     }
 
-    /// Commits the ownership, once the group has the voters it needs.
+    /// Commits that this instance is the owner, once the group has enough voters;
+    /// false if that failed.
     async fn take_over(&self) -> bool {
         if !self.shared.state.read(|state| state.bootstrapped) {
             let status = self.shared.replica().status();
@@ -106,16 +108,16 @@
             return false;
         }
         let scheduler = self.shared.state.read(|state| {
-            let own = state.owner.is_some_and(|owner| owner.member == member);
-            Scheduler::new(self.cfg, state, boot_time(), wall_ms()).filter(|_| own)
+            let is_owner = state.owner.is_some_and(|owner| owner.member == member);
+            Scheduler::new(self.cfg, state, boot_time(), wall_ms()).filter(|_| is_owner)
         });
-        let taken = scheduler.is_some();
-        self.put(scheduler);
-        taken
+        let taken_over = scheduler.is_some();
+        self.set_scheduler(scheduler);
+        taken_over
     }
 
-    /// Logs the ownership and gives its token.
-    fn tell_takeover(&self) -> u64 {
+    /// Logs the takeover, and returns the fencing token of this owner.
+    fn log_takeover(&self) -> u64 {
         let owner = self.shared.with_scheduler(Scheduler::owner);
         let token = owner.map_or(0, |owner| owner.token);
         let event = self.shared.state.read(|state| ControlEvent::Owns {
@@ -132,20 +134,20 @@
         match self.shared.replica().propose(command.encode()).await {
             Ok(_) => true,
             Err(error) => {
-                warn!("the workers can't be taken over yet: {error}");
+                warn!("could not commit the takeover of the workers; retrying: {error}");
                 false
             }
         }
     }
 
-    async fn serve(&self, rx: &mut UnboundedReceiver<Event>) -> OwnershipEnd {
-        let mut calls = Calls::new();
-        let mut ticks = interval(TICK);
+    async fn run_event_loop(&self, rx: &mut UnboundedReceiver<Event>) -> OwnershipEnd {
+        let mut calls = PendingCalls::new();
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut events = Vec::with_capacity(BATCH);
+        let mut events = Vec::with_capacity(MAX_EVENT_BATCH);
         loop {
             tokio::select! {
-                count = rx.recv_many(&mut events, BATCH) => {
+                count = rx.recv_many(&mut events, MAX_EVENT_BATCH) => {
                     if count == 0 {
                         return OwnershipEnd::LeadLost;
                     }
@@ -153,25 +155,25 @@
                 Some(event) = calls.next(), if !calls.is_empty() => events.extend(event),
                 _ = ticks.tick() => events.push(Event::Tick { wall_ms: wall_ms() }),
             }
-            take_ready(&mut calls, &mut events);
+            collect_completed(&mut calls, &mut events);
             if !self.shared.replica().status().is_leader() {
                 return OwnershipEnd::LeadLost;
             }
-            if !self.handle(&mut events, &calls) {
+            if !self.handle_events(&mut events, &calls) {
                 return OwnershipEnd::Fenced;
             }
         }
     }
 
-    /// Decides on events and carries the decisions out; false once another
+    /// Passes events to the scheduler and executes its effects; false once a later
     /// owner is known.
-    fn handle(&self, events: &mut Vec<Event>, calls: &Calls) -> bool {
-        let mut place = self
+    fn handle_events(&self, events: &mut Vec<Event>, calls: &PendingCalls) -> bool {
+        let mut guard = self
             .shared
             .scheduler
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let Some(scheduler) = place.as_mut() else {
+        let Some(scheduler) = guard.as_mut() else {
             return false;
         };
         let now = boot_time();
@@ -179,17 +181,17 @@
             .shared
             .state
             .read(|state| scheduler.handle(state, events.drain(..), now));
-        drop(place);
+        drop(guard);
         effects
             .into_iter()
-            .all(|effect| self.carry_out(effect, calls))
+            .all(|effect| self.execute(effect, calls))
     }
 }
 
-/// Takes the calls that have ended as well: one decision on many events costs
-/// little more than one on a single event.
-fn take_ready(calls: &mut Calls, events: &mut Vec<Event>) {
-    while events.len() < BATCH
+/// Adds the events of calls that have already completed, as the scheduler handles a
+/// batch of events at little more cost than a single one.
+fn collect_completed(calls: &mut PendingCalls, events: &mut Vec<Event>) {
+    while events.len() < MAX_EVENT_BATCH
         && let Some(Some(event)) = calls.next().now_or_never()
     {
         events.extend(event);
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -14,7 +14,7 @@
 
 pub use report::CustomerView;
 
-use super::shares::{Sent, Standing};
+use super::shares::{RecentJobs, ShareStatus};
 use crate::{Cap, Catalogue, Size};
 
 /// The index of an account in the arena. Indexes are never reused.
@@ -38,7 +38,7 @@
     /// The share in the configuration in force, in jobs a second.
     weight: f64,
     /// The recent jobs that it submitted within its share.
-    sent: Sent,
+    recent_jobs: RecentJobs,
     /// The total size of its runs that this owner knows of.
     ///
     /// Invariant: the sum of the charges of its strays and of its attempts, except those
@@ -180,14 +180,14 @@
 
     /// Records a job that a customer submitted at `at`, and returns whether it is within the
     /// customer's share.
-    pub(crate) fn record_job(&mut self, key: CustomerKey, at: Duration) -> Standing {
+    pub(crate) fn record_job(&mut self, key: CustomerKey, at: Duration) -> ShareStatus {
         let account = self.get_mut(key);
-        account.sent.take(at, account.weight)
+        account.recent_jobs.admit(at, account.weight)
     }
 
     /// Whether a customer is within its share of the capacity in use. It is beyond if its
     /// part of that capacity is larger than its part of the sum of all weights.
-    pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> Standing {
+    pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> ShareStatus {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
             all += account.used;
@@ -200,9 +200,9 @@
         let memory = fraction(own.used.memory_mb, all.memory_mb);
         let share = own.weight / f64::max(weights, f64::MIN_POSITIVE);
         if cpu.max(memory) > share {
-            Standing::Beyond
+            ShareStatus::Exceeded
         } else {
-            Standing::Within
+            ShareStatus::Within
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/fleet/absent.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/absent.rs
@@ -28,7 +28,7 @@
         // How the life of a worker ended, if the list shows that it has.
         let how_ended = |worker: &Worker| {
             let known_before = worker.known_since <= sent_at;
-            if !known_before || !worker.is_out_of_reach() || named.contains(&*worker.record.name) {
+            if !known_before || !worker.is_unreachable() || named.contains(&*worker.record.name) {
                 return None;
             }
             let view = by_machine.get(worker.record.machine.as_deref()?)?;
@@ -47,7 +47,7 @@
             }
         }
         for (key, how) in ended {
-            self.life_over(key, how);
+            self.end_life(key, how);
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -8,7 +8,7 @@
 use crate::Size;
 use crate::schedule::account::CustomerKey;
 use crate::schedule::step::ActiveStep;
-use crate::schedule::timing::Prospect;
+use crate::schedule::timing::Timeliness;
 use crate::schedule::{Decision, Scheduler};
 use crate::state::ControlState;
 
@@ -164,7 +164,7 @@
         for (pool, balance) in &mut pools {
             // Waiting tasks are added to the forecast. A pool with capacity for new work
             // only would never reduce its backlog.
-            let expected = self.times.forecast(pool, self.now) + self.long_running_usage(pool);
+            let expected = self.workload.forecast(pool, self.now) + self.long_running_usage(pool);
             balance.needed = balance.used.component_max(expected) + balance.pending;
             balance.update_min_workers();
         }
@@ -173,14 +173,16 @@
 
     /// Logs the balances, once a second.
     pub(super) fn log_balances(&mut self, balances: &IndexMap<Box<str>, Balance>) {
-        if self.now < self.balances_told + BALANCE_LOG_INTERVAL {
+        if self.now < self.balances_logged_at + BALANCE_LOG_INTERVAL {
             return;
         }
-        self.balances_told = self.now;
+        self.balances_logged_at = self.now;
         for (pool, balance) in balances.iter().filter(|(_, b)| b.needed.cpu_milli > 0) {
             let taking = self.candidates(pool);
-            let free = taking.iter().map(|key| self.workers[*key].room().cpu_milli);
-            self.tell(Decision::Pool {
+            let free = taking
+                .iter()
+                .map(|key| self.workers[*key].free_capacity().cpu_milli);
+            self.log(Decision::Pool {
                 pool: pool.clone(),
                 needed_cpu_milli: balance.needed.cpu_milli,
                 needed_memory_mb: balance.needed.memory_mb,
@@ -209,13 +211,13 @@
             let mut count = step.pending.len() as u64;
             balance.waiting_tasks += count;
             balance.isolated_tasks += step
-                .waiting_suspects()
+                .pending_suspects()
                 .filter(|(_, suspicion)| suspicion.needs_isolation)
                 .count();
-            let percent = match step.prospect(self.now) {
-                Prospect::InTime => 100,
-                Prospect::Late => LATE_WORK_PERCENT,
-                Prospect::TooLate => WORTHLESS_WORK_PERCENT,
+            let percent = match step.timeliness(self.now) {
+                Timeliness::InTime => 100,
+                Timeliness::Late => LATE_WORK_PERCENT,
+                Timeliness::TooLate => WORTHLESS_WORK_PERCENT,
             };
             count = (count * percent).div_ceil(100);
             if let Some(key) = step.charge.customer {
@@ -241,14 +243,14 @@
                 continue;
             };
             balance.used += worker.used;
-            balance.isolated_tasks += usize::from(self.is_taken_alone(key));
+            balance.isolated_tasks += usize::from(self.is_isolated(key));
             if worker.answers() && !worker.draining && !worker.cordoned {
                 // No other task may use what an isolated task leaves free.
-                balance.add_worker(match self.is_taken_alone(key) {
+                balance.add_worker(match self.is_isolated(key) {
                     true => worker.used,
                     false => record.capacity,
                 });
-                balance.add_accepting(record.capacity, worker.room());
+                balance.add_accepting(record.capacity, worker.free_capacity());
                 accepting.extend(record.machine.as_deref());
             } else if worker.answers() {
                 leaving.extend(record.machine.as_deref());
@@ -279,13 +281,13 @@
         if step.pending.is_empty() || !step.footprint.fits(max_free) {
             return 0;
         }
-        if step.most_on_one.is_none() {
+        if step.max_per_worker.is_none() {
             return u64::MAX;
         }
         let workers = self.workers.in_pool(&step.pool);
         let suitable = workers.filter(|(key, worker)| {
-            worker.takes_work(self.now)
-                && step.footprint.fits(worker.room())
+            worker.accepts_work(self.now)
+                && step.footprint.fits(worker.free_capacity())
                 && !step.is_full_on(*key)
         });
         suitable.count() as u64
@@ -294,7 +296,7 @@
     /// The total size of the placed tasks of a pool that run until they are cancelled.
     fn long_running_usage(&self, pool: &str) -> Size {
         let steps = self.steps.values();
-        let long_running = steps.filter(|step| *step.pool == *pool && !step.order.ends);
+        let long_running = steps.filter(|step| *step.pool == *pool && !step.order.finite);
         long_running.fold(Size::default(), |sum, step| {
             let placed: u32 = step.placed.values().sum();
             sum + step.footprint.scaled(u64::from(placed))
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -134,7 +134,7 @@
     /// Before that, a pool between two demand peaks seems to need nothing, and a machine
     /// that it gives away may be missing a second later.
     fn has_demand_history(&self) -> bool {
-        self.now >= self.taken_over_at + forecast::MEMORY
+        self.now >= self.taken_over_at + forecast::ARRIVAL_WINDOW
     }
 
     /// Whether a machine is up, idle and not assigned to anything.
@@ -161,7 +161,7 @@
         let worker = &self.workers[key];
         worker.tasks.is_empty()
             && worker.answers()
-            && worker.proposed == worker.confirmed
+            && worker.proposed_ends == worker.acknowledged_ends
             && !worker.has_strays
     }
 
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -81,7 +81,7 @@
         let mut machines = self.machines.by_name.values();
         let mut workers = self.workers.iter();
         machines.any(|machine| machine.pending_order.is_some())
-            || workers.any(|(_, worker)| worker.is_out_of_reach())
+            || workers.any(|(_, worker)| worker.is_unreachable())
     }
 
     fn update_view(&mut self, view: MachineView, sent_at: Duration) {
@@ -165,7 +165,7 @@
             accepted_at: None,
         });
         let decision = Decision::machine(name, &machine.view.pool, &order);
-        self.tell(decision);
+        self.log(decision);
         self.effects.push(Effect::OrderMachine {
             machine: name.into(),
             token: self.owner.token,
@@ -250,7 +250,7 @@
     /// Processes an accepted order, which ends the life of the machine's worker.
     fn order_accepted(&mut self, name: &str, order: &MachineOrder) {
         if let Some(worker) = self.listed_worker(name) {
-            self.life_over(worker, LifeOver::MachineOrdered);
+            self.end_life(worker, LifeOver::MachineOrdered);
         }
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
--- a/crates/cleat-jobs/src/schedule/fleet/reservations.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/reservations.rs
@@ -46,7 +46,7 @@
             let fair = rest.workers > 0
                 && rest.coverage_milli() > receiver.with_machine(view.capacity).coverage_milli()
                 && *view.pool != *pool;
-            let will_be_empty = self.workers[worker].lasting == 0;
+            let will_be_empty = self.workers[worker].long_running == 0;
             let suitable = fair && will_be_empty && self.is_reservable(machine, worker, pool);
             suitable.then(|| {
                 (
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and what becomes of them.
+//! Orders to workers, and the handling of their answers.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 use crate::state::ControlState;
 use crate::{JobId, Run, TaskId};
 
-/// How long after a stop without an answer it is sent again.
+/// How long after a stop without effect it is sent again.
 const STOP_RETRY: Duration = Duration::from_millis(300);
-/// How long nothing is started on a worker that is not well or has no room
-/// where room was expected.
+/// How long starts are paused on a worker that is unhealthy, or that lacks the
+/// free capacity that this owner expected.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(500);
 
 impl Scheduler {
     /// Stops all runs of a job.
     pub(super) fn stop_job(&mut self, id: JobId) {
         let tasks = self.job_tasks.get(&id).cloned().unwrap_or_default();
-        let running = |task: &TaskId| self.attempts.get(task).is_some_and(Attempt::holds_room);
+        let running = |task: &TaskId| self.attempts.get(task).is_some_and(Attempt::uses_capacity);
         let tasks: Vec<TaskId> = tasks.into_iter().filter(running).collect();
         for task in tasks {
             self.stop(task, StopReason::JobOver);
         }
     }
 
-    /// Stops a run. Its room is free once its worker lists the end.
+    /// Stops a run. Its capacity stays reserved until its worker lists the end.
     pub(super) fn stop(&mut self, task: TaskId, reason: StopReason) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&task) else {
             return;
         };
         let next = match attempt.phase {
-            // Its start may still be carried out, so the stop has to close
-            // the door rather than end a run.
+            // The start may still be executed. The stop makes the worker reject
+            // it if it arrives later.
             Phase::Starting | Phase::Unanswered { .. } | Phase::InDoubt { .. } => {
                 Phase::InDoubt { stop_sent: now }
             }
             Phase::Running { .. } | Phase::Stopping { .. } => Phase::Stopping { stop_sent: now },
-            Phase::Closed { .. } | Phase::Ended => return,
+            Phase::StopAnswered { .. } | Phase::Ended => return,
         };
         attempt.phase = next;
         let (key, run) = (attempt.worker, attempt.run);
@@ -49,7 +49,7 @@
 
     pub(super) fn send_stop(&mut self, key: WorkerKey, task: TaskId, run: Run, reason: StopReason) {
         let worker = self.worker_name(key);
-        self.tell(Decision::Stop {
+        self.log(Decision::Stop {
             task: task.to_string().into(),
             run: run.0,
             worker,
@@ -69,8 +69,8 @@
         });
     }
 
-    /// Sends stops again that have no effect so far.
-    pub(super) fn repeat_stops(&mut self) {
+    /// Sends stops again that have had no effect.
+    pub(super) fn resend_stops(&mut self) {
         let due = |(task, attempt): (&TaskId, &Attempt)| {
             let sent = match attempt.phase {
                 Phase::InDoubt { stop_sent } | Phase::Stopping { stop_sent } => stop_sent,
@@ -80,8 +80,8 @@
         };
         let tasks: Vec<TaskId> = self.attempts.iter().filter_map(due).collect();
         for task in tasks {
-            let over = !self.steps.contains_key(&task.step);
-            let reason = if over {
+            let is_job_over = !self.steps.contains_key(&task.step);
+            let reason = if is_job_over {
                 StopReason::JobOver
             } else {
                 StopReason::InDoubt
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn ordered(
+    pub(super) fn handle_order_answer(
         &mut self,
         state: &ControlState,
         worker: &str,
@@ -102,11 +102,12 @@
         };
         match answer {
             OrderAnswer::OtherLife => {
-                // What did not begin there has nothing to do with how it ended.
+                // The start was not executed, so the run is not among those
+                // that are lost with the worker or count as suspects.
                 if matches!(order.order, Order::Start { .. }) {
                     self.start_answered(state, key, order, answer);
                 }
-                return self.life_over(key, LifeOver::Replaced);
+                return self.end_life(key, LifeOver::Replaced);
             }
             OrderAnswer::Fenced => {
                 self.effects.push(Effect::Fenced {
@@ -140,35 +141,36 @@
             if attempt.phase == Phase::Starting {
                 attempt.phase = Phase::Running { known_at: now };
             }
-            return self.note_begun(order.task.job());
+            return self.record_job_started(order.task.job());
         }
-        let lasts = attempt.lasts;
+        let long_running = attempt.long_running;
         let worker = self.worker_name(key);
-        self.tell(Decision::StartFailed {
+        self.log(Decision::StartFailed {
             task: order.task.to_string().into(),
             run: order.run.0,
             worker,
             answer: answer.name(),
         });
         if !answer.rules_out_execution() && self.cfg.protections.stop_unanswered_starts {
-            if lasts {
-                return self.await_list(order.task);
+            if long_running {
+                return self.await_listing(order.task);
             }
             return self.stop(order.task, StopReason::InDoubt);
         }
         if matches!(answer, OrderAnswer::NoRoom | OrderAnswer::Unwell) {
-            self.workers[key].shunned_until = now + REFUSAL_PAUSE;
+            self.workers[key].starts_paused_until = now + REFUSAL_PAUSE;
         }
         if answer == OrderAnswer::NoTicket {
-            self.drop_ticket(order.task.step, key);
+            self.forget_ticket(order.task.step, key);
         }
-        self.withdraw(state, order.task);
+        self.withdraw_start(state, order.task);
     }
 
-    /// Leaves a start without an answer to the next list of its worker. A stop
-    /// would end a task at work, while more of its step may be away than it
-    /// allows; such a task has no end to be late with.
-    fn await_list(&mut self, task: TaskId) {
+    /// Waits for the worker's next list to show whether a start without an
+    /// answer was executed. Stopping the run could end a task at work while
+    /// more tasks of its step may be unavailable than the step allows. A
+    /// long-running task has no deadline that the wait could miss.
+    fn await_listing(&mut self, task: TaskId) {
         let now = self.now;
         if let Some(attempt) = self.attempts.get_mut(&task)
             && attempt.phase == Phase::Starting
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Takes back a start that certainly has no effect.
-    fn withdraw(&mut self, state: &ControlState, task: TaskId) {
+    /// Withdraws a start that was certainly not executed.
+    fn withdraw_start(&mut self, state: &ControlState, task: TaskId) {
         let Some(attempt) = self.remove_attempt(task) else {
             return;
         };
@@ -192,10 +194,10 @@
         let Some(attempt) = self.attempts.get_mut(&order.task) else {
             return;
         };
-        let this = attempt.worker == key && attempt.run == order.run;
-        let settled = matches!(answer, OrderAnswer::Done | OrderAnswer::Old);
-        if this && settled && matches!(attempt.phase, Phase::InDoubt { .. }) {
-            attempt.phase = Phase::Closed { at: now };
+        let is_current = attempt.worker == key && attempt.run == order.run;
+        let confirmed = matches!(answer, OrderAnswer::Done | OrderAnswer::Old);
+        if is_current && confirmed && matches!(attempt.phase, Phase::InDoubt { .. }) {
+            attempt.phase = Phase::StopAnswered { at: now };
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -1,9 +1,10 @@
-//! How a new owner learns what an earlier one had started.
+//! Takeover: how a new owner learns which runs earlier owners started.
 //!
-//! Every worker of the replicated state is asked with the new token, which
-//! shuts the earlier owner out. Until all workers of a pool have answered, or
-//! the leases that the earlier owner can have granted are over, no task is
-//! started there that the earlier owner may have started.
+//! Every worker of the replicated state gets a renewal with the new token,
+//! after which it rejects orders of the earlier owner. A task of a pool that
+//! the earlier owner may have started is not started again until all workers of
+//! the pool have answered, or the leases that the earlier owner can have
+//! granted have expired.
 
 use super::account::Charge;
 use super::attempt::{Attempt, Phase};
@@ -14,7 +15,7 @@
 use crate::{Run, Size, TaskId};
 
 impl Scheduler {
-    pub(super) fn inherit(&mut self, state: &ControlState) {
+    pub(super) fn take_over_state(&mut self, state: &ControlState) {
         for record in state.workers.values() {
             let key = self.workers.add(record.clone(), self.now);
             self.workers[key].draining = state.draining.contains(&record.name);
@@ -22,28 +23,29 @@
         for (id, job) in &state.jobs {
             self.activate_job(state, *id);
             if !job.occurrences.is_empty() {
-                self.note_begun(*id);
+                self.record_job_started(*id);
             }
         }
-        let over = state.ended.keys().map(|id| (self.now, *id));
-        self.over.extend(over);
+        let ended = state.ended.keys().map(|id| (self.now, *id));
+        self.ended_jobs.extend(ended);
         self.send_renewals();
     }
 
-    /// The position in the log up to which what became ready may run in the pool
-    /// without this owner's knowledge, as an earlier one started it; none once
-    /// all is known.
+    /// The log position up to which steps that became ready may have been
+    /// started by an earlier owner without this owner's knowledge; `None` once
+    /// all runs in the pool are known.
     ///
-    /// A worker that fell silent before the takeover was given nothing that
-    /// became ready later. Without that, a rack that crashed a second before
-    /// held up all tasks of its pool for 4 s (177 to 278 waited beside room for
-    /// as many, in three of five plays of one day).
+    /// A worker that fell silent before the takeover was given no step that
+    /// became ready later, so it limits the position. Without this limit, a
+    /// rack that had crashed a second before a takeover held up all tasks of
+    /// its pool for 4 s: in three of five simulations of one day 177 to 278
+    /// tasks waited beside free capacity for as many.
     pub(super) fn unknown_until(&self, pool: &str) -> Option<u64> {
         if !self.cfg.protections.await_inherited_runs {
             return None;
         }
         let workers = self.workers.in_pool(pool);
-        let unknown = workers.filter(|(_, worker)| !worker.is_known());
+        let unknown = workers.filter(|(_, worker)| !worker.runs_are_known());
         let until = unknown.map(|(_, worker)| worker.record.history.silent_index);
         let latest = until
             .map(|silent_index| silent_index.unwrap_or(u64::MAX))
@@ -52,46 +54,46 @@
     }
 
     /// Keeps a task from being started while the end of a run that an earlier
-    /// owner started is being committed: the task may be done by it.
+    /// owner started is being committed: that run may have completed the task.
     pub(super) fn await_inherited_end(&mut self, key: WorkerKey, end: &End) {
         let Some(step) = self.steps.get_mut(&end.task.step) else {
             return;
         };
-        let waits = self.cfg.protections.await_inherited_ends;
-        if !waits || !step.pending.contains(&end.task.index) {
+        let enabled = self.cfg.protections.await_inherited_ends;
+        if !enabled || !step.pending.contains(&end.task.index) {
             return;
         }
-        step.place(end.task.index, key);
-        self.note_begun(end.task.job());
+        step.assign(end.task.index, key);
+        self.record_job_started(end.task.job());
         let attempt = Attempt {
             run: end.run,
             worker: key,
             phase: Phase::Ended,
             footprint: Size::default(),
             charge: Charge::default(),
-            lasts: false,
-            began: self.now,
-            at_work: false,
+            long_running: false,
+            started_at: self.now,
+            at_full_speed: false,
             suspicion: Suspicion::default(),
             checkpoint: end.checkpoint.clone(),
         };
         self.add_attempt(end.task, attempt);
     }
 
-    /// Lets go of a run whose end is being committed if a later run of its task
-    /// is listed: the earlier owner started it since, so the earlier end decides
-    /// nothing. Without it a worker that comes back after its lease would make
-    /// the sound runs that replaced its own look like strays.
-    pub(super) fn supersede(&mut self, task: TaskId, run: Run) {
+    /// Drops a run whose end is being committed if a later run of its task is
+    /// listed: the earlier owner started that run afterwards, so the end of the
+    /// earlier run decides nothing. Otherwise, after a worker came back with an
+    /// expired lease, the runs that replaced its own would count as strays.
+    pub(super) fn drop_superseded(&mut self, task: TaskId, run: Run) {
         let known = self.attempts.get(&task);
-        let earlier = known.is_some_and(|known| known.phase == Phase::Ended && known.run < run);
-        if earlier && let Some(attempt) = self.remove_attempt(task) {
+        let superseded = known.is_some_and(|known| known.phase == Phase::Ended && known.run < run);
+        if superseded && let Some(attempt) = self.remove_attempt(task) {
             self.requeue(task, attempt.worker, attempt.checkpoint);
         }
     }
 
-    /// Takes over a run that a worker lists, if its task waits for a start.
-    /// Says whether it did.
+    /// Adopts a run that a worker lists, if its task waits for a start. Returns
+    /// whether it did.
     pub(super) fn adopt(
         &mut self,
         state: &ControlState,
@@ -109,7 +111,7 @@
         let Some(step) = self.steps.get_mut(&task.step) else {
             return false;
         };
-        step.place(task.index, key);
+        step.assign(task.index, key);
         let charge = step.charge;
         let suspicion = step.suspicion(task.index);
         let footprint = spec.footprint();
@@ -119,16 +121,16 @@
             phase: Phase::Running { known_at: self.now },
             footprint,
             charge,
-            lasts: spec.long_running,
-            began: self.now,
-            at_work: listed.percent >= 100,
+            long_running: spec.long_running,
+            started_at: self.now,
+            at_full_speed: listed.percent >= 100,
             suspicion,
             checkpoint: listed.checkpoint.clone(),
         };
-        self.note_begun(task.job());
+        self.record_job_started(task.job());
         self.add_attempt(task, attempt);
         let worker = self.worker_name(key);
-        self.tell(Decision::Adopted {
+        self.log(Decision::Adopted {
             task: task.to_string().into(),
             run: listed.run.0,
             worker,
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -1,4 +1,4 @@
-//! How long work takes, and until when a job is worth doing first.
+//! The expected duration of work, and the objectives of jobs.
 
 use std::time::Duration;
 
@@ -6,127 +6,132 @@
 
 use super::durations::DurationModel;
 use super::forecast::{Arrivals, JobUsage};
-use super::shares::Standing;
+use super::shares::ShareStatus;
 use super::worker::millis;
 use super::{Decision, Scheduler};
 use crate::state::{ControlState, Job};
 use crate::{JobId, JobSpec, Queue, Size, StepSpec};
 
-/// How many times its objective a job may take and still be worth something.
-const WORTHLESS_AFTER: u32 = 3;
-/// The weight of one job in the mean work of its queue: some 30 jobs make it.
-const WORK_WEIGHT: f64 = 0.03;
+/// The result of a job has no value after this many times its objective.
+const ZERO_VALUE_AFTER: u32 = 3;
+/// The minimum weight of a new job in the running mean of its queue's usage.
+/// The mean then covers about the last 30 jobs.
+const MIN_USAGE_WEIGHT: f64 = 0.03;
 
-/// How urgent a job is by its time alone.
+/// Whether a job can meet its objective; the lower value is more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Prospect {
-    /// It can be done within its objective.
+pub(crate) enum Timeliness {
+    /// It can meet its objective.
     InTime,
-    /// It will be late, and is worth little.
+    /// It will miss its objective, so its result has little value.
     Late,
-    /// It is worth nothing any more.
+    /// It will end too late for its result to have any value.
     TooLate,
 }
 
-/// Until when a job should be done.
+/// The objective of one job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Objective {
-    /// Until then it is in time; what was due before this owner knew of it is
-    /// due since then.
+    /// When the job should be done. If that passed before this owner knew of
+    /// the job, it is the time when the owner learned of it.
     pub(crate) due: Duration,
-    /// From then on it is worth nothing.
-    pub(crate) worthless_at: Duration,
+    /// From when on the job's result has no value.
+    pub(crate) zero_value_at: Duration,
 }
 
 impl Objective {
-    /// The objective of a job that came `age` ago and may take `span`.
+    /// The objective of a job that arrived `age` ago and should be done within
+    /// `span` of its arrival.
     fn new(now: Duration, age: Duration, span: Duration) -> Objective {
-        let left = |span: Duration| now + span.saturating_sub(age);
+        let until = |span: Duration| now + span.saturating_sub(age);
         Objective {
-            due: left(span),
-            worthless_at: left(span * WORTHLESS_AFTER),
+            due: until(span),
+            zero_value_at: until(span * ZERO_VALUE_AFTER),
         }
     }
 }
 
-/// What was learned of a queue.
+/// Statistics of one queue.
 #[derive(Clone, Copy, Debug, Default)]
-struct QueueTimes {
+struct QueueStats {
     durations: DurationModel,
-    /// What its jobs take up on average, and how many made that.
-    work: JobUsage,
+    /// The running mean of its jobs' resource usage, and the number of jobs in
+    /// it.
+    usage: JobUsage,
     jobs: u32,
 }
 
-impl QueueTimes {
-    /// Takes a job into the mean work.
-    fn note_work(&mut self, work: JobUsage) {
+impl QueueStats {
+    /// Adds a job to the running mean.
+    fn record_usage(&mut self, usage: JobUsage) {
         self.jobs = self.jobs.saturating_add(1);
-        let weight = WORK_WEIGHT.max(1.0 / f64::from(self.jobs));
-        self.work.cpu_milli_ms += weight * (work.cpu_milli_ms - self.work.cpu_milli_ms);
-        self.work.memory_mb_ms += weight * (work.memory_mb_ms - self.work.memory_mb_ms);
-        self.work.duration_ms += weight * (work.duration_ms - self.work.duration_ms);
+        let weight = MIN_USAGE_WEIGHT.max(1.0 / f64::from(self.jobs));
+        self.usage.cpu_milli_ms += weight * (usage.cpu_milli_ms - self.usage.cpu_milli_ms);
+        self.usage.memory_mb_ms += weight * (usage.memory_mb_ms - self.usage.memory_mb_ms);
+        self.usage.duration_ms += weight * (usage.duration_ms - self.usage.duration_ms);
     }
 }
 
-/// What is learned of queues and pools.
+/// Statistics of queues and pools.
 #[derive(Debug, Default)]
-pub(crate) struct Times {
-    queues: IndexMap<Box<str>, QueueTimes>,
+pub(crate) struct WorkloadStats {
+    queues: IndexMap<Box<str>, QueueStats>,
     arrivals: IndexMap<Box<str>, Arrivals>,
 }
 
-impl Times {
-    /// Takes a task that was done into account.
+impl WorkloadStats {
+    /// Records the duration of a completed task.
     pub(crate) fn observe_duration(&mut self, queue: &str, estimate_ms: u64, ran: Duration) {
-        let times = self.queues.entry(queue.into()).or_default();
-        times.durations.observe(estimate_ms, ran);
+        let stats = self.queues.entry(queue.into()).or_default();
+        stats.durations.observe(estimate_ms, ran);
     }
 
-    /// How long a task of this estimate takes in a queue.
+    /// The expected duration of a queue's task with this estimate.
     pub(crate) fn expected_duration(&self, queue: &str, estimate_ms: u64) -> Duration {
-        let times = self.queues.get(queue).copied().unwrap_or_default();
-        times.durations.expected(estimate_ms)
+        let stats = self.queues.get(queue).copied().unwrap_or_default();
+        stats.durations.expected(estimate_ms)
     }
 
-    /// How long the longest chain of a job's steps takes from each step on,
-    /// the step included.
-    pub(crate) fn chain(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
-        let mut from = vec![Duration::ZERO; spec.steps.len()];
-        for at in (0..spec.steps.len()).rev() {
-            let after = spec.steps.iter().enumerate().skip(at + 1);
+    /// For each step of a job, the expected duration of the longest chain of
+    /// steps from it on, the step included.
+    pub(crate) fn critical_paths(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
+        let mut paths = vec![Duration::ZERO; spec.steps.len()];
+        for index in (0..spec.steps.len()).rev() {
+            let after = spec.steps.iter().enumerate().skip(index + 1);
             let later = after
-                .filter(|(_, step)| step.after.iter().any(|on| usize::from(*on) == at))
-                .map(|(next, _)| from[next])
+                .filter(|(_, step)| step.after.iter().any(|on| usize::from(*on) == index))
+                .map(|(next, _)| paths[next])
                 .max();
-            let own = self.expected_duration(queue, spec.steps[at].estimate_ms);
-            from[at] = own + later.unwrap_or_default();
+            let own_duration = self.expected_duration(queue, spec.steps[index].estimate_ms);
+            paths[index] = own_duration + later.unwrap_or_default();
         }
-        from
+        paths
     }
 
-    /// Notes a job that came for a pool, whose longest chain takes `span`.
-    fn arrive(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
-        let ends = spec.steps.iter().filter(|step| !step.long_running);
-        let work = ends.fold(JobUsage::default(), |sum, step| {
-            let took = self.expected_duration(&queue.name, step.estimate_ms);
-            add_step(sum, step, took)
+    /// Records the arrival of a job at its pool. `span` is the expected
+    /// duration of its longest chain of steps.
+    fn record_arrival(&mut self, queue: &Queue, spec: &JobSpec, at: Duration, span: Duration) {
+        let finite_steps = spec.steps.iter().filter(|step| !step.long_running);
+        let usage = finite_steps.fold(JobUsage::default(), |sum, step| {
+            let duration = self.expected_duration(&queue.name, step.estimate_ms);
+            add_step_usage(sum, step, duration)
         });
-        if work == JobUsage::default() {
+        if usage == JobUsage::default() {
             return;
         }
-        let work = JobUsage {
+        let usage = JobUsage {
             duration_ms: span.as_secs_f64() * 1_000.0,
-            ..work
+            ..usage
         };
-        let times = self.queues.entry(queue.name.clone()).or_default();
-        times.note_work(work);
-        let mean = times.work;
+        let stats = self.queues.entry(queue.name.clone()).or_default();
+        stats.record_usage(usage);
+        let mean = stats.usage;
         let arrivals = self.arrivals.entry(queue.pool.clone()).or_default();
         arrivals.record(at, mean);
     }
 
-    /// What a pool's tasks will take up if work goes on arriving as it does.
+    /// The forecast of the resources that a pool's tasks will use if jobs keep
+    /// arriving at the current rate.
     pub(crate) fn forecast(&mut self, pool: &str, now: Duration) -> Size {
         let arrivals = self.arrivals.get_mut(pool);
         arrivals.map_or(Size::default(), |arrivals| arrivals.forecast(now))
@@ -134,8 +139,8 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn add_step(sum: JobUsage, step: &StepSpec, took: Duration) -> JobUsage {
-    let ms = took.as_secs_f64() * 1_000.0 * f64::from(step.count);
+fn add_step_usage(sum: JobUsage, step: &StepSpec, duration: Duration) -> JobUsage {
+    let ms = duration.as_secs_f64() * 1_000.0 * f64::from(step.count);
     let size = step.footprint();
     JobUsage {
         cpu_milli_ms: sum.cpu_milli_ms + size.cpu_milli as f64 * ms,
@@ -145,47 +150,55 @@
 }
 
 impl Scheduler {
-    /// Notes when a job came and until when it should be done.
-    pub(super) fn meet_job(&mut self, state: &ControlState, id: JobId, job: &Job) {
+    /// Records the arrival of a job, its objective and its share status.
+    pub(super) fn register_job(&mut self, state: &ControlState, id: JobId, job: &Job) {
         let queue = &job.queue;
-        let chain = self.times.chain(&queue.name, &job.spec);
-        let longest = chain.into_iter().max().unwrap_or_default();
+        let critical_paths = self.workload.critical_paths(&queue.name, &job.spec);
+        let critical_path = critical_paths.into_iter().max().unwrap_or_default();
         let latency = Duration::from_millis(queue.target_latency_ms);
-        let span = longest.mul_f64(queue.stretch.max(1.0)) + latency;
+        let span = critical_path.mul_f64(queue.stretch.max(1.0)) + latency;
         let age = self.age(job);
         let objective = Objective::new(self.now, age, span);
         self.objectives.insert(id, objective);
-        self.tell_accepted(id, job, span);
-        let came = self.now.saturating_sub(age);
-        self.times.arrive(queue, &job.spec, came, longest);
-        self.note_standing(state, id, job, came);
+        self.log_accepted(id, job, span);
+        let arrived_at = self.now.saturating_sub(age);
+        self.workload
+            .record_arrival(queue, &job.spec, arrived_at, critical_path);
+        self.record_share_status(state, id, job, arrived_at);
     }
 
-    /// Notes whether the job is beyond its customer's share.
-    fn note_standing(&mut self, state: &ControlState, id: JobId, job: &Job, came: Duration) {
+    /// Records whether the job exceeds its customer's share.
+    fn record_share_status(
+        &mut self,
+        state: &ControlState,
+        id: JobId,
+        job: &Job,
+        arrived_at: Duration,
+    ) {
         let Some(name) = job.customer.as_deref() else {
             return;
         };
         let key = self
             .accounts
             .get_or_create(name, state.catalogue.as_deref());
-        if self.accounts.record_job(key, came) == Standing::Beyond {
-            self.standings.insert(id, Standing::Beyond);
+        if self.accounts.record_job(key, arrived_at) == ShareStatus::Exceeded {
+            self.share_statuses.insert(id, ShareStatus::Exceeded);
         }
     }
 
-    /// How long ago a job's caller came. An earlier owner may have accepted it,
-    /// so this compares times of day: machines differ by little, and where one
-    /// has jumped, jobs are served in a worse order and nothing else.
+    /// How long ago the job arrived. It may have been accepted by an earlier
+    /// owner on another machine, so times of day are compared. The clocks of
+    /// machines differ by little; if one has jumped, only the order in which
+    /// jobs are served suffers.
     fn age(&self, job: &Job) -> Duration {
         let known = job.arrived_ms > 0 && self.wall_ms > 0;
         let ms = self.wall_ms.saturating_sub(job.arrived_ms);
         Duration::from_millis(if known { ms } else { 0 })
     }
 
-    fn tell_accepted(&mut self, id: JobId, job: &Job, span: Duration) {
+    fn log_accepted(&mut self, id: JobId, job: &Job, span: Duration) {
         let (queue, steps) = (&job.queue, &job.spec.steps);
-        self.tell(Decision::Accepted {
+        self.log(Decision::Accepted {
             job: id.to_string().into(),
             queue: queue.name.clone(),
             customer: job.customer.clone(),
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -1,4 +1,5 @@
-//! What a majority of the voters confirms: entries, reads and the lead itself.
+//! Decisions that need a majority of the voters: commits, reads and the leader
+//! lease.
 
 use std::time::Duration;
 
@@ -6,9 +7,10 @@
 use super::{Core, Effect, State};
 
 impl Core {
-    /// Commits what a majority of the voters holds on disk. Entries of earlier
-    /// terms are committed only through one of the leader's own: a majority
-    /// that holds an old entry may still be overruled.
+    /// Commits entries that a majority of the voters has synced. Entries of
+    /// earlier terms are committed only together with an entry of the leader's
+    /// own term: until then, a later leader may still overwrite them, even on a
+    /// majority.
     pub(super) fn advance_commit(&mut self) {
         if !matches!(self.state, State::Leader(_)) {
             return;
@@ -44,10 +46,10 @@
             .quorum_value(0, |_, progress| progress.map_or(own_round, |p| p.round))
             .unwrap_or_default();
         let index = self.commit;
-        let State::Leader(leadership) = &mut self.state else {
+        let State::Leader(leader_state) = &mut self.state else {
             return;
         };
-        for read in leadership
+        for read in leader_state
             .reads
             .extract_if(.., |read| read.round <= confirmed)
         {
@@ -55,15 +57,15 @@
         }
     }
 
-    /// The highest value that a majority of the voters reaches. The leader
-    /// itself has no progress; a voter whose disk is not the recorded one
-    /// counts as `missing`.
+    /// Returns the highest value that a majority of the voters has reached.
+    /// `value` gets `None` for the leader itself. A voter with an unrecorded
+    /// disk identity counts as `missing`.
     fn quorum_value<T: Ord + Copy>(
         &self,
         missing: T,
         value: impl Fn(&Core, Option<&Progress>) -> T,
     ) -> Option<T> {
-        let State::Leader(leadership) = &self.state else {
+        let State::Leader(leader_state) = &self.state else {
             return None;
         };
         let membership = self.log.membership();
@@ -73,7 +75,7 @@
                 if voter.id == self.config.id {
                     return value(self, None);
                 }
-                let progress = leadership.progress.get(&voter.id);
+                let progress = leader_state.progress.get(&voter.id);
                 let known =
                     progress.filter(|p| self.counts_as_voter(membership, voter.id, p.identity));
                 known.map_or(missing, |progress| value(self, Some(progress)))
@@ -83,39 +85,39 @@
         values.get(membership.quorum() - 1).copied()
     }
 
-    /// When the latest round left that a majority acknowledged.
-    fn quorum_sent(&self, now: Duration) -> Option<Duration> {
+    /// Returns when the latest round that a majority acknowledged was sent.
+    fn quorum_round_sent_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_value(None, |_, progress| match progress {
-            Some(progress) => progress.round_sent,
+            Some(progress) => progress.round_sent_at,
             None => Some(now),
         })?
     }
 
-    pub(super) fn quorum_contact(&self) -> Duration {
-        let State::Leader(leadership) = &self.state else {
+    pub(super) fn last_quorum_contact(&self) -> Duration {
+        let State::Leader(leader_state) = &self.state else {
             return Duration::ZERO;
         };
-        self.quorum_sent(self.now)
+        self.quorum_round_sent_at(self.now)
             .unwrap_or_default()
-            .max(leadership.asked_at)
+            .max(leader_state.requested_at)
     }
 
     pub(super) fn holds_leader_lease(&self) -> bool {
         self.holds_leader_lease_at(self.now)
     }
 
-    /// Whether this member leads and no other leader can have been elected by
-    /// `now`.
+    /// Whether this member is the leader and no other leader can have been
+    /// elected by `now`.
     pub fn holds_leader_lease_at(&self, now: Duration) -> bool {
         self.leader_lease_start(now)
             .is_some_and(|sent| now < sent + self.config.timing.leader_lease())
     }
 
-    /// When the leader's lease began; none if it may not be trusted.
+    /// Start of the leader lease; `None` if there is no lease to rely on.
     fn leader_lease_start(&self, now: Duration) -> Option<Duration> {
         let ended =
             self.is_transferring_leadership() && self.config.protections.transfer_ends_lease;
-        self.quorum_sent(now).filter(|_| !ended)
+        self.quorum_round_sent_at(now).filter(|_| !ended)
     }
 
     pub(super) fn leader_lease_until(&self) -> Option<Duration> {
@@ -125,20 +127,22 @@
         sent.map(|sent| sent + self.config.timing.leader_lease())
     }
 
-    /// Whether this leader's commit index covers all earlier terms.
+    /// Whether this leader's commit index covers all entries of earlier terms.
     pub(super) fn has_committed_own_term(&self) -> bool {
         match &self.state {
-            State::Leader(leadership) => self.commit >= leadership.first_index,
+            State::Leader(leader_state) => self.commit >= leader_state.first_index,
             _ => false,
         }
     }
 
-    /// A leader grants itself a member's lease as it does to the others.
+    /// Renews the leader's own member lease, under the conditions for granting
+    /// leases to other members.
     pub(super) fn renew_own_lease(&mut self) {
         if self.has_committed_own_term() && self.holds_leader_lease() {
             let until = self.now + self.config.timing.member_lease;
-            let gated = self.config.protections.apply_before_lease_resumes;
-            self.lease.extend(until, self.commit, self.now, gated);
+            let recheck_after_expiry = self.config.protections.apply_before_lease_resumes;
+            self.lease
+                .extend(until, self.commit, self.now, recheck_after_expiry);
         }
     }
 }
--- a/crates/cleat-quorum/src/driver/waiters.rs
+++ b/crates/cleat-quorum/src/driver/waiters.rs
@@ -1,4 +1,4 @@
-//! The callers who wait for their command, read or entry.
+//! Callers that wait for a command, a read or an entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::request::{InForceWait, Proposal, Reply};
 use crate::core::{Core, LogIndex, Role, Term};
 
-struct Pending {
+struct PendingProposal {
     index: LogIndex,
     term: Term,
     reply: Reply<Applied, ProposeError>,
@@ -19,23 +19,25 @@
 
 #[derive(Default)]
 pub(crate) struct Waiters {
-    /// Invariant: ascending by index, all of the term that this member leads.
-    proposals: VecDeque<Pending>,
+    /// Invariant: in ascending order of index, all of the term that this member
+    /// leads.
+    proposals: VecDeque<PendingProposal>,
     reads: IndexMap<u64, Reply<u64, ProposeError>>,
-    next_read: u64,
+    last_read_id: u64,
     in_force: Vec<InForceWait>,
 }
 
 impl Waiters {
-    pub(crate) fn accepted(&mut self, first: LogIndex, term: Term, proposals: Vec<Proposal>) {
+    pub(crate) fn add_proposals(&mut self, first: LogIndex, term: Term, proposals: Vec<Proposal>) {
         for (index, proposal) in (first..).zip(proposals) {
             let reply = proposal.reply;
-            self.proposals.push_back(Pending { index, term, reply });
+            self.proposals
+                .push_back(PendingProposal { index, term, reply });
         }
     }
 
-    pub(crate) fn applied(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
-        let due = |pending: &mut Pending| pending.index <= index;
+    pub(crate) fn complete_proposal(&mut self, index: LogIndex, term: Term, response: Box<[u8]>) {
+        let due = |pending: &mut PendingProposal| pending.index <= index;
         let Some(pending) = self.proposals.pop_front_if(due) else {
             return;
         };
@@ -45,20 +47,20 @@
         } else {
             Err(ProposeError::OutcomeUnknown)
         };
-        // The caller may have gone; the command is applied all the same.
+        // The caller may be gone; the command is applied anyway.
         let _ = pending.reply.send(result);
     }
 
-    pub(crate) fn lost_leadership(&mut self) {
+    pub(crate) fn fail_proposals(&mut self) {
         for pending in self.proposals.drain(..) {
             let _ = pending.reply.send(Err(ProposeError::OutcomeUnknown));
         }
     }
 
     pub(crate) fn add_read(&mut self, reply: Reply<u64, ProposeError>) -> u64 {
-        self.next_read += 1;
-        self.reads.insert(self.next_read, reply);
-        self.next_read
+        self.last_read_id += 1;
+        self.reads.insert(self.last_read_id, reply);
+        self.last_read_id
     }
 
     pub(crate) fn finish_read(&mut self, id: u64, result: Result<u64, ProposeError>) {
@@ -71,23 +73,25 @@
         self.in_force.push(wait);
     }
 
-    /// The earliest deadline of those who wait for an entry to be in force.
+    /// Earliest deadline among the callers that wait for an entry to be in
+    /// force.
     pub(crate) fn deadline(&self) -> Option<Instant> {
         self.in_force.iter().map(|wait| wait.deadline).min()
     }
 
-    /// Answers those whose entry is in force, whose time is over, or who ask
-    /// a member that does not lead. `local` is the core's time.
-    pub(crate) fn check_in_force(&mut self, core: &Core, local: Duration, now: Instant) {
+    /// Completes the waits whose entry is in force or whose deadline has
+    /// passed, and all waits if this member is not the leader. `core_now` is
+    /// the core's time.
+    pub(crate) fn check_in_force(&mut self, core: &Core, core_now: Duration, now: Instant) {
         let leads = core.role() == Role::Leader;
         for wait in std::mem::take(&mut self.in_force) {
             let result = if !leads {
                 let leader = core.status().leader;
                 Err(InForceError::NotLeader { leader })
-            } else if core.in_force(wait.index, local) {
+            } else if core.in_force(wait.index, core_now) {
                 Ok(())
             } else if now >= wait.deadline {
-                let members_behind = core.members_behind(wait.index, local);
+                let members_behind = core.members_behind(wait.index, core_now);
                 Err(InForceError::Timeout { members_behind })
             } else {
                 self.in_force.push(wait);
@@ -97,9 +101,9 @@
         }
     }
 
-    /// Answers everyone at the end of the task.
-    pub(crate) fn stop(&mut self) {
-        self.lost_leadership();
+    /// Rejects all waiting callers when the task ends.
+    pub(crate) fn reject_all(&mut self) {
+        self.fail_proposals();
         for (_, reply) in self.reads.drain(..) {
             let _ = reply.send(Err(ProposeError::Stopped));
         }
--- a/crates/cleat-quorum/tests/replica.rs
+++ b/crates/cleat-quorum/tests/replica.rs
@@ -1,4 +1,5 @@
-//! Replicas on real journals, connected within the process.
+//! Replicas that store their state in real journals and are connected
+//! in-process.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -12,19 +13,20 @@
 use tempfile::TempDir;
 use tokio::time::{sleep, timeout};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Keeps all commands; the answer to a command is how many came before it.
+/// Records all commands. The response to a command is the number of commands
+/// before it.
 #[derive(Clone, Default)]
-struct Commands(Arc<Mutex<Vec<Vec<u8>>>>);
+struct CommandRecorder(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Commands {
+impl CommandRecorder {
     fn all(&self) -> Vec<Vec<u8>> {
         self.0.lock().expect("not poisoned").clone()
     }
 }
 
-impl StateMachine for Commands {
+impl StateMachine for CommandRecorder {
     fn apply(&mut self, _: u64, command: &[u8]) -> Box<[u8]> {
         let mut commands = self.0.lock().expect("not poisoned");
         commands.push(command.to_vec());
@@ -43,9 +45,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Wires(Arc<Mutex<Vec<Option<Arc<Replica>>>>>);
+struct LocalTransport(Arc<Mutex<Vec<Option<Arc<Replica>>>>>);
 
-impl Wires {
+impl LocalTransport {
     fn get(&self, id: u32) -> Option<Arc<Replica>> {
         self.0
             .lock()
@@ -59,7 +61,7 @@
     }
 }
 
-impl Transport for Wires {
+impl Transport for LocalTransport {
     fn send(&self, to: MemberId, message: Message) {
         if let Some(replica) = self.get(to.0) {
             replica.deliver(message);
@@ -71,27 +73,27 @@
     dir: TempDir,
     voters: u32,
     members: u32,
-    wires: Wires,
-    machines: Vec<Commands>,
+    transport: LocalTransport,
+    state_machines: Vec<CommandRecorder>,
 }
 
 impl Group {
     fn start(voters: u32, learners: u32) -> Group {
         let members = voters + learners;
-        let wires = Wires::default();
-        wires
+        let transport = LocalTransport::default();
+        transport
             .0
             .lock()
             .expect("not poisoned")
             .resize(members as usize, None);
-        let dir = tempfile::tempdir().expect("a folder");
-        let machines = vec![Commands::default(); members as usize];
+        let dir = tempfile::tempdir().expect("temporary folder created");
+        let state_machines = vec![CommandRecorder::default(); members as usize];
         let mut group = Group {
             dir,
             voters,
             members,
-            wires,
-            machines,
+            transport,
+            state_machines,
         };
         for id in 0..members {
             group.spawn(id);
@@ -118,42 +120,43 @@
     }
 
     fn spawn(&mut self, id: u32) {
-        let machine = Commands::default();
-        self.machines[id as usize] = machine.clone();
-        let (cfg, wires) = (self.config(id), self.wires.clone());
+        let state_machine = CommandRecorder::default();
+        self.state_machines[id as usize] = state_machine.clone();
+        let (cfg, transport) = (self.config(id), self.transport.clone());
         let replica = if id < self.voters {
             let disk = Journal::open(&self.folder(id), "e").expect("the journal opens");
-            Replica::spawn(cfg, disk, wires, machine)
+            Replica::spawn(cfg, disk, transport, state_machine)
         } else {
-            Replica::spawn_in_memory(cfg, wires, machine)
+            Replica::spawn_in_memory(cfg, transport, state_machine)
         };
-        self.wires
+        self.transport
             .set(id, Some(replica.expect("the replica starts")));
     }
 
-    /// Ends a member without a word to the others.
-    async fn kill(&self, id: u32) {
-        let Some(replica) = self.wires.get(id) else {
+    /// Stops a member without releasing its lease or transferring leadership.
+    async fn crash(&self, id: u32) {
+        let Some(replica) = self.transport.get(id) else {
             return;
         };
-        self.wires.set(id, None);
+        self.transport.set(id, None);
         drop(replica);
     }
 
-    async fn reopen(&mut self, id: u32) {
-        // The disk thread of the last incarnation may still hold the folder's lock.
+    async fn restart(&mut self, id: u32) {
+        // The disk thread of the previous incarnation may still hold the
+        // folder's lock.
         let folder = self.folder(id);
         until(|| Journal::open(&folder, "e").is_ok()).await;
         self.spawn(id);
     }
 
     fn replica(&self, id: u32) -> Arc<Replica> {
-        self.wires.get(id).expect("the member runs")
+        self.transport.get(id).expect("the member runs")
     }
 
     fn leader(&self) -> Option<u32> {
         let leads = |id: &u32| {
-            let replica = self.wires.get(*id);
+            let replica = self.transport.get(*id);
             replica.is_some_and(|replica| {
                 let status = replica.status();
                 status.is_leader() && status.in_service(cleat_quorum::BootTime::now())
@@ -172,8 +175,8 @@
         Ok(applied.index)
     }
 
-    /// Proposes until the outcome is known.
-    async fn insist(&self, command: &str) -> u64 {
+    /// Repeats the proposal until it is known to be applied.
+    async fn propose_until_applied(&self, command: &str) -> u64 {
         loop {
             if let Ok(index) = self.propose(command).await {
                 return index;
@@ -183,7 +186,7 @@
     }
 
     async fn wait_applied(&self, id: u32, index: u64) {
-        let waited = self.replica(id).wait_applied(index, LIMIT).await;
+        let waited = self.replica(id).wait_applied(index, TIMEOUT).await;
         waited.expect("the entry is applied");
     }
 }
@@ -194,15 +197,15 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(LIMIT, poll)
+    timeout(TIMEOUT, poll)
         .await
-        .expect("the condition comes true");
+        .expect("the condition holds before the timeout");
 }
 
 #[tokio::test]
 async fn propose_single_member() {
     let group = Group::start(1, 0);
-    let first = group.insist("a").await;
+    let first = group.propose_until_applied("a").await;
     let applied = group
         .replica(0)
         .propose(b"b".as_slice().into())
@@ -216,7 +219,7 @@
     assert!(read >= applied.index);
     group
         .replica(0)
-        .wait_in_force(applied.index, LIMIT)
+        .wait_in_force(applied.index, TIMEOUT)
         .await
         .expect("in force");
     group.replica(0).stop().await;
@@ -231,71 +234,75 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn propose_survives_the_leader() {
+async fn propose_survives_leader_crashes() {
     let mut group = Group::start(3, 1);
     let mut acknowledged = Vec::new();
     for round in 0..3 {
         for step in 0..15 {
             let command = format!("{round}.{step}");
-            group.insist(&command).await;
+            group.propose_until_applied(&command).await;
             acknowledged.push(command);
         }
         let leader = group.leader().expect("a leader");
         let other = (leader + 1) % 3;
-        let refused = group.replica(other).propose(b"x".as_slice().into()).await;
+        let rejected = group.replica(other).propose(b"x".as_slice().into()).await;
         assert!(
-            matches!(refused, Err(ProposeError::NotLeader { .. })),
-            "{refused:?}"
+            matches!(rejected, Err(ProposeError::NotLeader { .. })),
+            "{rejected:?}"
         );
-        group.kill(leader).await;
-        let index = group.insist(&format!("{round}.after")).await;
+        group.crash(leader).await;
+        let index = group.propose_until_applied(&format!("{round}.after")).await;
         acknowledged.push(format!("{round}.after"));
         if round == 1 {
             until(|| std::fs::remove_dir_all(group.folder(leader)).is_ok()).await;
         }
-        group.reopen(leader).await;
+        group.restart(leader).await;
         for id in 0..group.members {
             group.wait_applied(id, index).await;
         }
     }
-    let index = group.insist("last").await;
+    let index = group.propose_until_applied("last").await;
     let leader = group.leader().expect("a leader");
     group
         .replica(leader)
-        .wait_in_force(index, LIMIT)
+        .wait_in_force(index, TIMEOUT)
         .await
         .expect("in force everywhere");
     until(|| (0..3).all(|id| group.replica(id).status().role() != Role::Learner)).await;
-    let expected = group.machines[leader as usize].all();
+    let expected = group.state_machines[leader as usize].all();
     for command in &acknowledged {
         assert!(
             expected.iter().any(|found| found == command.as_bytes()),
-            "{command} is lost"
+            "acknowledged command {command} was lost"
         );
     }
     for id in 0..group.members {
         group.wait_applied(id, index).await;
-        assert_eq!(group.machines[id as usize].all(), expected, "member {id}");
+        assert_eq!(
+            group.state_machines[id as usize].all(),
+            expected,
+            "member {id}"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn stop_hands_the_lead_over() {
+async fn stop_transfers_leadership() {
     let group = Group::start(3, 1);
-    group.insist("a").await;
+    group.propose_until_applied("a").await;
     let leader = group.leader().expect("a leader");
     let old = group.replica(leader);
     let term = old.status().term();
     old.stop().await;
-    // It ends only after another member leads, in a later term.
+    // The replica stops only after another member was elected in a later term.
     assert!(old.status().term() > term);
-    let refused = old.propose(b"b".as_slice().into()).await;
-    assert_eq!(refused, Err(ProposeError::Stopped));
-    group.wires.set(leader, None);
-    let index = group.insist("b").await;
+    let rejected = old.propose(b"b".as_slice().into()).await;
+    assert_eq!(rejected, Err(ProposeError::Stopped));
+    group.transport.set(leader, None);
+    let index = group.propose_until_applied("b").await;
     for id in (0..group.members).filter(|id| *id != leader) {
         group.wait_applied(id, index).await;
-        let commands = group.machines[id as usize].all();
+        let commands = group.state_machines[id as usize].all();
         assert_eq!(commands, [b"a", b"b"], "member {id}");
     }
 }
@@ -303,22 +310,23 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn propose_without_quorum() {
     let group = Group::start(3, 0);
-    group.insist("a").await;
+    group.propose_until_applied("a").await;
     let leader = group.leader().expect("a leader");
     for id in (0..3).filter(|id| *id != leader) {
-        group.kill(id).await;
+        group.crash(id).await;
     }
     let replica = group.replica(leader);
     let lost = replica.propose(b"b".as_slice().into()).await;
-    // On a busy machine the leader may notice before it appends.
+    // On a busy machine, the leader may lose contact to its majority before it
+    // appends.
     let unconfirmed = matches!(
         lost,
         Err(ProposeError::OutcomeUnknown | ProposeError::NoQuorum)
     );
     assert!(unconfirmed, "{lost:?}");
-    let refused = replica.propose(b"c".as_slice().into()).await;
-    let known = matches!(refused, Err(ProposeError::NotLeader { leader: None }));
-    assert!(known, "{refused:?}");
+    let rejected = replica.propose(b"c".as_slice().into()).await;
+    let known = matches!(rejected, Err(ProposeError::NotLeader { leader: None }));
+    assert!(known, "{rejected:?}");
     until(|| !replica.status().in_service(cleat_quorum::BootTime::now())).await;
 }
 
@@ -343,14 +351,19 @@
         snapshot: None,
         entries: Vec::new(),
     };
-    let (cfg, wires) = (group.config(0), Wires::default());
-    let replica =
-        Replica::spawn_with_store(cfg, recovery, FailingStore, wires, Commands::default());
+    let (cfg, transport) = (group.config(0), LocalTransport::default());
+    let replica = Replica::spawn_with_store(
+        cfg,
+        recovery,
+        FailingStore,
+        transport,
+        CommandRecorder::default(),
+    );
     let replica = replica.expect("the replica starts");
-    timeout(LIMIT, replica.wait_stopped())
+    timeout(TIMEOUT, replica.wait_stopped())
         .await
-        .expect("the replica ends");
+        .expect("the replica stops");
     assert!(!replica.status().in_service(cleat_quorum::BootTime::now()));
-    let refused = replica.propose(b"a".as_slice().into()).await;
-    assert_eq!(refused, Err(ProposeError::Stopped));
+    let rejected = replica.propose(b"a".as_slice().into()).await;
+    assert_eq!(rejected, Err(ProposeError::Stopped));
 }
--- a/crates/cleat-quorum/tests/simulation/mod.rs
+++ b/crates/cleat-quorum/tests/simulation/mod.rs
@@ -1,11 +1,12 @@
-//! A seeded schedule over pure cores: fake network, disks and clocks, faults,
-//! and the invariants that are checked after every step.
+//! Simulation of a group of cores, driven by a seeded schedule. Network, disks
+//! and clocks are simulated, faults are injected, and the invariants are
+//! checked after every step.
 
+mod actions;
 mod check;
 mod effects;
 mod fault;
 mod node;
-mod upkeep;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -20,36 +21,40 @@
 pub(crate) use fault::{Fault, Step};
 use node::Node;
 
-/// Microseconds of real time.
+/// Microseconds of simulated real time.
 type Micros = u64;
 
 pub(crate) const SECOND: Micros = 1_000_000;
 const MILLI: Micros = 1_000;
 
-/// What a schedule is made of.
+/// Parameters of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
     pub(crate) voters: u32,
     pub(crate) learners: u32,
-    /// How many faults inject at random times.
+    /// Number of faults injected at random times.
     pub(crate) random_faults: u32,
-    /// The faults to choose from.
+    /// Faults to choose from.
     pub(crate) faults: &'static [Fault],
-    /// How often a sync is slow, and how long it then takes at most.
+    /// Probability that a sync is slow, and the maximum duration of a slow
+    /// sync.
     pub(crate) slow_sync: (f64, Micros),
-    /// One fault at the first occurrence of a step after a random time.
-    pub(crate) cell: Option<(Step, Fault)>,
-    /// A lost disk and a graceful stop, so that their steps occur.
-    pub(crate) upkeep: bool,
-    /// The longest pause between two proposals.
-    pub(crate) client_pause: Micros,
-    /// Kills the leader four seconds after the start, until the heal.
-    pub(crate) kill_leader: bool,
-    /// How often the leader hands its lead over, at random times.
+    /// A fault that is injected once, when the step first occurs after a random
+    /// time.
+    pub(crate) targeted_fault: Option<(Step, Fault)>,
+    /// Whether a voter loses its disk and another member stops gracefully, so
+    /// that the steps of both occur.
+    pub(crate) disk_loss_and_stop: bool,
+    /// Maximum delay between two proposals.
+    pub(crate) max_client_pause: Micros,
+    /// Whether the leader crashes four seconds after the start, until all
+    /// faults end.
+    pub(crate) crash_leader: bool,
+    /// Number of leadership transfers at random times.
     pub(crate) leadership_transfers: u32,
     /// When all faults end.
-    pub(crate) heal: Micros,
-    /// Whether the group must recover after that.
+    pub(crate) faults_end: Micros,
+    /// Whether the group must recover after the faults end.
     pub(crate) liveness: bool,
     pub(crate) protections: Protections,
 }
@@ -62,12 +67,12 @@
             random_faults: 6,
             faults: &Fault::ALL,
             slow_sync: (0.02, 400 * MILLI),
-            cell: None,
-            upkeep: false,
-            client_pause: 120 * MILLI,
-            kill_leader: false,
+            targeted_fault: None,
+            disk_loss_and_stop: false,
+            max_client_pause: 120 * MILLI,
+            crash_leader: false,
             leadership_transfers: 2,
-            heal: 7 * SECOND,
+            faults_end: 7 * SECOND,
             liveness: true,
             protections: Protections::default(),
         }
@@ -79,27 +84,27 @@
     SyncDone(usize, u64, SyncId),
     Timer(usize, u64),
     Inject(usize, Fault),
-    InjectCell(usize, Fault),
+    InjectTargeted(usize, Fault),
     Restart(usize),
-    Thaw(usize),
-    Uncut(usize),
-    Normal,
-    KillLeader,
+    Resume(usize),
+    RestoreLinks(usize),
+    RestoreNetwork,
+    CrashLeader,
     TransferLeadership,
     Client,
-    Upkeep(u8),
-    Heal,
+    DiskLossAndStop(u8),
+    EndFaults,
 }
 
 #[derive(Clone, Copy)]
-struct Conditions {
+struct NetworkConditions {
     drop: f64,
     duplicate: f64,
     delay: f64,
     reorder: f64,
 }
 
-const NORMAL: Conditions = Conditions {
+const FAULT_FREE: NetworkConditions = NetworkConditions {
     drop: 0.0,
     duplicate: 0.0,
     delay: 0.0,
@@ -114,18 +119,19 @@
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     occurrences: BTreeMap<u64, Occurrence>,
     nodes: Vec<Node>,
-    conditions: Conditions,
-    cell_armed: Micros,
-    /// The members that served when the leader was killed and lapsed later.
-    pub(crate) lapsed: BTreeSet<usize>,
-    /// When a lead was last handed over, by whom, and how long until another
-    /// member led.
-    handed_over: Option<(Micros, usize)>,
-    pub(crate) without_leader: Vec<Micros>,
-    watched: Vec<usize>,
+    conditions: NetworkConditions,
+    targeted_fault_after: Micros,
+    /// Members that were in service when the leader crashed and whose lease
+    /// expired later.
+    pub(crate) expired: BTreeSet<usize>,
+    /// Start time of the current leadership transfer and the leader that
+    /// started it.
+    transfer_started: Option<(Micros, usize)>,
+    pub(crate) leaderless_periods: Vec<Micros>,
+    serving_at_crash: Vec<usize>,
     voter_disks_lost: u32,
-    /// How often the cell's fault was injected at its step.
-    pub(crate) hits: u32,
+    /// How often the targeted fault was injected at its step.
+    pub(crate) targeted_injections: u32,
     checker: Checker,
 }
 
@@ -139,13 +145,14 @@
 impl World {
     fn new(seed: u64, plan: Plan) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
-        // Half of the schedules inject while the group is being formed.
+        // Half of the schedules inject the fault while the group is being
+        // bootstrapped.
         let latest = if rng.random_bool(0.5) {
             SECOND
         } else {
             6 * SECOND
         };
-        let cell_armed = rng.random_range(0..latest);
+        let targeted_fault_after = rng.random_range(0..latest);
         let count = plan.voters + plan.learners;
         let nodes = (0..count)
             .map(|id| Node::new(id, id < plan.voters, &mut rng))
@@ -158,14 +165,14 @@
             queue: BinaryHeap::new(),
             occurrences: BTreeMap::new(),
             nodes,
-            conditions: NORMAL,
-            cell_armed,
-            lapsed: BTreeSet::new(),
-            handed_over: None,
-            without_leader: Vec::new(),
-            watched: Vec::new(),
+            conditions: FAULT_FREE,
+            targeted_fault_after,
+            expired: BTreeSet::new(),
+            transfer_started: None,
+            leaderless_periods: Vec::new(),
+            serving_at_crash: Vec::new(),
             voter_disks_lost: 0,
-            hits: 0,
+            targeted_injections: 0,
             checker: Checker::default(),
         };
         world.prepare();
@@ -173,21 +180,21 @@
     }
 
     fn prepare(&mut self) {
-        let ease = 2 * SECOND;
+        let margin = 2 * SECOND;
         for _ in 0..self.plan.random_faults {
             let at = self
                 .rng
-                .random_range(0..self.plan.heal.saturating_sub(ease).max(1));
+                .random_range(0..self.plan.faults_end.saturating_sub(margin).max(1));
             let node = self.rng.random_range(0..self.nodes.len());
             let fault = self.plan.faults[self.rng.random_range(0..self.plan.faults.len())];
             self.after(at, Occurrence::Inject(node, fault));
         }
-        if self.plan.upkeep {
-            self.after(3 * SECOND, Occurrence::Upkeep(0));
-            self.after(5 * SECOND, Occurrence::Upkeep(1));
+        if self.plan.disk_loss_and_stop {
+            self.after(3 * SECOND, Occurrence::DiskLossAndStop(0));
+            self.after(5 * SECOND, Occurrence::DiskLossAndStop(1));
         }
-        if self.plan.kill_leader {
-            self.after(4 * SECOND, Occurrence::KillLeader);
+        if self.plan.crash_leader {
+            self.after(4 * SECOND, Occurrence::CrashLeader);
         }
         for _ in 0..self.plan.leadership_transfers {
             let at = self.rng.random_range(2 * SECOND..6 * SECOND);
@@ -198,7 +205,7 @@
             self.after(at, Occurrence::Restart(node));
         }
         self.after(0, Occurrence::Client);
-        self.after(self.plan.heal, Occurrence::Heal);
+        self.after(self.plan.faults_end, Occurrence::EndFaults);
     }
 
     fn after(&mut self, delay: Micros, occurrence: Occurrence) {
@@ -209,7 +216,7 @@
 
     fn run(&mut self) -> Result<(), Violation> {
         let recovery = 10 * SECOND;
-        let end = self.now + self.plan.heal + recovery;
+        let end = self.now + self.plan.faults_end + recovery;
         while let Some(Reverse((at, order))) = self.queue.pop() {
             self.now = at;
             if at > end {
@@ -218,11 +225,11 @@
             if let Some(occurrence) = self.occurrences.remove(&order) {
                 self.handle(occurrence)?;
                 self.checker.check_leases(&self.nodes, self.now)?;
-                self.watch_leases();
-                self.watch_lead();
+                self.record_expired_leases();
+                self.record_transfer();
             }
-            let healed = self.now > self.plan.heal + SECOND;
-            if healed && (!self.plan.liveness || self.recovered()) {
+            let settled = self.now > self.plan.faults_end + SECOND;
+            if settled && (!self.plan.liveness || self.recovered()) {
                 return Ok(());
             }
         }
@@ -233,16 +240,17 @@
         }
     }
 
-    /// Whether everyone serves, every voter votes, and all state is in force.
+    /// Whether all members serve, every voter votes, and all committed entries
+    /// are in force.
     fn recovered(&self) -> bool {
-        let Some(goal) = self.checker.healed_at else {
+        let Some(goal) = self.checker.committed_at_faults_end else {
             return false;
         };
         let now = self.now;
         let serving = self.nodes.iter().all(|node| {
             node.core
                 .as_ref()
-                .is_some_and(|core| core.in_service(node.local(now)))
+                .is_some_and(|core| core.in_service(node.local_time(now)))
         });
         let leads = |node: &&Node| {
             let core = node.core.as_ref();
@@ -250,7 +258,7 @@
                 let status = core.status();
                 let voters = core.membership().voters().count();
                 status.commit > goal
-                    && core.in_force(status.commit, node.local(now))
+                    && core.in_force(status.commit, node.local_time(now))
                     && voters == self.plan.voters as usize
             })
         };
@@ -268,48 +276,49 @@
             }
             Occurrence::Timer(..) => {}
             Occurrence::Inject(node, fault) => drop(self.inject(node, fault)),
-            Occurrence::InjectCell(node, fault) => {
-                self.hits += u32::from(self.hits == 0 && self.inject(node, fault));
+            Occurrence::InjectTargeted(node, fault) => {
+                self.targeted_injections +=
+                    u32::from(self.targeted_injections == 0 && self.inject(node, fault));
             }
             Occurrence::Restart(node) => self.restart(node)?,
-            Occurrence::Thaw(node) => self.thaw(node)?,
-            Occurrence::Uncut(node) => {
-                self.nodes[node].cut_in.clear();
-                self.nodes[node].cut_out.clear();
+            Occurrence::Resume(node) => self.resume(node)?,
+            Occurrence::RestoreLinks(node) => {
+                self.nodes[node].blocked_inbound.clear();
+                self.nodes[node].blocked_outbound.clear();
             }
-            Occurrence::Normal => self.conditions = NORMAL,
-            Occurrence::KillLeader => self.kill_leader(),
+            Occurrence::RestoreNetwork => self.conditions = FAULT_FREE,
+            Occurrence::CrashLeader => self.crash_leader(),
             Occurrence::TransferLeadership => self.transfer_leadership()?,
             Occurrence::Client => self.client()?,
-            Occurrence::Upkeep(stage) => self.upkeep(stage)?,
-            Occurrence::Heal => self.heal()?,
+            Occurrence::DiskLossAndStop(stage) => self.disk_loss_and_stop(stage)?,
+            Occurrence::EndFaults => self.end_faults()?,
         }
         Ok(())
     }
 
     fn deliver(&mut self, message: Message) -> Result<(), Violation> {
         let to = message.to.0 as usize;
-        if self.nodes[to].cut_in.contains(&message.from) {
+        if self.nodes[to].blocked_inbound.contains(&message.from) {
             return Ok(());
         }
         self.step(to, Event::Receive(message))
     }
 
-    /// Steps a core, or keeps the event for a frozen one.
+    /// Steps a core. A paused node queues the event instead.
     fn step(&mut self, at: usize, event: Event) -> Result<(), Violation> {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.frozen {
+        if node.paused {
             node.backlog.push(event);
             return Ok(());
         }
-        let local = node.local(now);
+        let local = node.local_time(now);
         let Some(core) = &mut node.core else {
             return Ok(());
         };
         let effects = core.step(event, local);
         self.checker.check_node(&mut self.nodes[at])?;
-        self.carry_out(at, effects)?;
+        self.execute(at, effects)?;
         self.set_timer(at);
         Ok(())
     }
@@ -321,7 +330,7 @@
         };
         node.timer += 1;
         let generation = node.timer;
-        let due = node.real(core.deadline()).max(self.now + 1);
+        let due = node.real_time(core.deadline()).max(self.now + 1);
         self.after(due - self.now, Occurrence::Timer(at, generation));
     }
 }
