--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use cleat_jobs::{
-    Answer, Caller, Cap, Catalogue, Command, ControlState, Customer, Customers, Event, Heartbeat,
-    Job, JobId, JobSpec, JobState, KeyDigest, Queue, Scheduler, WorkerView,
+    Caller, Cap, Catalogue, Command, CommandOutcome, ControlState, Customer, Customers, Event,
+    Heartbeat, Job, JobId, JobSpec, JobState, KeyDigest, Queue, Scheduler, WorkerView,
 };
 use cleat_link::{
     ControlCall, ControlError, ControlReply, CustomerLine, JobLine, JobView, Overview, WorkerLine,
@@ -51,7 +51,7 @@
             return Err(ControlError::NotLeader { leader });
         }
         // Without a valid leader lease, another instance may already lead.
-        if !self.leads() || !self.state.read(|state| state.founded) {
+        if !self.leads() || !self.state.read(|state| state.bootstrapped) {
             return Err(ControlError::NoQuorum);
         }
         match self.plan(call)? {
@@ -75,11 +75,11 @@
                 spec,
                 waited_ms,
             } => {
-                let came_ms = wall_ms().saturating_sub(waited_ms);
+                let arrived_ms = wall_ms().saturating_sub(waited_ms);
                 self.submit(
                     &RequestAddress::of(&host, &path, key.as_ref()),
                     spec,
-                    came_ms,
+                    arrived_ms,
                 )
             }
             ControlCall::Look { host, path, key } => {
@@ -140,17 +140,17 @@
         })
     }
 
-    fn submit(&self, address: &RequestAddress<'_>, spec: Arc<JobSpec>, came_ms: u64) -> Action {
+    fn submit(&self, address: &RequestAddress<'_>, spec: Arc<JobSpec>, arrived_ms: u64) -> Action {
         self.state.read(|state| match resolve(state, address) {
             Err(refusal) => Action::Reply(refusal),
             Ok(Route::Queue(_)) => Action::Reply(ControlReply::NotAJob),
-            Ok(Route::Job(queue, id, caller)) => match state.owner_of(id) {
+            Ok(Route::Job(queue, id, caller)) => match state.customer_of(id) {
                 None => Action::Commit(Command::Submit {
                     id,
                     queue,
                     customer: caller.name().map(Into::into),
                     spec,
-                    came_ms,
+                    arrived_ms,
                 }),
                 // A repeated submission: the job is already stored.
                 Some(owner) if owner == caller.name() => Action::Reply(ControlReply::Done),
@@ -210,7 +210,7 @@
                         queue,
                         customer: None,
                         spec,
-                        came_ms: wall_ms(),
+                        arrived_ms: wall_ms(),
                     })
                 }
             }
@@ -288,11 +288,11 @@
             .latency("commit")
             .record(started_at.elapsed());
         let applied = applied.map_err(|error| control_error(&error))?;
-        Ok(match Answer::decode(&applied.response) {
-            Some(Answer::Done) => ControlReply::Done,
-            Some(Answer::NoSuchJob) => ControlReply::NoSuchJob,
-            Some(Answer::Over(_)) => ControlReply::Over,
-            Some(Answer::Taken) => ControlReply::Taken,
+        Ok(match CommandOutcome::decode(&applied.response) {
+            Some(CommandOutcome::Done) => ControlReply::Done,
+            Some(CommandOutcome::NoSuchJob) => ControlReply::NoSuchJob,
+            Some(CommandOutcome::Over(_)) => ControlReply::Over,
+            Some(CommandOutcome::Taken) => ControlReply::Taken,
             None => return Err(ControlError::OutcomeUnknown),
         })
     }
@@ -340,8 +340,8 @@
             weight: customer.weight,
             jobs: state.jobs.values().filter(own).count() as u64,
             waiting: view.map_or(0, |view| view.waiting as u64),
-            used: view.map(|view| view.held).unwrap_or_default(),
-            in_doubt: view.map(|view| view.hidden).unwrap_or_default(),
+            used: view.map(|view| view.used).unwrap_or_default(),
+            in_doubt: view.map(|view| view.in_doubt).unwrap_or_default(),
             cap,
         }
     };
@@ -371,7 +371,7 @@
     let Some(queue) = catalogue.route(address.host, address.path) else {
         return Err(ControlReply::NoSuchQueue);
     };
-    let caller = catalogue.caller(queue, address.key);
+    let caller = catalogue.authenticate(queue, address.key);
     if caller == Caller::Unknown {
         return Err(ControlReply::UnknownKey);
     }
@@ -388,8 +388,8 @@
 /// Whether a job belongs to another customer. Callers must not learn that such a
 /// job exists.
 fn is_other_customers_job(state: &ControlState, id: JobId, caller: &Caller) -> bool {
-    let owner = state.owner_of(id);
-    owner.is_some_and(|owner| !caller.may_use(owner))
+    let owner = state.customer_of(id);
+    owner.is_some_and(|owner| !caller.may_access(owner))
 }
 
 pub(crate) fn control_error(error: &ProposeError) -> ControlError {
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -1,48 +1,49 @@
-//! Lists of machines, orders about them, and what becomes of both.
+//! Lists of machines from the platform, and orders to it.
 
 use std::time::Duration;
 
 use indexmap::IndexSet;
 
-use super::machine::{Machine, MachineOrder, MachineState, MachineView, Ordered};
+use super::machine::{Machine, MachineOrder, MachineState, MachineView, PendingOrder};
 use crate::schedule::decision::LifeOver;
 use crate::schedule::event::MachineAnswer;
 use crate::schedule::worker::WorkerKey;
 use crate::schedule::{Decision, Effect, Scheduler};
 use crate::state::{Command, ControlState};
 
-/// How often the machines are listed; a list is one call for 200 machines.
+/// The interval at which the machines are listed. A list takes one call for each 200
+/// machines.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same while an order is under way or a worker does not answer, so that
-/// the end of either is seen soon.
+/// The same while an order is pending or a worker does not answer, so that the result is
+/// seen soon.
 const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(400);
-/// How long after an order without a clear answer it is repeated. It is
-/// idempotent.
+/// How long after it was sent an order without a definite answer is sent again. Orders
+/// are idempotent.
 const ORDER_RETRY: Duration = Duration::from_millis(700);
-/// How long an accepted order may take until the machine is listed as up. The
+/// How long an accepted order stays pending if its machine is not listed as up. The
 /// platform needs 1.5 to 2 s.
 const ORDER_LIMIT: Duration = Duration::from_secs(8);
 
 impl Scheduler {
-    /// Looks after machines: called at each tick.
-    pub(in crate::schedule) fn tend_machines(&mut self, state: &ControlState) {
+    /// Lists, orders, maintains and moves machines. Called at each tick.
+    pub(in crate::schedule) fn manage_machines(&mut self, state: &ControlState) {
         self.list_machines();
-        if self.machines.listed_at.is_none() {
+        if self.machines.list_requested_at.is_none() {
             return;
         }
-        self.hold_planned();
-        self.watch_idle();
-        self.settle_orders();
-        self.run_waves(state);
-        self.evacuate(state);
+        self.cordon_planned();
+        self.update_idle_times();
+        self.check_orders();
+        self.advance_waves(state);
+        self.evict_long_running(state);
         self.move_machines(state);
     }
 
     fn list_machines(&mut self) {
-        if self.machines.listing || self.now < self.machines.list_due {
+        if self.machines.list_in_progress || self.now < self.machines.next_list_at {
             return;
         }
-        self.machines.listing = true;
+        self.machines.list_in_progress = true;
         self.effects.push(Effect::ListMachines);
     }
 
@@ -51,21 +52,21 @@
         sent_at: Duration,
         list: Option<Vec<MachineView>>,
     ) {
-        let interval = if self.awaits_a_list() {
+        let interval = if self.awaits_list() {
             LIST_INTERVAL_BUSY
         } else {
             LIST_INTERVAL
         };
-        self.machines.listing = false;
-        self.machines.list_due = self.now + interval;
+        self.machines.list_in_progress = false;
+        self.machines.next_list_at = self.now + interval;
         let Some(list) = list else {
             return;
         };
-        self.machines.listed_at = Some(sent_at);
-        self.end_absent_lives(&list, sent_at);
+        self.machines.list_requested_at = Some(sent_at);
+        self.end_absent_workers(&list, sent_at);
         let names: IndexSet<Box<str>> = list.iter().map(|view| view.name.clone()).collect();
         for view in list {
-            self.take_view(view, sent_at);
+            self.update_view(view, sent_at);
         }
         let now = self.now;
         for (name, machine) in &mut self.machines.by_name {
@@ -75,64 +76,64 @@
         }
     }
 
-    /// Whether a list tells something that is waited for.
-    fn awaits_a_list(&self) -> bool {
+    /// Whether the next list may show the result of an order or the end of a worker.
+    fn awaits_list(&self) -> bool {
         let mut machines = self.machines.by_name.values();
         let mut workers = self.workers.iter();
-        machines.any(|machine| machine.ordered.is_some())
+        machines.any(|machine| machine.pending_order.is_some())
             || workers.any(|(_, worker)| worker.is_unreachable())
     }
 
-    fn take_view(&mut self, view: MachineView, sent_at: Duration) {
+    fn update_view(&mut self, view: MachineView, sent_at: Duration) {
         let name = view.name.clone();
         match self.machines.by_name.get_mut(&name) {
-            Some(machine) => machine.take_view(view, sent_at),
+            Some(machine) => machine.update_view(view, sent_at),
             None => drop(self.machines.by_name.insert(name, Machine::new(view))),
         }
     }
 
-    /// Keeps work from the workers whose machine is to be emptied, also from those
-    /// that became known after that was decided: else they go on taking work,
-    /// and a wave ends without their machine.
-    fn hold_planned(&mut self) {
+    /// Cordons the workers on machines that must be emptied. This includes workers that
+    /// became known after the decision: otherwise they would continue to accept tasks, and
+    /// a wave would end without their machine.
+    fn cordon_planned(&mut self) {
         let machines = self.machines.by_name.iter();
-        let planned = machines.filter(|(_, machine)| machine.is_planned());
-        // While an order has no answer, a worker that no list names may be the
-        // one that the order brought.
-        let held = planned.filter_map(|(name, machine)| match machine.awaits_answer() {
+        let planned = machines.filter(|(_, machine)| machine.must_be_emptied());
+        // While an order has no answer, a worker that no list names may have started
+        // because of that order.
+        let cordoned = planned.filter_map(|(name, machine)| match machine.awaits_answer() {
             true => self.listed_worker(name),
             false => self.worker_on(name),
         });
-        let held: Vec<WorkerKey> = held.collect();
-        for worker in held {
+        let cordoned: Vec<WorkerKey> = cordoned.collect();
+        for worker in cordoned {
             self.workers[worker].cordoned = true;
         }
     }
 
-    /// Ends the orders whose machine is up again, and repeats those that
-    /// have no clear answer.
-    fn settle_orders(&mut self) {
-        let listed_at = self.machines.listed_at.unwrap_or_default();
+    /// Completes the orders whose machine is up again, and resends those without a definite
+    /// answer.
+    fn check_orders(&mut self) {
+        let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         let machines = self.machines.by_name.iter();
-        let ordered = machines.filter(|(_, machine)| machine.ordered.is_some());
+        let ordered = machines.filter(|(_, machine)| machine.pending_order.is_some());
         let names: Vec<Box<str>> = ordered.map(|(name, _)| name.clone()).collect();
         for name in names {
-            let back = self.is_back(&name);
+            let answers = self.has_answering_worker(&name);
             let machine = &mut self.machines.by_name[&name];
-            let Some(ordered) = &machine.ordered else {
+            let Some(pending) = &machine.pending_order else {
                 continue;
             };
-            match ordered.accepted {
+            match pending.accepted_at {
                 Some(at) => {
-                    let listed = machine.view.state == MachineState::Up && listed_at > at;
-                    let up = listed || back;
+                    let listed = machine.view.state == MachineState::Up && list_requested_at > at;
+                    let up = listed || answers;
                     if up || self.now > at + ORDER_LIMIT {
-                        machine.ordered = None;
+                        machine.pending_order = None;
                         machine.idle_since = None;
                     }
                 }
-                None if self.now >= ordered.sent + ORDER_RETRY => {
-                    let order = ordered.order.clone();
+                None if self.now >= pending.sent_at + ORDER_RETRY => {
+                    let order = pending.order.clone();
                     self.send_machine_order(&name, order);
                 }
                 None => {}
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Whether a worker that says that it runs on a machine answers.
-    fn is_back(&self, name: &str) -> bool {
+    /// Whether a worker that reports the machine as its own answers.
+    fn has_answering_worker(&self, name: &str) -> bool {
         let worker = self.workers.on_machine(name);
         worker.is_some_and(|worker| self.workers[worker].answers())
     }
@@ -158,10 +159,10 @@
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
         };
-        machine.ordered = Some(Ordered {
+        machine.pending_order = Some(PendingOrder {
             order: order.clone(),
-            sent: now,
-            accepted: None,
+            sent_at: now,
+            accepted_at: None,
         });
         let decision = Decision::machine(name, &machine.view.pool, &order);
         self.log(decision);
@@ -172,8 +173,8 @@
         });
     }
 
-    /// The worker that runs on a machine: the one that is listed there, else
-    /// one that says so itself.
+    /// The worker that runs on a machine: the one that is listed there, or else one that
+    /// reports the machine as its own.
     pub(super) fn worker_on(&self, name: &str) -> Option<WorkerKey> {
         let machine = self.machines.by_name.get(name)?;
         match &machine.view.worker {
@@ -182,14 +183,14 @@
         }
     }
 
-    /// Whether an order took the machine of a worker away, as far as is known.
-    pub(in crate::schedule) fn was_taken_away(&self, key: WorkerKey) -> bool {
+    /// Whether an order for its machine ended the life of a worker, as far as is known.
+    pub(in crate::schedule) fn was_ended_by_order(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let name = worker.record.machine.as_deref();
         let machine = name.and_then(|name| self.machines.by_name.get(name));
-        let listed_at = self.machines.listed_at.unwrap_or_default();
+        let list_requested_at = self.machines.list_requested_at.unwrap_or_default();
         machine.is_some_and(|machine| {
-            machine.took_away(&worker.record.pool, worker.known_since, listed_at)
+            machine.order_ended_life(&worker.record.pool, worker.known_since, list_requested_at)
         })
     }
 
@@ -209,35 +210,35 @@
         let Some(machine) = self.machines.by_name.get_mut(name) else {
             return;
         };
-        let Some(ordered) = machine
-            .ordered
+        let Some(pending) = machine
+            .pending_order
             .as_mut()
-            .filter(|known| known.order == *order)
+            .filter(|pending| pending.order == *order)
         else {
             return;
         };
-        if ordered.accepted.is_some() {
+        if pending.accepted_at.is_some() {
             return;
         }
         self.effects
             .push(Effect::Log(Decision::machine_answer(name, answer)));
         match answer {
             MachineAnswer::Done => {
-                ordered.accepted = Some(now);
-                machine.changed_at = Some(now);
-                self.machine_left(name, order);
+                pending.accepted_at = Some(now);
+                machine.last_accepted_at = Some(now);
+                self.order_accepted(name, order);
             }
             MachineAnswer::Unknown => {}
             MachineAnswer::Fenced => self.effects.push(Effect::Fenced {
                 worker: name.into(),
             }),
             MachineAnswer::Busy | MachineAnswer::Refused => {
-                machine.ordered = None;
+                machine.pending_order = None;
                 machine.reserved_for = None;
                 if answer == MachineAnswer::Refused
                     && let MachineOrder::Move { pool } = order
                 {
-                    self.machines.refuse(name, pool);
+                    self.machines.record_refusal(name, pool);
                 }
                 if let Some(worker) = self.worker_on(name) {
                     self.workers[worker].cordoned = false;
@@ -246,8 +247,8 @@
         }
     }
 
-    /// A machine has gone down for an order: its worker's life is over.
-    fn machine_left(&mut self, name: &str, order: &MachineOrder) {
+    /// Processes an accepted order, which ends the life of the machine's worker.
+    fn order_accepted(&mut self, name: &str, order: &MachineOrder) {
         if let Some(worker) = self.listed_worker(name) {
             self.end_life(worker, LifeOver::MachineOrdered);
         }
@@ -263,17 +264,20 @@
             }
             MachineOrder::Maintain { wave } => {
                 machine.view.state = MachineState::Maintained;
-                machine.emptied_for = None;
+                machine.draining_for_wave = None;
                 let wave = *wave;
                 let machine = name.into();
                 self.propose(Command::Maintained { wave, machine });
             }
         }
-        self.machines.list_due = self.machines.list_due.min(self.now + LIST_INTERVAL_BUSY);
+        self.machines.next_list_at = self
+            .machines
+            .next_list_at
+            .min(self.now + LIST_INTERVAL_BUSY);
     }
 
-    /// Notes since when each machine has been idle.
-    fn watch_idle(&mut self) {
+    /// Updates the times since which the machines have been idle.
+    fn update_idle_times(&mut self) {
         let now = self.now;
         let machines = self.machines.by_name.values();
         let idle: Vec<bool> = machines.map(|machine| self.is_idle(machine)).collect();
--- a/crates/cleat-jobs/src/schedule/heartbeat.rs
+++ b/crates/cleat-jobs/src/schedule/heartbeat.rs
@@ -41,7 +41,7 @@
     /// owner has to know of a smaller capacity before it starts anything there.
     fn update_capacity(&mut self, key: WorkerKey, capacity: Size, sequence: u64) {
         let worker = &mut self.workers[key];
-        worker.record.history.sized_by = sequence;
+        worker.record.history.capacity_sequence = sequence;
         let first_report = !std::mem::replace(&mut worker.capacity_known, true);
         let resized = worker.record.capacity != capacity;
         worker.record.capacity = capacity;
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -36,7 +36,10 @@
     /// Whether a task that has to run alone is running on the worker.
     pub(super) fn is_isolated(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        worker.task_crashes > 0 && self.uncleared_runs(key).any(|run| run.suspicion.alone)
+        worker.task_crashes > 0
+            && self
+                .uncleared_runs(key)
+                .any(|run| run.suspicion.needs_isolation)
     }
 
     /// Whether starting a task of a step on a worker respects the isolation
@@ -44,7 +47,7 @@
     pub(super) fn provides_isolation(&self, step: &ActiveStep, index: u32, key: WorkerKey) -> bool {
         let is_open = !self.reserved_for_suspects.contains(&key) && !self.is_isolated(key);
         let suspicion = step.suspicion(index);
-        if suspicion.alone {
+        if suspicion.needs_isolation {
             return self.uncleared_runs(key).next().is_none() && !self.workers[key].has_strays;
         }
         let is_suspect = suspicion.crashes > 0 && self.workers[key].task_crashes > 0;
@@ -107,7 +110,7 @@
         let waiting: Vec<TaskId> = in_pool
             .flat_map(|id| {
                 let suspects = self.steps[id].pending_suspects();
-                let alone = suspects.filter(|(_, suspicion)| suspicion.alone);
+                let alone = suspects.filter(|(_, suspicion)| suspicion.needs_isolation);
                 alone.map(|(index, _)| id.task(index))
             })
             .collect();
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -44,13 +44,17 @@
     /// ready meanwhile runs there.
     fn mark_silent(&mut self, state: &ControlState, key: WorkerKey) {
         self.set_worker_state(key, WorkerState::Silent);
-        if let Some((name, token, uses)) = self.clear_use_record(state, key) {
-            self.propose(Command::WorkerSilent { name, token, uses });
+        if let Some((name, token, activations)) = self.clear_use_record(state, key) {
+            self.propose(Command::WorkerSilent {
+                name,
+                token,
+                activations,
+            });
         }
     }
 
     /// Marks a worker as not recorded for use. Returns its name, this owner's
-    /// token and the number of uses, which the command that commits this has to
+    /// token and the number of activations, which the command that commits this has to
     /// name; `None` if the replicated state does not know the worker.
     fn clear_use_record(
         &mut self,
@@ -61,8 +65,8 @@
         worker.use_recorded = false;
         worker.capacity_known = false;
         let name = worker.record.name.clone();
-        let uses = state.workers.get(&name)?.history.uses;
-        Some((name, self.owner.token, uses))
+        let activations = state.workers.get(&name)?.history.activations;
+        Some((name, self.owner.token, activations))
     }
 
     /// Handles the expiry of a worker's lease. It is committed for the next
@@ -70,8 +74,12 @@
     /// another lease after a takeover.
     fn expire_lease(&mut self, state: &ControlState, key: WorkerKey) {
         self.set_worker_state(key, WorkerState::Lapsed);
-        if let Some((name, token, uses)) = self.clear_use_record(state, key) {
-            self.propose(Command::WorkerLapsed { name, token, uses });
+        if let Some((name, token, activations)) = self.clear_use_record(state, key) {
+            self.propose(Command::WorkerLapsed {
+                name,
+                token,
+                activations,
+            });
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -153,8 +153,8 @@
     /// Whether some worker may still have runs of an earlier owner that this
     /// owner has not seen listed.
     may_have_hidden_runs: bool,
-    /// Jobs for which [`Command::Settled`] is proposed and not yet applied.
-    settled_proposed: IndexSet<JobId>,
+    /// Jobs for which [`Command::JobsStopped`] is proposed and not yet applied.
+    stopped_jobs_proposed: IndexSet<JobId>,
     /// Jobs that have not ended.
     active_jobs: IndexSet<JobId>,
     /// Jobs of which a worker has confirmed that a task started. A start
@@ -224,7 +224,7 @@
             strays: IndexMap::new(),
             accounts: Accounts::default(),
             may_have_hidden_runs: true,
-            settled_proposed: IndexSet::new(),
+            stopped_jobs_proposed: IndexSet::new(),
             active_jobs: IndexSet::new(),
             started_jobs: IndexSet::new(),
             start_counts: IndexMap::new(),
@@ -266,7 +266,7 @@
         for event in events {
             self.handle_event(state, event);
         }
-        self.settle_accounts(state);
+        self.update_accounts(state);
         self.place_ready_steps(state);
         std::mem::take(&mut self.effects)
     }
@@ -349,17 +349,19 @@
         match command {
             Command::Submit { id, .. } => self.activate_job(state, *id),
             Command::Cancel { id } => self.remove_ended_job(state, *id),
-            Command::Ends { .. } => self.handle_ends_applied(state, command),
+            Command::RecordEnds { .. } => self.handle_ends_applied(state, command),
             Command::AddWorker(record) => self.handle_worker_recorded(&record.name),
             Command::RemoveWorkers { names } => self.handle_workers_removed(names),
             Command::Draining { name } => self.mark_draining(name),
             Command::Crashed { runs } => self.handle_crashes_applied(state, runs),
-            Command::Settled { ids } => self.settled_proposed.retain(|id| !ids.contains(id)),
+            Command::JobsStopped { ids } => {
+                self.stopped_jobs_proposed.retain(|id| !ids.contains(id));
+            }
             Command::Configure(_)
             | Command::StartWave { .. }
             | Command::Maintained { .. }
             | Command::LeftWave { .. } => self.dirty_pools = DirtyPools::All,
-            Command::Found
+            Command::Bootstrapped
             | Command::Resized { .. }
             | Command::TakeOver { .. }
             | Command::WorkerSilent { .. }
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -233,7 +233,7 @@
             self.handle_end(state, key, end);
         }
         let worker = self.worker_name(key);
-        self.propose(Command::Ends {
+        self.propose(Command::RecordEnds {
             worker,
             after: proposed,
             ends,
@@ -369,7 +369,7 @@
         match self.strays.get_mut(&(key, task, run)) {
             Some(stray) if self.now < stray.sent_at + RENEWAL_RETRY_DELAY => return,
             Some(stray) => stray.sent_at = self.now,
-            None => self.hold_stray(state, (key, task, run)),
+            None => self.add_stray(state, (key, task, run)),
         }
         self.send_stop(key, task, run, StopReason::Stray);
     }
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -178,8 +178,10 @@
         let Some(name) = job.customer.as_deref() else {
             return;
         };
-        let key = self.accounts.open(name, state.catalogue.as_deref());
-        if self.accounts.take_job(key, arrived_at) == ShareStatus::Exceeded {
+        let key = self
+            .accounts
+            .get_or_create(name, state.catalogue.as_deref());
+        if self.accounts.record_job(key, arrived_at) == ShareStatus::Exceeded {
             self.share_statuses.insert(id, ShareStatus::Exceeded);
         }
     }
@@ -189,8 +191,8 @@
     /// machines differ by little; if one has jumped, only the order in which
     /// jobs are served suffers.
     fn age(&self, job: &Job) -> Duration {
-        let known = job.came_ms > 0 && self.wall_ms > 0;
-        let ms = self.wall_ms.saturating_sub(job.came_ms);
+        let known = job.arrived_ms > 0 && self.wall_ms > 0;
+        let ms = self.wall_ms.saturating_sub(job.arrived_ms);
         Duration::from_millis(if known { ms } else { 0 })
     }
 
@@ -209,7 +211,7 @@
             gang: steps.iter().any(|step| step.gang),
             advised: queue.advice.is_some(),
             objective_ms: millis(span),
-            inherited: job.accepted_at < self.owner.token,
+            inherited: job.accepted_index < self.owner.token,
         });
     }
 }
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -129,10 +129,10 @@
 impl Worker {
     fn new(record: WorkerRecord, now: Duration) -> Worker {
         Worker {
-            committed_ends: record.history.noted,
-            proposed_ends: record.history.noted,
-            acknowledged_ends: record.history.noted,
-            use_recorded: record.history.may_run && record.history.silent_at.is_none(),
+            committed_ends: record.history.last_recorded_end,
+            proposed_ends: record.history.last_recorded_end,
+            acknowledged_ends: record.history.last_recorded_end,
+            use_recorded: record.history.may_have_runs && record.history.silent_index.is_none(),
             use_proposed: false,
             known_since: now,
             cordoned: false,
@@ -144,12 +144,12 @@
             lapsed_runs: Vec::new(),
             colocated: false,
             tasks: IndexSet::new(),
-            state: if record.history.may_run {
+            state: if record.history.may_have_runs {
                 WorkerState::Unseen
             } else {
                 WorkerState::Lapsed
             },
-            last_heartbeat_sequence: record.history.sized_by,
+            last_heartbeat_sequence: record.history.capacity_sequence,
             capacity_known: false,
             record,
             life_over: None,
--- a/crates/cleat-jobs/tests/caps.rs
+++ b/crates/cleat-jobs/tests/caps.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use cleat_jobs::{
-    Catalogue, Command, Draft, Effect, EndKind, JobId, OrderAnswer, RenewalAnswer, StepSpec,
+    Catalogue, CatalogueDraft, Command, Effect, EndKind, JobId, OrderAnswer, RenewalAnswer,
+    StepSpec,
 };
 use scaffold::{Bed, customer, draft, end, ended, running, starts, step, stops, task};
 
@@ -18,7 +19,7 @@
 }
 
 fn configure(bed: &mut Bed, version: u64, cpu_milli: u64) -> Vec<Effect> {
-    let draft = Draft {
+    let draft = CatalogueDraft {
         customers: Some(vec![
             customer("c", &["k"], cpu_milli),
             customer("d", &[], 0),
@@ -203,7 +204,7 @@
     let begun = starts(&submit(&mut bed, 1, vec![step(5, 1_000)]));
     bed.answer(&begun[0].0, &begun[0].1, OrderAnswer::Unknown);
     bed.apply(Command::Cancel { id: JobId(1) });
-    for (name, kept, counted) in bed.owner.recounted() {
+    for (name, kept, counted) in bed.owner.recount_usage() {
         assert_eq!(kept, counted, "{name}");
         assert_eq!(kept.cpu_milli, 3_000);
     }
