--- a/crates/cleat-control/src/keys/tests.rs
+++ b/crates/cleat-control/src/keys/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn check_unknown_key_is_refused_until_its_entry_expires() {
+fn check_unknown_key_is_refused_until_its_record_expires() {
     let mut filter = KeyFilter::new(ms(0));
     filter.record_reply(&shown("a"), &ControlReply::UnknownKey, ms(0));
     let last = UNKNOWN_KEY_TTL - ms(1);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn check_same_unknown_key_is_forwarded_ten_times_a_second() {
+fn check_same_unknown_key_is_forwarded_at_most_ten_times_a_second() {
     let mut filter = KeyFilter::new(ms(0));
     let mut forwarded = 0;
     for n in 0..10_000_u64 {
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -183,7 +183,7 @@
     let join = JoinConfig {
         may_bootstrap: cfg.may_bootstrap,
         target_voters: cfg.voters,
-        extra_voter_timeout: cfg.remove_silent_after,
+        remove_silent_after: cfg.remove_silent_after,
     };
     ReplicaConfig::new(cfg.id, seeds, rand::random())
         .with_timing(cfg.timing)
--- a/crates/cleat-decide/src/slots/peers.rs
+++ b/crates/cleat-decide/src/slots/peers.rs
@@ -5,7 +5,7 @@
 use super::EntryIndex;
 
 /// A request without an answer counts as lost after this time.
-const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+const SLOT_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long the number of idle slots that a peer reported is valid.
 const REPORT_AGE_MAX: Duration = Duration::from_millis(50);
 /// A report that a peer has nothing to lend is valid for longer each time the
@@ -19,18 +19,18 @@
 #[derive(Debug, Default)]
 pub(super) struct Peer {
     /// The incarnation and serial of the last request received from it.
-    pub(super) last_request: Option<(u64, u64)>,
+    pub(super) last_slot_request: Option<(u64, u64)>,
     idle: u32,
     reported_at: Option<Duration>,
     /// How long the last report is valid.
     report_age_max: Duration,
     /// The request that it has not answered yet.
-    pending: Option<PendingRequest>,
+    pending: Option<PendingSlotRequest>,
 }
 
 /// A request sent to a peer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PendingRequest {
+pub(super) struct PendingSlotRequest {
     pub(super) serial: u64,
     pub(super) count: u32,
     pub(super) sent_at: Duration,
@@ -56,11 +56,11 @@
     pub(super) fn pending(&self, now: Duration) -> u32 {
         let pending = self
             .pending
-            .filter(|request| now < request.sent_at + REQUEST_TIMEOUT);
+            .filter(|request| now < request.sent_at + SLOT_REQUEST_TIMEOUT);
         pending.map_or(0, |request| request.count)
     }
 
-    pub(super) fn set_pending(&mut self, request: PendingRequest) {
+    pub(super) fn set_pending(&mut self, request: PendingSlotRequest) {
         self.pending = Some(request);
     }
 
@@ -72,7 +72,7 @@
         granted: bool,
         idle: u32,
         now: Duration,
-    ) -> Option<PendingRequest> {
+    ) -> Option<PendingSlotRequest> {
         let request = self.pending.take_if(|request| request.serial == serial)?;
         self.report_age_max = if granted {
             REPORT_AGE_MAX
@@ -89,12 +89,12 @@
     /// Incarnations have no order, so a late request of an earlier one counts as
     /// new. The peer ignores the answer to it, and the lent slots are reclaimed
     /// after the lease.
-    pub(super) fn record_request(&mut self, incarnation: u64, serial: u64) -> bool {
+    pub(super) fn record_slot_request(&mut self, incarnation: u64, serial: u64) -> bool {
         let is_old = |last: (u64, u64)| last.0 == incarnation && last.1 >= serial;
-        if self.last_request.is_some_and(is_old) {
+        if self.last_slot_request.is_some_and(is_old) {
             return false;
         }
-        self.last_request = Some((incarnation, serial));
+        self.last_slot_request = Some((incarnation, serial));
         true
     }
 }
--- a/crates/cleat-decide/src/slots/sharing.rs
+++ b/crates/cleat-decide/src/slots/sharing.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::peers::{Peer, PendingRequest, best_lender};
+use super::peers::{Peer, PendingSlotRequest, best_lender};
 use super::target_slots::{BorrowedSlot, TargetSlots};
 use super::{EntryIndex, Grant, GrantId, LeaseTerms, Message, Outgoing, Slot, TargetKey};
 use crate::{Protections, slot_share};
@@ -22,7 +22,7 @@
     /// One for each entry, including this one.
     peers: Vec<Peer>,
     /// The number of requests sent.
-    requests: u64,
+    slot_requests: u64,
     /// The number of slots lent.
     grants: u64,
     started_at: Duration,
@@ -46,7 +46,7 @@
             terms,
             targets: IndexMap::new(),
             peers: entries.iter().map(|_| Peer::default()).collect(),
-            requests: 0,
+            slot_requests: 0,
             grants: 0,
             started_at: now,
             protections: Protections::ALL,
@@ -184,12 +184,13 @@
         let mut missing = count.saturating_sub(pending);
         let mut out = Vec::new();
         while missing > 0 {
-            let Some((index, expected)) = best_lender(&self.peers, self.me, self.requests, now)
+            let Some((index, expected)) =
+                best_lender(&self.peers, self.me, self.slot_requests, now)
             else {
                 break;
             };
             let count = expected.min(missing);
-            out.push(self.request_from(index, count, now));
+            out.push(self.request_slots_from(index, count, now));
             missing -= count;
         }
         out
@@ -249,10 +250,10 @@
         self.targets.insert_full(name.into(), slots).0
     }
 
-    fn request_from(&mut self, index: usize, count: u32, now: Duration) -> Outgoing {
-        self.requests += 1;
-        let serial = self.requests;
-        self.peers[index].set_pending(PendingRequest {
+    fn request_slots_from(&mut self, index: usize, count: u32, now: Duration) -> Outgoing {
+        self.slot_requests += 1;
+        let serial = self.slot_requests;
+        self.peers[index].set_pending(PendingSlotRequest {
             serial,
             count,
             sent_at: now,
@@ -278,7 +279,7 @@
         let Some(peer) = self.peers.get_mut(to.0 as usize) else {
             return Vec::new();
         };
-        if !peer.record_request(incarnation, request) {
+        if !peer.record_slot_request(incarnation, request) {
             return Vec::new();
         }
         for slots in self.targets.values_mut() {
--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -35,8 +35,8 @@
     }
 
     pub(super) fn on_snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
-        let outdated = index <= self.log.snapshot_index() || index > self.applied;
-        if outdated || data.len() > self.config.limits.max_snapshot_bytes {
+        let unusable = index <= self.log.snapshot_index() || index > self.applied;
+        if unusable || data.len() > self.config.limits.max_snapshot_bytes {
             return;
         }
         let Some(term) = self.log.term_at(index) else {
--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -57,12 +57,12 @@
     /// was lost.
     pub may_bootstrap: bool,
     /// Number of voters to keep. Every member becomes a voter; while there are
-    /// more voters than this, one that is silent for `extra_voter_timeout` is
+    /// more voters than this, one that is silent for `remove_silent_after` is
     /// removed.
     pub target_voters: usize,
     /// How long a voter may be silent while there are more than
     /// `target_voters`.
-    pub extra_voter_timeout: Duration,
+    pub remove_silent_after: Duration,
 }
 
 /// Switches that each disable one safety mechanism, so that tests can show that
--- a/crates/cleat-quorum/src/core/join.rs
+++ b/crates/cleat-quorum/src/core/join.rs
@@ -77,7 +77,7 @@
             .voters()
             .map(|voter| voter.id)
             .filter(|id| *id != self.config.id)
-            .find(|id| self.now > last_contact(*id) + join.extra_voter_timeout)?;
+            .find(|id| self.now > last_contact(*id) + join.remove_silent_after)?;
         self.joiners.remove(&silent);
         Some(silent)
     }
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -82,13 +82,13 @@
         until: Duration,
         commit: LogIndex,
         now: Duration,
-        recheck_after_expiry: bool,
+        apply_before_lease_resumes: bool,
     ) {
         if until <= now || self.released {
             return;
         }
         let expired = self.until <= now;
-        if self.required_index.is_none() || (expired && recheck_after_expiry) {
+        if self.required_index.is_none() || (expired && apply_before_lease_resumes) {
             self.required_index = Some(commit);
         }
         self.until = self.until.max(until);
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -140,9 +140,9 @@
     pub(super) fn renew_own_lease(&mut self) {
         if self.has_committed_own_term() && self.holds_leader_lease() {
             let until = self.now + self.config.timing.member_lease;
-            let recheck_after_expiry = self.config.protections.apply_before_lease_resumes;
+            let apply_before_lease_resumes = self.config.protections.apply_before_lease_resumes;
             self.lease
-                .extend(until, self.commit, self.now, recheck_after_expiry);
+                .extend(until, self.commit, self.now, apply_before_lease_resumes);
         }
     }
 }
--- a/crates/cleat-quorum/tests/join.rs
+++ b/crates/cleat-quorum/tests/join.rs
@@ -12,13 +12,13 @@
 
 const SEEDS: u32 = 3;
 const MEMBERS: u32 = 5;
-const EXTRA_VOTER_TIMEOUT: Duration = Duration::from_secs(3);
+const REMOVE_SILENT_AFTER: Duration = Duration::from_secs(3);
 
 fn join_config(may_bootstrap: bool) -> JoinConfig {
     JoinConfig {
         may_bootstrap,
         target_voters: MEMBERS as usize,
-        extra_voter_timeout: EXTRA_VOTER_TIMEOUT,
+        remove_silent_after: REMOVE_SILENT_AFTER,
     }
 }
 
