--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -16,7 +16,7 @@
     WorkerRecord,
 };
 use cleat_link::{ControlCall, ControlReply, JobView};
-use cleat_operate::JobOperators;
+use cleat_operate::JobOperatorServer;
 use cleat_quorum::Timing;
 use cleat_telemetry::EventLog;
 use snafu::{OptionExt, ResultExt};
@@ -57,7 +57,7 @@
         let listener = Listener::bind(any).await.context(ListenSnafu)?;
         let jobs = DevJobs {
             operators: listener.local_addr(),
-            server: JobOperators::spawn(listener, node.clone()),
+            server: JobOperatorServer::spawn(listener, node.clone()),
             node,
         };
         let configure = ControlCall::Configure(Arc::new(catalogue()?));
--- a/crates/celerycleatd/src/roles/control.rs
+++ b/crates/celerycleatd/src/roles/control.rs
@@ -8,7 +8,7 @@
 use cleat_control::{ControlConfig, ControlNode, Metrics, PeerAddressing, PlatformClients};
 use cleat_http::{ConnectionBudget, Listener};
 use cleat_jobs::SchedulerConfig;
-use cleat_operate::JobOperators;
+use cleat_operate::JobOperatorServer;
 use cleat_platform::{ControlApi, HttpAdviser, HttpMachines, HttpWorkers, WorkerTimeouts};
 use cleat_quorum::Timing;
 use cleat_settings::{AnySettings, ControlSettings, OrderPath};
@@ -59,7 +59,7 @@
         None => None,
         Some(address) => {
             let listener = Listener::bind(address).await.context(ListenSnafu)?;
-            Some(JobOperators::spawn(listener, node.clone()))
+            Some(JobOperatorServer::spawn(listener, node.clone()))
         }
     };
     let name = &*settings.name;
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -9,7 +9,7 @@
 use cleat_link::PeerListener;
 use cleat_log::Journal;
 use cleat_maintain::HttpPlatform;
-use cleat_operate::{Listener, Operators, RunningServer, Targets};
+use cleat_operate::{Listener, OperatorServer, RunningServer, TargetServer};
 use cleat_quorum::{MemberConfig, Replica, ReplicaConfig};
 use cleat_settings::Settings;
 use cleat_telemetry::Counters;
@@ -136,8 +136,8 @@
         ];
         tasks.extend(slots::spawn(&node, &entry));
         let servers = vec![
-            Operators::spawn(operators, node.clone()),
-            Targets::spawn(targets, node.clone()),
+            OperatorServer::spawn(operators, node.clone()),
+            TargetServer::spawn(targets, node.clone()),
         ];
         Ok(Instance {
             addresses,
--- a/crates/cleat-node/src/leases.rs
+++ b/crates/cleat-node/src/leases.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use cleat_link::{PeerError, Renewal, RenewalOutcome};
-use cleat_operate::{Lapsed, LeaseTable};
+use cleat_operate::{LapsedLease, LeaseTable};
 use cleat_world::{CommandBody, Withdraw, WithdrawCause};
 use log::{info, warn};
 
@@ -63,7 +63,7 @@
         });
     }
 
-    fn lapsed_leases(&self) -> Vec<Lapsed> {
+    fn lapsed_leases(&self) -> Vec<LapsedLease> {
         let mut state = self.leases.state();
         if !self.leads() {
             state.table.clear();
@@ -96,7 +96,7 @@
     }
 }
 
-async fn withdraw_target(node: &Node, lapsed: Lapsed) {
+async fn withdraw_target(node: &Node, lapsed: LapsedLease) {
     let name = lapsed.name.clone();
     let cause = WithdrawCause::LeaseLapsed {
         incarnation: lapsed.incarnation,
--- a/crates/cleat-operate/src/jobs/body.rs
+++ b/crates/cleat-operate/src/jobs/body.rs
@@ -25,7 +25,7 @@
 }
 
 impl JobBody {
-    pub(super) fn of(id: JobId, view: JobView) -> JobBody {
+    pub(super) fn from_view(id: JobId, view: JobView) -> JobBody {
         let state = match view {
             JobView::Queued => "queued",
             JobView::Running => "running",
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn cancelled(id: JobId) -> JobBody {
-        JobBody::of(id, JobView::Cancelled)
+        JobBody::from_view(id, JobView::Cancelled)
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl JobsBody<'_> {
-    pub(super) fn of(overview: &Overview) -> JobsBody<'_> {
+    pub(super) fn from_overview(overview: &Overview) -> JobsBody<'_> {
         let jobs = overview.jobs.iter().map(|job| JobRow {
             id: job.id.to_string().into(),
             queue: &job.queue,
--- a/crates/cleat-operate/src/jobs/mod.rs
+++ b/crates/cleat-operate/src/jobs/mod.rs
@@ -17,7 +17,7 @@
 use body::{CustomersBody, JobBody, JobsBody, Submission, WorkersBody};
 
 /// How long a call may take: two elections.
-const LIMIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What the interface needs of a control instance.
 pub trait JobControl: Send + Sync + 'static {
@@ -25,32 +25,32 @@
     fn ask(
         &self,
         call: ControlCall,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<ControlReply, AskError>> + Send;
 }
 
 /// Serves operators of jobs.
 #[derive(Debug)]
-pub struct JobOperators<C> {
+pub struct JobOperatorServer<C> {
     control: Arc<C>,
 }
 
-impl<C: JobControl> JobOperators<C> {
+impl<C: JobControl> JobOperatorServer<C> {
     /// Serves on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
-        listener.spawn(Arc::new(JobOperators { control }))
+        listener.spawn(Arc::new(JobOperatorServer { control }))
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Problem> {
+    async fn route(&self, req: Request<Incoming>) -> Result<Answer, Problem> {
         let path = req.uri().path().to_owned();
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (req.method().clone(), &segments[..]) {
             (Method::GET, ["jobs"]) => self.list().await,
             (Method::GET, ["workers"]) => self.workers().await,
             (Method::GET, ["customers"]) => self.customers().await,
-            (Method::GET, ["jobs", id]) => self.look(job_id(id)?).await,
-            (Method::POST, ["jobs", id]) => self.submit(job_id(id)?, req).await,
-            (Method::POST, ["jobs", id, "cancel"]) => self.cancel(job_id(id)?).await,
+            (Method::GET, ["jobs", id]) => self.show(parse_job_id(id)?).await,
+            (Method::POST, ["jobs", id]) => self.submit(parse_job_id(id)?, req).await,
+            (Method::POST, ["jobs", id, "cancel"]) => self.cancel(parse_job_id(id)?).await,
             (method, _) => {
                 let detail = format!("{method} {path}");
                 Err(Problem::new(ProblemKind::NotFound, detail))
@@ -59,14 +59,16 @@
     }
 
     async fn ask(&self, call: ControlCall) -> Result<ControlReply, Problem> {
-        let asked = self.control.ask(call, LIMIT).await;
-        asked.map_err(|error| problem(&error))
+        let reply = self.control.ask(call, CALL_TIMEOUT).await;
+        reply.map_err(|error| from_ask_error(&error))
     }
 
     async fn list(&self) -> Result<Answer, Problem> {
         match self.ask(ControlCall::Overview).await? {
-            ControlReply::Overview(overview) => Ok(json(StatusCode::OK, &JobsBody::of(&overview))),
-            reply => Err(unfit(&reply)),
+            ControlReply::Overview(overview) => {
+                Ok(json(StatusCode::OK, &JobsBody::from_overview(&overview)))
+            }
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
@@ -76,7 +78,7 @@
                 let workers = overview.workers;
                 Ok(json(StatusCode::OK, &WorkersBody { workers }))
             }
-            reply => Err(unfit(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
@@ -86,15 +88,15 @@
                 let customers = overview.customers;
                 Ok(json(StatusCode::OK, &CustomersBody { customers }))
             }
-            reply => Err(unfit(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
-    async fn look(&self, id: JobId) -> Result<Answer, Problem> {
+    async fn show(&self, id: JobId) -> Result<Answer, Problem> {
         match self.ask(ControlCall::LookAt { id }).await? {
-            ControlReply::Job(view) => Ok(json(StatusCode::OK, &JobBody::of(id, view))),
+            ControlReply::Job(view) => Ok(json(StatusCode::OK, &JobBody::from_view(id, view))),
             ControlReply::NoSuchJob => Err(no_such_job(id)),
-            reply => Err(unfit(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
@@ -120,7 +122,7 @@
                 let detail = "there is no configuration yet".to_owned();
                 Err(Problem::new(ProblemKind::NoQuorum, detail))
             }
-            reply => Err(unfit(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 
@@ -129,19 +131,19 @@
             ControlReply::Done => Ok(json(StatusCode::OK, &JobBody::cancelled(id))),
             ControlReply::Over => Err(Problem::new(ProblemKind::JobOver, id.to_string())),
             ControlReply::NoSuchJob => Err(no_such_job(id)),
-            reply => Err(unfit(&reply)),
+            reply => Err(unexpected_reply(&reply)),
         }
     }
 }
 
-impl<C: JobControl> Handler for JobOperators<C> {
+impl<C: JobControl> Handler for JobOperatorServer<C> {
     async fn handle(&self, req: Request<Incoming>) -> Answer {
-        let answer = self.answer(req).await;
+        let answer = self.route(req).await;
         answer.unwrap_or_else(Problem::into_answer)
     }
 }
 
-fn job_id(text: &str) -> Result<JobId, Problem> {
+fn parse_job_id(text: &str) -> Result<JobId, Problem> {
     let parsed = text.parse();
     parsed.map_err(|error: cleat_jobs::ParseTaskError| {
         Problem::new(ProblemKind::BadRequest, error.to_string())
@@ -152,13 +154,13 @@
     Problem::new(ProblemKind::UnknownJob, id.to_string())
 }
 
-fn unfit(reply: &ControlReply) -> Problem {
+fn unexpected_reply(reply: &ControlReply) -> Problem {
     log::warn!("an answer does not fit its call: {reply:?}");
     let detail = "the answer does not fit the call".to_owned();
     Problem::new(ProblemKind::OutcomeUnknown, detail)
 }
 
-fn problem(error: &AskError) -> Problem {
+fn from_ask_error(error: &AskError) -> Problem {
     let kind = match error {
         AskError::NotDone | AskError::TooManyKeys => ProblemKind::NoQuorum,
         AskError::Unknown => ProblemKind::OutcomeUnknown,
--- a/crates/cleat-operate/src/lib.rs
+++ b/crates/cleat-operate/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use control::{ControlError, ControlPlane, InstanceStatus, Role};
 pub use http::{ListenError, Listener, RunningServer};
-pub use jobs::{JobControl, JobOperators};
-pub use operators::Operators;
-pub use targets::{Lapsed, LeaseTable, Targets};
+pub use jobs::{JobControl, JobOperatorServer};
+pub use operators::OperatorServer;
+pub use targets::{LapsedLease, LeaseTable, TargetServer};
--- a/crates/cleat-operate/src/operators/config.rs
+++ b/crates/cleat-operate/src/operators/config.rs
@@ -43,7 +43,7 @@
         .map(|value| read_change(control, &value))
     {
         Ok(Ok(change)) => change,
-        Ok(Err(faults)) => return invalid(&faults),
+        Ok(Err(faults)) => return faults_answer(&faults),
         Err(problem) => return problem.into_answer(),
     };
     match apply(control, change).await {
@@ -71,9 +71,9 @@
             let body = json!({"winner": winner, "winner_command_id": winner_command_id});
             Ok(json_answer(StatusCode::CONFLICT, &body))
         }
-        ConfigAnswer::Invalid { faults } => Ok(invalid(&faults)),
+        ConfigAnswer::Invalid { faults } => Ok(faults_answer(&faults)),
         ConfigAnswer::OverBudget { pool, away, budget } => {
-            Ok(invalid(&[over_budget(&pool, away, budget)]))
+            Ok(faults_answer(&[over_budget(&pool, away, budget)]))
         }
     }
 }
@@ -90,13 +90,13 @@
     Ok(ApplyConfig {
         expect: envelope.expect,
         command_id: envelope.command_id,
-        config: propose(control, envelope.expect, envelope.config),
+        config: smallest_form(control, envelope.expect, envelope.config),
     })
 }
 
 /// The smallest form that makes `config` out of the version expected, if this
 /// instance has that version.
-fn propose<C: ControlPlane>(control: &C, expect: u64, config: &Value) -> ProposedConfig {
+fn smallest_form<C: ControlPlane>(control: &C, expect: u64, config: &Value) -> ProposedConfig {
     let base = control.world(|world| {
         let same = world.version() == expect && expect > 0;
         same.then(|| world.config_text().to_owned())
@@ -145,7 +145,7 @@
     }
 }
 
-pub(super) fn invalid(faults: &[Fault]) -> Answer {
+pub(super) fn faults_answer(faults: &[Fault]) -> Answer {
     let faults: Vec<_> = faults.iter().map(fault_body).collect();
     json_answer(StatusCode::UNPROCESSABLE_ENTITY, &json!({"faults": faults}))
 }
--- a/crates/cleat-operate/src/operators/lists.rs
+++ b/crates/cleat-operate/src/operators/lists.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::moves::text_of;
+use super::moves::step_text;
 use crate::ControlPlane;
 use crate::http::{Answer, from_control, json as json_answer};
 
@@ -114,7 +114,7 @@
             targets: targets_on(world, name),
             phase: phase_text(&place.phase),
             moves_to: place.phase.destination(),
-            maintenance: wave.and_then(|wave| wave.step(name)).map(text_of),
+            maintenance: wave.and_then(|wave| wave.step(name)).map(step_text),
         })
     })
 }
@@ -136,15 +136,15 @@
 }
 
 fn target_body<'a>(name: &'a str, target: &'a Target) -> TargetBody<'a> {
-    let said = &target.announcement;
+    let announcement = &target.announcement;
     TargetBody {
         name,
-        service: &said.service,
-        address: said.address,
-        instance: &said.instance,
-        data_centre: &said.data_centre,
-        slots: said.slots,
-        connections: said.connections,
+        service: &announcement.service,
+        address: announcement.address,
+        instance: &announcement.instance,
+        data_centre: &announcement.data_centre,
+        slots: announcement.slots,
+        connections: announcement.connections,
         incarnation: target.incarnation,
     }
 }
--- a/crates/cleat-operate/src/operators/maintenance.rs
+++ b/crates/cleat-operate/src/operators/maintenance.rs
@@ -11,36 +11,36 @@
 use serde_json::{Value, json};
 
 use super::command_id::{command_id_taken, read_command_id};
-use super::config::invalid;
-use super::moves::text_of;
+use super::config::faults_answer;
+use super::moves::step_text;
 use crate::ControlPlane;
 use crate::http::{Answer, Problem, ProblemKind, from_control, json as json_answer, read_json};
 
 /// What an operator wants of a wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Verb {
+pub(super) enum WaveAction {
     Start,
     Pause,
     Resume,
 }
 
-impl Verb {
-    /// The verb of a path, if it is one.
-    pub(super) fn of(word: &str) -> Option<Verb> {
-        match word {
-            "start" => Some(Verb::Start),
-            "pause" => Some(Verb::Pause),
-            "resume" => Some(Verb::Resume),
+impl WaveAction {
+    /// The action of a path, if it is one.
+    pub(super) fn from_segment(segment: &str) -> Option<WaveAction> {
+        match segment {
+            "start" => Some(WaveAction::Start),
+            "pause" => Some(WaveAction::Pause),
+            "resume" => Some(WaveAction::Resume),
             _ => None,
         }
     }
 
-    fn command(self, pool: &str, command_id: Option<Box<str>>) -> CommandBody {
+    fn to_command(self, pool: &str, command_id: Option<Box<str>>) -> CommandBody {
         let pool = pool.into();
         match self {
-            Verb::Start => CommandBody::StartWave(StartWave { pool, command_id }),
-            Verb::Pause => CommandBody::PauseWave(PauseWave { pool, command_id }),
-            Verb::Resume => CommandBody::ResumeWave(ResumeWave { pool, command_id }),
+            WaveAction::Start => CommandBody::StartWave(StartWave { pool, command_id }),
+            WaveAction::Pause => CommandBody::PauseWave(PauseWave { pool, command_id }),
+            WaveAction::Resume => CommandBody::ResumeWave(ResumeWave { pool, command_id }),
         }
     }
 }
@@ -65,18 +65,18 @@
 pub(super) async fn post<C: ControlPlane>(
     control: &C,
     pool: &str,
-    verb: Verb,
+    action: WaveAction,
     req: Request<Incoming>,
 ) -> Answer {
     let command_id = match read_json(req).await {
-        Ok(value) => read_id(&value),
+        Ok(value) => read_body(&value),
         Err(problem) => return problem.into_answer(),
     };
     let command_id = match command_id {
         Ok(command_id) => command_id,
-        Err(faults) => return invalid(&faults),
+        Err(faults) => return faults_answer(&faults),
     };
-    match control.propose(verb.command(pool, command_id)).await {
+    match control.propose(action.to_command(pool, command_id)).await {
         Ok(proposed) => match proposed.answer {
             CommandAnswer::Wave(answer) => to_answer(pool, &answer),
             _ => command_id_taken(),
@@ -85,7 +85,7 @@
     }
 }
 
-fn read_id(value: &Value) -> Result<Option<Box<str>>, Box<[Fault]>> {
+fn read_body(value: &Value) -> Result<Option<Box<str>>, Box<[Fault]>> {
     let mut faults = Faults::default();
     let command_id = Node::root(value).object(&mut faults).and_then(|root| {
         root.only(&["command_id"], &mut faults);
@@ -95,15 +95,16 @@
 }
 
 fn to_answer(pool: &str, answer: &WaveAnswer) -> Answer {
-    let done = |state: &str| json_answer(StatusCode::OK, &json!({"pool": pool, "state": state}));
+    let accepted =
+        |state: &str| json_answer(StatusCode::OK, &json!({"pool": pool, "state": state}));
     let refuse = |kind, detail: String| Problem::new(kind, detail).into_answer();
     match answer {
         WaveAnswer::Started { wave } => {
             let body = json!({"pool": pool, "state": "started", "wave": wave});
             json_answer(StatusCode::OK, &body)
         }
-        WaveAnswer::Paused => done("paused"),
-        WaveAnswer::Resumed => done("resumed"),
+        WaveAnswer::Paused => accepted("paused"),
+        WaveAnswer::Resumed => accepted("resumed"),
         WaveAnswer::UnknownPool => refuse(
             ProblemKind::UnknownPool,
             format!("there is no pool {pool:?}; correct the name"),
@@ -145,7 +146,7 @@
 fn wave_body<'a>(world: &World, pool: &'a str, wave: &'a Wave) -> WaveBody<'a> {
     let instances = wave.instances.iter().map(|(name, state)| InstanceBody {
         name,
-        step: text_of(state.step),
+        step: step_text(state.step),
     });
     WaveBody {
         pool,
--- a/crates/cleat-operate/src/operators/mod.rs
+++ b/crates/cleat-operate/src/operators/mod.rs
@@ -17,18 +17,18 @@
 
 /// Serves operators.
 #[derive(Debug)]
-pub struct Operators<C> {
+pub struct OperatorServer<C> {
     control: Arc<C>,
 }
 
-impl<C: ControlPlane> Operators<C> {
+impl<C: ControlPlane> OperatorServer<C> {
     /// Serves on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
-        listener.spawn(Arc::new(Operators { control }))
+        listener.spawn(Arc::new(OperatorServer { control }))
     }
 }
 
-impl<C: ControlPlane> Handler for Operators<C> {
+impl<C: ControlPlane> Handler for OperatorServer<C> {
     async fn handle(&self, req: Request<Incoming>) -> Answer {
         let control = &*self.control;
         let path = req.uri().path().to_owned();
@@ -44,7 +44,7 @@
             (Method::GET, "/targets") => lists::targets(control).await,
             (Method::GET, "/status") => status::status(control).await,
             (Method::GET, "/metrics-snapshot") => status::metrics(control),
-            (method, path) => refuse(&method, path),
+            (method, path) => unknown_route(&method, path),
         }
     }
 }
@@ -54,17 +54,17 @@
     let segments: Vec<&str> = path.split('/').skip(1).collect();
     match segments[..] {
         ["instances", name, "move"] => return moves::post(control, name, req).await,
-        ["maintenance", pool, word] => {
-            if let Some(verb) = maintenance::Verb::of(word) {
-                return maintenance::post(control, pool, verb, req).await;
+        ["maintenance", pool, segment] => {
+            if let Some(action) = maintenance::WaveAction::from_segment(segment) {
+                return maintenance::post(control, pool, action, req).await;
             }
         }
         _ => {}
     }
-    refuse(&Method::POST, path)
+    unknown_route(&Method::POST, path)
 }
 
-fn refuse(method: &Method, path: &str) -> Answer {
+fn unknown_route(method: &Method, path: &str) -> Answer {
     let known = [
         "/config",
         "/config/history",
--- a/crates/cleat-operate/src/operators/moves.rs
+++ b/crates/cleat-operate/src/operators/moves.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::command_id::{command_id_taken, read_command_id};
-use super::config::invalid;
+use super::config::faults_answer;
 use crate::ControlPlane;
 use crate::http::{Answer, Problem, ProblemKind, from_control, json as json_answer, read_json};
 
@@ -23,7 +23,7 @@
     };
     let change = match change {
         Ok(change) => change,
-        Err(faults) => return invalid(&faults),
+        Err(faults) => return faults_answer(&faults),
     };
     let to = change.to.clone();
     match control.propose(CommandBody::MoveInstance(change)).await {
@@ -74,7 +74,10 @@
         ),
         MoveAnswer::InMaintenance { step } => refuse(
             ProblemKind::InMaintenance,
-            format!("{instance:?} is {}; move it once it is done", text_of(step)),
+            format!(
+                "{instance:?} is {}; move it once it is done",
+                step_text(step)
+            ),
         ),
         MoveAnswer::OverBudget { pool, away, budget } => refuse(
             ProblemKind::OverBudget,
@@ -91,7 +94,7 @@
 }
 
 /// The step as it stands in answers.
-pub(super) fn text_of(step: Step) -> &'static str {
+pub(super) fn step_text(step: Step) -> &'static str {
     match step {
         Step::Waiting => "waiting",
         Step::Draining => "draining",
--- a/crates/cleat-operate/src/targets/announce.rs
+++ b/crates/cleat-operate/src/targets/announce.rs
@@ -15,7 +15,7 @@
 const MAX_NAME_BYTES: usize = 128;
 
 /// Reads the announcement of target `name`.
-pub(super) fn read(name: &str, value: &Value) -> Result<Announce, Box<[Fault]>> {
+pub(super) fn parse(name: &str, value: &Value) -> Result<Announce, Box<[Fault]>> {
     let mut faults = Faults::default();
     check_name(name, value, &mut faults);
     let announcement = Node::root(value)
@@ -31,7 +31,7 @@
 }
 
 /// The answer to a faulty announcement.
-pub(super) fn refuse(faults: &[Fault]) -> Answer {
+pub(super) fn faults_answer(faults: &[Fault]) -> Answer {
     let faults: Vec<_> = faults
         .iter()
         .map(|fault| json!({"path": fault.path, "message": fault.kind.to_string()}))
--- a/crates/cleat-operate/src/targets/leases.rs
+++ b/crates/cleat-operate/src/targets/leases.rs
@@ -10,7 +10,7 @@
 
 /// A target whose lease has lapsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lapsed {
+pub struct LapsedLease {
     /// Its name.
     pub name: Box<str>,
     /// The announcement that lapsed.
@@ -28,26 +28,26 @@
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: IndexMap<Box<str>, Lease>,
-    lease: Duration,
+    duration: Duration,
 }
 
 impl LeaseTable {
     /// Takes over the targets of `world`: what is new gets a full lease.
     pub fn sync(&mut self, world: &World, now: Duration) {
-        self.lease = Duration::from_millis(world.fleet().target_lease_ms);
+        self.duration = Duration::from_millis(world.fleet().target_lease_ms);
         let targets = world.targets();
         self.leases.retain(|name, lease| {
             let target = targets.get(name);
             target.is_some_and(|target| target.incarnation == lease.incarnation)
         });
-        let lapses_at = now + self.lease;
+        let lapses_at = now + self.duration;
         for (name, target) in targets {
             let incarnation = target.incarnation;
-            let new = Lease {
+            let lease = Lease {
                 incarnation,
                 lapses_at,
             };
-            self.leases.entry(name.clone()).or_insert(new);
+            self.leases.entry(name.clone()).or_insert(lease);
         }
     }
 
@@ -55,7 +55,7 @@
     pub fn renew(&mut self, name: &str, incarnation: u64, now: Duration) -> bool {
         match self.leases.get_mut(name) {
             Some(lease) if lease.incarnation == incarnation => {
-                lease.lapses_at = now + self.lease;
+                lease.lapses_at = now + self.duration;
                 true
             }
             _ => false,
@@ -63,10 +63,10 @@
     }
 
     /// The targets whose lease has lapsed.
-    pub fn lapsed(&self, now: Duration) -> Vec<Lapsed> {
+    pub fn lapsed(&self, now: Duration) -> Vec<LapsedLease> {
         let leases = self.leases.iter();
-        let old = leases.filter(|(_, lease)| lease.lapses_at <= now);
-        let lapsed = old.map(|(name, lease)| Lapsed {
+        let lapsed = leases.filter(|(_, lease)| lease.lapses_at <= now);
+        let lapsed = lapsed.map(|(name, lease)| LapsedLease {
             name: name.clone(),
             incarnation: lease.incarnation,
         });
--- a/crates/cleat-operate/src/targets/mod.rs
+++ b/crates/cleat-operate/src/targets/mod.rs
@@ -19,27 +19,27 @@
 };
 use crate::{ControlError, ControlPlane};
 
-pub use leases::{Lapsed, LeaseTable};
+pub use leases::{LapsedLease, LeaseTable};
 
 const PATH_PREFIX: &str = "/targets/";
 
 /// Serves targets.
 #[derive(Debug)]
-pub struct Targets<C> {
+pub struct TargetServer<C> {
     control: Arc<C>,
 }
 
-impl<C: ControlPlane> Targets<C> {
+impl<C: ControlPlane> TargetServer<C> {
     /// Serves on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
-        listener.spawn(Arc::new(Targets { control }))
+        listener.spawn(Arc::new(TargetServer { control }))
     }
 
     async fn put(&self, name: &str, req: Request<Incoming>) -> Result<Answer, Problem> {
         let value = read_json(req).await?;
-        let announce = match announce::read(name, &value) {
+        let announce = match announce::parse(name, &value) {
             Ok(announce) => announce,
-            Err(faults) => return Ok(announce::refuse(&faults)),
+            Err(faults) => return Ok(announce::faults_answer(&faults)),
         };
         let answer = match self.renew(&announce).await {
             Ok(Some(answer)) => Ok(answer),
@@ -97,7 +97,7 @@
     }
 }
 
-impl<C: ControlPlane> Handler for Targets<C> {
+impl<C: ControlPlane> Handler for TargetServer<C> {
     async fn handle(&self, req: Request<Incoming>) -> Answer {
         let path = req.uri().path().to_owned();
         let Some(name) = path
--- a/crates/cleat-operate/tests/interfaces.rs
+++ b/crates/cleat-operate/tests/interfaces.rs
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn config_not_in_force_is_unknown() {
     let f = configured().await;
-    f.control.hold_back(true);
+    f.control.block_in_force(true);
     let change = json!({"expect": 1, "config": config()});
     let (status, _) = f.operator(Method::PUT, "/config", &change).await;
     assert_eq!(status, 504);
--- a/crates/cleat-operate/tests/leases.rs
+++ b/crates/cleat-operate/tests/leases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cleat_operate::{Lapsed, LeaseTable};
+use cleat_operate::{LapsedLease, LeaseTable};
 use cleat_world::{
     Announce, Announcement, ApplyConfig, Command, CommandBody, ProposedConfig, World,
 };
@@ -42,9 +42,9 @@
     world
 }
 
-fn lapsed(incarnation: u64) -> Vec<Lapsed> {
+fn lapsed(incarnation: u64) -> Vec<LapsedLease> {
     let name = "t1".into();
-    vec![Lapsed { name, incarnation }]
+    vec![LapsedLease { name, incarnation }]
 }
 
 #[test]
--- a/crates/cleat-operate/tests/support/mod.rs
+++ b/crates/cleat-operate/tests/support/mod.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use cleat_link::{MemberReport, Proposed, Renewal, RenewalOutcome};
 use cleat_operate::{
-    ControlError, ControlPlane, InstanceStatus, Listener, Operators, Role, RunningServer, Targets,
+    ControlError, ControlPlane, InstanceStatus, Listener, OperatorServer, Role, RunningServer,
+    TargetServer,
 };
 use cleat_world::{Command, CommandBody, World};
 use http::{Method, Request};
@@ -23,7 +24,7 @@
     world: Mutex<World>,
     index: AtomicU64,
     failure: Mutex<Option<ControlError>>,
-    held_back: AtomicBool,
+    in_force_blocked: AtomicBool,
     renewals: AtomicU64,
 }
 
@@ -32,8 +33,8 @@
         *self.failure.lock().expect("a lock") = failure;
     }
 
-    pub(crate) fn hold_back(&self, on: bool) {
-        self.held_back.store(on, Ordering::SeqCst);
+    pub(crate) fn block_in_force(&self, on: bool) {
+        self.in_force_blocked.store(on, Ordering::SeqCst);
     }
 
     pub(crate) fn renewals(&self) -> u64 {
@@ -62,7 +63,7 @@
     }
 
     async fn wait_in_force(&self, _: u64) -> Result<(), ControlError> {
-        match self.held_back.load(Ordering::SeqCst) {
+        match self.in_force_blocked.load(Ordering::SeqCst) {
             true => Err(ControlError::NoQuorum),
             false => Ok(()),
         }
@@ -119,8 +120,8 @@
             operators: operators.local_addr(),
             targets: targets.local_addr(),
             _servers: [
-                Operators::spawn(operators, control.clone()),
-                Targets::spawn(targets, control.clone()),
+                OperatorServer::spawn(operators, control.clone()),
+                TargetServer::spawn(targets, control.clone()),
             ],
             control,
         }
