--- a/crates/cleat-world/src/arena.rs
+++ b/crates/cleat-world/src/arena.rs
@@ -42,7 +42,7 @@
         }
         let index = self.entries.len();
         self.entries.insert(name.into(), value);
-        Ok(key_at(index))
+        Ok(key_from_index(index))
     }
 
     /// Puts `value` in place of the object of `key`; an unknown key is ignored.
@@ -54,7 +54,7 @@
 
     /// The key of the object called `name`.
     pub fn find(&self, name: &str) -> Option<K> {
-        self.entries.get_index_of(name).map(key_at)
+        self.entries.get_index_of(name).map(key_from_index)
     }
 
     /// The object called `name`.
@@ -76,7 +76,7 @@
     /// Every object with its key and name.
     pub fn iter(&self) -> impl Iterator<Item = (K, &str, &T)> {
         let entries = self.entries.iter().enumerate();
-        entries.map(|(i, (name, value))| (key_at(i), name.as_ref(), value))
+        entries.map(|(i, (name, value))| (key_from_index(i), name.as_ref(), value))
     }
 
     /// How many objects there are.
@@ -90,7 +90,7 @@
     }
 }
 
-fn key_at<K: Key>(index: usize) -> K {
+fn key_from_index<K: Key>(index: usize) -> K {
     K::from_index(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
--- a/crates/cleat-world/src/fleet/parse.rs
+++ b/crates/cleat-world/src/fleet/parse.rs
@@ -120,7 +120,7 @@
     faults: &mut Faults,
 ) -> Option<Instance> {
     object.only(&["data_centre", "rack"], faults);
-    let data_centre = reference("data_centre", object, &config.data_centres, faults);
+    let data_centre = resolve_reference("data_centre", object, &config.data_centres, faults);
     let rack = object.text("rack", faults)?;
     Some(Instance {
         pool,
@@ -162,7 +162,7 @@
         "answer_buffer_bytes",
     ];
     object.only(&keys, faults);
-    let pool = reference("pool", object, &config.pools, faults);
+    let pool = resolve_reference("pool", object, &config.pools, faults);
     let deadline_ms = object.number_or("deadline_ms", defaults::DEADLINE_MS, 1..=MAX_MS, faults);
     let queue = read_queue(object, faults);
     let retry = read_retry(object, faults);
@@ -191,7 +191,7 @@
 }
 
 fn read_queue(service: &Object<'_>, faults: &mut Faults) -> Queue {
-    let length = match child("queue", &["length"], service, faults) {
+    let length = match optional_object("queue", &["length"], service, faults) {
         Some(object) => object.number_or("length", defaults::QUEUE_LENGTH, 0..=MAX_COUNT, faults),
         None => defaults::QUEUE_LENGTH,
     };
@@ -203,7 +203,7 @@
         tries: defaults::RETRY_TRIES,
         budget_percent: defaults::RETRY_BUDGET_PERCENT,
     };
-    if let Some(object) = child("retry", &["tries", "budget_percent"], service, faults) {
+    if let Some(object) = optional_object("retry", &["tries", "budget_percent"], service, faults) {
         retry.tries = object.number_or("tries", retry.tries, 1..=16, faults);
         retry.budget_percent =
             object.number_or("budget_percent", retry.budget_percent, 0..=100, faults);
@@ -223,7 +223,7 @@
 }
 
 fn read_quota(caller: &Object<'_>, faults: &mut Faults) -> Option<Quota> {
-    let object = child("quota", &["per_second", "burst"], caller, faults)?;
+    let object = optional_object("quota", &["per_second", "burst"], caller, faults)?;
     let per_second = object.require("per_second", faults)?;
     let per_second = per_second.number(1..=MAX_COUNT, faults)?;
     let burst = object.number_or("burst", per_second, 1..=MAX_COUNT, faults);
@@ -232,7 +232,7 @@
 
 fn read_target_lease(root: &Object<'_>, faults: &mut Faults) -> u64 {
     let default = defaults::TARGET_LEASE_MS;
-    match child("targets", &["lease_ms"], root, faults) {
+    match optional_object("targets", &["lease_ms"], root, faults) {
         Some(object) => object.number_or("lease_ms", default, 500..=600_000, faults),
         None => default,
     }
@@ -241,7 +241,7 @@
 fn read_key_terms(root: &Object<'_>, faults: &mut Faults) -> KeyTerms {
     let mut terms = KeyTerms::default();
     let keys = ["keep_s", "most", "answer_bytes"];
-    if let Some(object) = child("keys", &keys, root, faults) {
+    if let Some(object) = optional_object("keys", &keys, root, faults) {
         terms.retention_s = object.number_or("keep_s", terms.retention_s, 1..=604_800, faults);
         terms.max_keys = object.number_or("most", terms.max_keys, 1..=MAX_COUNT, faults);
         terms.max_answer_bytes =
@@ -251,7 +251,7 @@
 }
 
 /// The member object `key`, if it is there, with unknown keys reported.
-pub(super) fn child<'a>(
+pub(super) fn optional_object<'a>(
     key: &str,
     keys: &[&str],
     parent: &Object<'a>,
@@ -263,7 +263,7 @@
 }
 
 /// The id that the text member `key` names in `arena`.
-fn reference<K: crate::Key, T>(
+fn resolve_reference<K: crate::Key, T>(
     key: &str,
     object: &Object<'_>,
     arena: &Arena<K, T>,
--- a/crates/cleat-world/src/keys/table.rs
+++ b/crates/cleat-world/src/keys/table.rs
@@ -9,7 +9,7 @@
 /// The most bytes that all kept answers take together. Above it the oldest
 /// are given up, so that a snapshot of the state stays small enough to send;
 /// their keys stay, and their requests never run again.
-const ANSWERS_BYTES: usize = 4 << 20;
+const MAX_ANSWERS_BYTES: usize = 4 << 20;
 use crate::{ClaimKey, KeyAnswer, KeyTerms, SettleKey};
 
 /// Every key claimed within the time it is kept.
@@ -21,7 +21,7 @@
 pub struct KeyTable {
     /// Invariant: in the order of `claimed_at_ms`.
     claims: IndexMap<Box<str>, Claim>,
-    /// The bytes of all kept answers. Invariant: at most [`ANSWERS_BYTES`].
+    /// The bytes of all kept answers. Invariant: at most [`MAX_ANSWERS_BYTES`].
     answers_bytes: usize,
 }
 
@@ -33,10 +33,10 @@
 
     /// Claims a key at `now_ms` or says what became of it.
     pub fn claim(&mut self, claim: ClaimKey, terms: KeyTerms, now_ms: u64) -> KeyAnswer {
-        self.forget_old(terms, now_ms);
+        self.evict_expired(terms, now_ms);
         let full = self.claims.len() as u64 >= terms.max_keys;
         match self.claims.entry(claim.key.clone()) {
-            Entry::Occupied(mut entry) => claim_again(entry.get_mut(), claim, now_ms),
+            Entry::Occupied(mut entry) => claim_existing(entry.get_mut(), claim, now_ms),
             Entry::Vacant(_) if full => KeyAnswer::Full,
             Entry::Vacant(entry) => {
                 entry.insert(Claim {
@@ -54,16 +54,16 @@
         let Some(claim) = self.claims.get_mut(&settle.key) else {
             return KeyAnswer::NotHolder;
         };
-        let held = matches!(&claim.state, ClaimState::Pending { entry, incarnation, number, .. }
+        let is_holder = matches!(&claim.state, ClaimState::Pending { entry, incarnation, number, .. }
             if *entry == settle.entry
                 && *incarnation == settle.incarnation
                 && *number == settle.number);
-        if !held {
+        if !is_holder {
             return KeyAnswer::NotHolder;
         }
         claim.state = ClaimState::Settled(settle.settlement);
         self.answers_bytes += claim.answer_bytes();
-        self.give_up_oldest_answers();
+        self.evict_oldest_answers();
         KeyAnswer::Settled
     }
 
@@ -74,15 +74,15 @@
         if claim.digest != digest {
             return Some(KeyAnswer::OtherRequest);
         }
-        answer(&claim.state)
+        answer_for(&claim.state)
     }
 
     /// Ends the claims of earlier incarnations of `entry`: nobody knows their outcome.
     pub fn end_other_incarnations(&mut self, entry: &str, incarnation: u64) {
         for claim in self.claims.values_mut() {
-            let lost = matches!(&claim.state, ClaimState::Pending { entry: e, incarnation: i, .. }
+            let is_abandoned = matches!(&claim.state, ClaimState::Pending { entry: e, incarnation: i, .. }
                 if **e == *entry && *i != incarnation);
-            if lost {
+            if is_abandoned {
                 claim.state = ClaimState::Settled(Settlement::Unknown);
             }
         }
@@ -98,11 +98,11 @@
         self.claims.is_empty()
     }
 
-    fn forget_old(&mut self, terms: KeyTerms, now_ms: u64) {
-        let keep_ms = terms.retention_s * 1_000;
-        let young = |claim: &Claim| claim.claimed_at_ms + keep_ms > now_ms;
-        let old = self.claims.values().take_while(|claim| !young(claim));
-        let count = old.count();
+    fn evict_expired(&mut self, terms: KeyTerms, now_ms: u64) {
+        let retention_ms = terms.retention_s * 1_000;
+        let live = |claim: &Claim| claim.claimed_at_ms + retention_ms > now_ms;
+        let expired = self.claims.values().take_while(|claim| !live(claim));
+        let count = expired.count();
         let freed: usize = self
             .claims
             .drain(..count)
@@ -111,9 +111,9 @@
         self.answers_bytes -= freed;
     }
 
-    fn give_up_oldest_answers(&mut self) {
+    fn evict_oldest_answers(&mut self) {
         let mut claims = self.claims.values_mut();
-        while self.answers_bytes > ANSWERS_BYTES
+        while self.answers_bytes > MAX_ANSWERS_BYTES
             && let Some(claim) = claims.next()
         {
             let bytes = claim.answer_bytes();
@@ -134,7 +134,7 @@
     }
 }
 
-fn claim_again(known: &mut Claim, claim: ClaimKey, now_ms: u64) -> KeyAnswer {
+fn claim_existing(known: &mut Claim, claim: ClaimKey, now_ms: u64) -> KeyAnswer {
     if known.digest != claim.digest {
         return KeyAnswer::OtherRequest;
     }
@@ -143,7 +143,7 @@
             known.state = ClaimState::Settled(Settlement::Unknown);
             KeyAnswer::Unknown
         }
-        state => match answer(state) {
+        state => match answer_for(state) {
             Some(answer) => answer,
             None => {
                 known.state = pending(claim, now_ms);
@@ -154,7 +154,7 @@
 }
 
 /// What a request under a claimed key is told; `None` if the key is free.
-fn answer(state: &ClaimState) -> Option<KeyAnswer> {
+fn answer_for(state: &ClaimState) -> Option<KeyAnswer> {
     match state {
         ClaimState::Pending { entry, .. } => Some(KeyAnswer::InProgress {
             entry: entry.clone(),
--- a/crates/cleat-world/src/state/apply.rs
+++ b/crates/cleat-world/src/state/apply.rs
@@ -1,8 +1,8 @@
 //! One command at a time, the same on every instance.
 
 use super::World;
-use super::config::Moment;
-use super::targets::Places;
+use super::config::LogPosition;
+use super::targets::PlacementRules;
 use crate::{
     Announce, Answer, ApplyConfig, Availability, BeginIncarnation, Command, CommandBody,
     ConfigAnswer, FleetConfig, Phase, TargetAnswer,
@@ -14,17 +14,17 @@
     pub fn apply(&mut self, index: u64, command: Command) -> Answer {
         self.now_ms = self.now_ms.max(command.at_ms);
         let Some(id) = command.body.command_id().map(Box::from) else {
-            return self.change(index, command.body);
+            return self.execute(index, command.body);
         };
-        if let Some(first) = self.memory.recall(&id, self.now_ms) {
+        if let Some(first) = self.answer_cache.get(&id, self.now_ms) {
             return first;
         }
-        let answer = self.change(index, command.body);
-        self.memory.keep(id, answer.clone(), self.now_ms);
+        let answer = self.execute(index, command.body);
+        self.answer_cache.insert(id, answer.clone(), self.now_ms);
         answer
     }
 
-    fn change(&mut self, index: u64, body: CommandBody) -> Answer {
+    fn execute(&mut self, index: u64, body: CommandBody) -> Answer {
         match body {
             CommandBody::ClaimKey(claim) => {
                 let terms = self.config.fleet.keys;
@@ -43,8 +43,12 @@
             CommandBody::MoveInstance(change) => Answer::Move(self.move_instance(&change, index)),
             CommandBody::AdvanceMove(change) => Answer::Move(self.advance_move(&change, index)),
             CommandBody::StartWave(change) => Answer::Wave(self.start_wave(&change, index)),
-            CommandBody::PauseWave(change) => Answer::Wave(self.pause_wave(&change.pool, true)),
-            CommandBody::ResumeWave(change) => Answer::Wave(self.pause_wave(&change.pool, false)),
+            CommandBody::PauseWave(change) => {
+                Answer::Wave(self.set_wave_paused(&change.pool, true))
+            }
+            CommandBody::ResumeWave(change) => {
+                Answer::Wave(self.set_wave_paused(&change.pool, false))
+            }
             CommandBody::StepInstance(change) => Answer::Wave(self.step_instance(&change, index)),
             CommandBody::ClaimKey(_)
             | CommandBody::SettleKey(_)
@@ -61,15 +65,15 @@
             return refusal;
         }
         let ms = self.now_ms;
-        let at = Moment { index, ms };
+        let at = LogPosition { index, ms };
         let answer = self.config.accept(proposal, change.command_id, at);
-        self.place_all(index);
-        let places = Places {
+        self.reconcile_places(index);
+        let rules = PlacementRules {
             fleet: &self.config.fleet,
             places: &self.places,
             waves: &self.waves,
         };
-        self.targets.keep_valid(&places);
+        self.targets.retain_valid(&rules);
         answer
     }
 
@@ -96,7 +100,7 @@
     /// How many of the pool's present instances would be away under `fleet`.
     /// One that is removed, or whose services are, is no longer promised.
     fn away_under(&self, fleet: &FleetConfig, pool: &str) -> u64 {
-        let places = Places {
+        let rules = PlacementRules {
             fleet,
             places: &self.places,
             waves: &self.waves,
@@ -104,19 +108,20 @@
         let stays = |instance: &str| fleet.instances.find(instance).is_some();
         let present = self.places_in(pool).map(|(instance, _)| instance);
         let away = present.filter(|instance| {
-            stays(instance) && (self.is_away(instance) || self.targets.displaces(instance, &places))
+            stays(instance)
+                && (self.is_away(instance) || self.targets.rejects_all_on(instance, &rules))
         });
         away.count() as u64
     }
 
     fn announce(&mut self, announce: Announce, index: u64) -> TargetAnswer {
         let instance = announce.announcement.instance.clone();
-        let places = Places {
+        let rules = PlacementRules {
             fleet: &self.config.fleet,
             places: &self.places,
             waves: &self.waves,
         };
-        let answer = self.targets.announce(announce, &places, index);
+        let answer = self.targets.announce(announce, &rules, index);
         if let TargetAnswer::Announced { .. } = answer
             && let Some(place) = self.places.get_mut(&instance)
             && place.phase == Phase::Joining
--- a/crates/cleat-world/src/state/budget.rs
+++ b/crates/cleat-world/src/state/budget.rs
@@ -32,18 +32,18 @@
     /// What the pool has and may lack; `None` for an unknown pool.
     pub fn availability(&self, pool: &str) -> Option<Availability> {
         let budget = self.config.fleet.pools.by_name(pool)?.availability_budget;
-        let mut found = Availability {
+        let mut availability = Availability {
             instances: 0,
             away: 0,
             joining: 0,
             budget,
         };
         for (instance, place) in self.places_in(pool) {
-            found.instances += 1;
-            found.joining += u64::from(self.is_joining(instance, place));
-            found.away += u64::from(self.is_away(instance));
+            availability.instances += 1;
+            availability.joining += u64::from(self.is_joining(instance, place));
+            availability.away += u64::from(self.is_away(instance));
         }
-        Some(found)
+        Some(availability)
     }
 
     /// The instances of the pool with their places.
@@ -70,7 +70,7 @@
 
     /// Whether a target on the instance is announced.
     pub fn has_target(&self, instance: &str) -> bool {
-        self.targets.any_on(instance)
+        self.targets.has_on(instance)
     }
 
     /// The step of an instance in the wave of its pool.
@@ -84,9 +84,11 @@
 
     /// Whether the pool may do without the instance too: it is away already,
     /// or the budget has room for one more.
-    pub(super) fn may_spare(&self, instance: &str, pool: &str) -> Result<(), Availability> {
+    pub(super) fn check_away_budget(&self, instance: &str, pool: &str) -> Result<(), Availability> {
         match self.availability(pool) {
-            Some(found) if !self.is_away(instance) && !found.has_budget_left() => Err(found),
+            Some(availability) if !self.is_away(instance) && !availability.has_budget_left() => {
+                Err(availability)
+            }
             _ => Ok(()),
         }
     }
--- a/crates/cleat-world/src/state/config.rs
+++ b/crates/cleat-world/src/state/config.rs
@@ -28,7 +28,7 @@
 
 /// When a command is applied.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Moment {
+pub(super) struct LogPosition {
     /// Its log index.
     pub(super) index: u64,
     /// The state's clock (ms).
@@ -58,7 +58,7 @@
 
 impl ConfigState {
     /// Reads `text` again after a snapshot was restored.
-    pub(super) fn reread(&mut self) -> Result<(), Box<[Fault]>> {
+    pub(super) fn reparse(&mut self) -> Result<(), Box<[Fault]>> {
         if self.version > 0 {
             self.fleet = Arc::new(read(&self.text)?);
         }
@@ -89,7 +89,7 @@
         match proposed {
             ProposedConfig::Whole(text) => text.clone(),
             ProposedConfig::Patch(patch) => {
-                let made = merge(value_of(&self.text), &value_of(patch));
+                let made = merge(parse_json(&self.text), &parse_json(patch));
                 made.to_string().into()
             }
         }
@@ -100,7 +100,7 @@
         &mut self,
         proposal: Proposal,
         command_id: Option<Box<str>>,
-        at: Moment,
+        at: LogPosition,
     ) -> ConfigAnswer {
         let Proposal { text, fleet } = proposal;
         self.version += 1;
@@ -123,11 +123,11 @@
 }
 
 fn read(text: &str) -> Result<FleetConfig, Box<[Fault]>> {
-    FleetConfig::parse(&value_of(text))
+    FleetConfig::parse(&parse_json(text))
 }
 
 /// Proposals are built from parsed documents, so text that is no JSON reads
 /// as null, which is refused as a wrong type.
-fn value_of(text: &str) -> Value {
+fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_default()
 }
--- a/crates/cleat-world/src/state/mod.rs
+++ b/crates/cleat-world/src/state/mod.rs
@@ -1,9 +1,9 @@
 //! The replicated state and how commands change it.
 
+mod answer_cache;
 mod apply;
 mod budget;
 mod config;
-mod memory;
 mod places;
 mod targets;
 mod waves;
--- a/crates/cleat-world/src/state/places.rs
+++ b/crates/cleat-world/src/state/places.rs
@@ -19,7 +19,7 @@
             None => {}
         }
         let to = change.to.clone();
-        self.leave(&change.instance, to, index)
+        self.start_leaving(&change.instance, to, index)
     }
 
     /// Takes a move one phase on, if it is still in the phase it was decided
@@ -34,7 +34,7 @@
         match (&place.phase, &change.phase) {
             (Phase::Ordered { to }, Phase::Leaving { to: wanted }) if to == wanted => {
                 let to = to.clone();
-                self.leave(&change.instance, to, index)
+                self.start_leaving(&change.instance, to, index)
             }
             (Phase::Leaving { to }, Phase::Drained { to: wanted }) if to == wanted => {
                 place.enter(change.phase.clone(), index);
@@ -51,7 +51,7 @@
     }
 
     /// From here on nothing new is sent to the instance.
-    fn leave(&mut self, instance: &str, to: Box<str>, index: u64) -> MoveAnswer {
+    fn start_leaving(&mut self, instance: &str, to: Box<str>, index: u64) -> MoveAnswer {
         let Some(place) = self.places.get(instance) else {
             return MoveAnswer::UnknownInstance;
         };
@@ -59,49 +59,49 @@
         if let Some(step) = step.filter(|step| step.is_away() && *step != Step::Failed) {
             return MoveAnswer::InMaintenance { step };
         }
-        if let Err(found) = self.may_spare(instance, &place.pool) {
+        if let Err(availability) = self.check_away_budget(instance, &place.pool) {
             return MoveAnswer::OverBudget {
                 pool: place.pool.clone(),
-                away: found.away,
-                budget: found.budget,
+                away: availability.away,
+                budget: availability.budget,
             };
         }
         if let Some(place) = self.places.get_mut(instance) {
             place.enter(Phase::Leaving { to }, index);
         }
-        self.targets.drop_instance(instance);
+        self.targets.remove_on_instance(instance);
         MoveAnswer::Moving { epoch: index }
     }
 
     /// Gives each configured instance its place: a new one joins its pool,
     /// one whose declared pool changed is ordered to move, one that is gone
     /// has none, and a pool that is gone sends its instances home.
-    pub(super) fn place_all(&mut self, index: u64) {
+    pub(super) fn reconcile_places(&mut self, index: u64) {
         let fleet = self.config.fleet.clone();
         self.places
             .retain(|name, _| fleet.instances.find(name).is_some());
         for (_, name, instance) in fleet.instances.iter() {
-            let home = fleet.pools.name(instance.pool);
+            let configured = fleet.pools.name(instance.pool);
             let place = self.places.entry(name.into());
-            let place = place.or_insert_with(|| Place::joining(home, index));
+            let place = place.or_insert_with(|| Place::joining(configured, index));
             let wave = self.waves.get(&place.pool);
             let step = wave.and_then(|wave| wave.step(name));
             let idle = place.phase == Phase::Joining && !step.is_some_and(Step::is_away);
-            if idle && &*place.pool != home && &*place.configured_pool != home {
+            if idle && &*place.pool != configured && &*place.configured_pool != configured {
                 // Nothing was ever sent to it there, so nothing has to end.
-                *place = Place::joining(home, index);
+                *place = Place::joining(configured, index);
             }
-            adapt(place, home, &fleet, index);
+            reconcile_place(place, configured, &fleet, index);
         }
         self.prune_waves();
     }
 }
 
-fn adapt(place: &mut Place, home: &str, fleet: &FleetConfig, index: u64) {
+fn reconcile_place(place: &mut Place, configured: &str, fleet: &FleetConfig, index: u64) {
     if fleet.pools.find(&place.pool).is_none() {
         // A pool that is gone has no services, so nothing is in progress for
         // it that a drain would protect.
-        *place = Place::joining(home, index);
+        *place = Place::joining(configured, index);
         return;
     }
     let lost = |to: &str| fleet.pools.find(to).is_none();
@@ -109,20 +109,35 @@
         // It stays, and is missing until its target is announced again.
         place.enter(Phase::Member, index);
     }
-    if &*place.configured_pool == home {
+    if &*place.configured_pool == configured {
         return;
     }
-    place.configured_pool = home.into();
+    place.configured_pool = configured.into();
     match &place.phase {
-        Phase::Joining | Phase::Member | Phase::Ordered { .. } if &*place.pool == home => {
+        Phase::Joining | Phase::Member | Phase::Ordered { .. } if &*place.pool == configured => {
             if let Phase::Ordered { .. } = place.phase {
                 place.enter(Phase::Member, index);
             }
         }
         Phase::Joining | Phase::Member | Phase::Ordered { .. } => {
-            place.enter(Phase::Ordered { to: home.into() }, index);
+            place.enter(
+                Phase::Ordered {
+                    to: configured.into(),
+                },
+                index,
+            );
         }
-        Phase::Leaving { .. } => place.enter(Phase::Leaving { to: home.into() }, index),
-        Phase::Drained { .. } => place.enter(Phase::Drained { to: home.into() }, index),
+        Phase::Leaving { .. } => place.enter(
+            Phase::Leaving {
+                to: configured.into(),
+            },
+            index,
+        ),
+        Phase::Drained { .. } => place.enter(
+            Phase::Drained {
+                to: configured.into(),
+            },
+            index,
+        ),
     }
 }
--- a/crates/cleat-world/src/state/targets.rs
+++ b/crates/cleat-world/src/state/targets.rs
@@ -21,17 +21,17 @@
 pub(super) struct Targets {
     pub(super) by_name: IndexMap<Box<str>, Target>,
     /// How many run on each instance. Invariant: as in `by_name`, no zeros.
-    on_instance: IndexMap<Box<str>, u32>,
+    count_by_instance: IndexMap<Box<str>, u32>,
 }
 
 impl Targets {
     pub(super) fn announce(
         &mut self,
         announce: Announce,
-        places: &Places<'_>,
+        rules: &PlacementRules<'_>,
         index: u64,
     ) -> TargetAnswer {
-        if let Err(refusal) = self.check(&announce, places) {
+        if let Err(refusal) = self.check(&announce, rules) {
             return refusal;
         }
         let known = self.by_name.get(&announce.name);
@@ -45,17 +45,17 @@
         self.recount();
         TargetAnswer::Announced {
             incarnation,
-            lease_ms: places.fleet.target_lease_ms,
+            lease_ms: rules.fleet.target_lease_ms,
         }
     }
 
     pub(super) fn withdraw(&mut self, withdraw: &Withdraw) -> TargetAnswer {
         let current = self.by_name.get(&withdraw.name).map(|t| t.incarnation);
-        let meant = match withdraw.cause {
+        let is_current = match withdraw.cause {
             WithdrawCause::Left => true,
             WithdrawCause::LeaseLapsed { incarnation } => current == Some(incarnation),
         };
-        if meant {
+        if is_current {
             self.by_name.shift_remove(&withdraw.name);
             self.recount();
         }
@@ -63,23 +63,23 @@
     }
 
     /// Drops what a new configuration no longer has a place for.
-    pub(super) fn keep_valid(&mut self, places: &Places<'_>) {
-        let valid = |target: &Target| places.check(&target.announcement).is_ok();
+    pub(super) fn retain_valid(&mut self, rules: &PlacementRules<'_>) {
+        let valid = |target: &Target| rules.check(&target.announcement).is_ok();
         self.by_name.retain(|_, target| valid(target));
         self.recount();
     }
 
     /// Whether targets run on the instance and none of them could stay.
-    pub(super) fn displaces(&self, instance: &str, places: &Places<'_>) -> bool {
+    pub(super) fn rejects_all_on(&self, instance: &str, rules: &PlacementRules<'_>) -> bool {
         let targets = self.by_name.values();
         let mut here = targets
             .filter(|target| &*target.announcement.instance == instance)
             .peekable();
-        here.peek().is_some() && here.all(|target| places.refuses(&target.announcement))
+        here.peek().is_some() && here.all(|target| rules.rejects_place(&target.announcement))
     }
 
     /// Drops what runs on an instance that leaves or reboots.
-    pub(super) fn drop_instance(&mut self, instance: &str) {
+    pub(super) fn remove_on_instance(&mut self, instance: &str) {
         let elsewhere = |target: &Target| &*target.announcement.instance != instance;
         self.by_name.retain(|_, target| elsewhere(target));
         self.recount();
@@ -87,21 +87,21 @@
 
     /// Whether a target runs on the instance; asked for each instance
     /// whenever a budget is looked at.
-    pub(super) fn any_on(&self, instance: &str) -> bool {
-        self.on_instance.contains_key(instance)
+    pub(super) fn has_on(&self, instance: &str) -> bool {
+        self.count_by_instance.contains_key(instance)
     }
 
     /// Announcements are rare and already cost as much as this.
     fn recount(&mut self) {
-        self.on_instance.clear();
+        self.count_by_instance.clear();
         for target in self.by_name.values() {
             let instance = target.announcement.instance.clone();
-            *self.on_instance.entry(instance).or_default() += 1;
+            *self.count_by_instance.entry(instance).or_default() += 1;
         }
     }
 
-    fn check(&self, announce: &Announce, places: &Places<'_>) -> Result<(), TargetAnswer> {
-        places.check(&announce.announcement)?;
+    fn check(&self, announce: &Announce, rules: &PlacementRules<'_>) -> Result<(), TargetAnswer> {
+        rules.check(&announce.announcement)?;
         let address = announce.announcement.address;
         let mut others = self
             .by_name
@@ -115,13 +115,13 @@
 }
 
 /// Where a target may run.
-pub(super) struct Places<'a> {
+pub(super) struct PlacementRules<'a> {
     pub(super) fleet: &'a FleetConfig,
     pub(super) places: &'a IndexMap<Box<str>, Place>,
     pub(super) waves: &'a IndexMap<Box<str>, Wave>,
 }
 
-impl Places<'_> {
+impl PlacementRules<'_> {
     /// Whether there is a place for the target: it is the pool that the
     /// instance is in now which counts, not the configured one.
     fn check(&self, announcement: &Announcement) -> Result<(), TargetAnswer> {
@@ -149,7 +149,7 @@
     }
 
     /// Whether the place is wrong, not the service gone.
-    fn refuses(&self, announcement: &Announcement) -> bool {
+    fn rejects_place(&self, announcement: &Announcement) -> bool {
         let checked = self.check(announcement);
         matches!(checked, Err(refusal) if refusal != TargetAnswer::UnknownService)
     }
--- a/crates/cleat-world/src/state/waves.rs
+++ b/crates/cleat-world/src/state/waves.rs
@@ -33,7 +33,7 @@
         WaveAnswer::Started { wave: index }
     }
 
-    pub(super) fn pause_wave(&mut self, pool: &str, paused: bool) -> WaveAnswer {
+    pub(super) fn set_wave_paused(&mut self, pool: &str, paused: bool) -> WaveAnswer {
         if self.config.fleet.pools.find(pool).is_none() {
             return WaveAnswer::UnknownPool;
         }
@@ -56,23 +56,23 @@
             return WaveAnswer::NoWave;
         };
         let current = wave.step(&change.instance);
-        let meant = wave.id == change.wave && current == Some(change.from);
-        if !meant || !change.from.can_transition_to(change.to) {
+        let is_current = wave.id == change.wave && current == Some(change.from);
+        if !is_current || !change.from.can_transition_to(change.to) {
             return WaveAnswer::Stale;
         }
         if change.from == Step::Waiting {
-            if wave.paused || !self.may_be_maintained(&change.instance) {
+            if wave.paused || !self.is_maintainable(&change.instance) {
                 return WaveAnswer::Stale;
             }
             // An instance that joins is no part of the promise yet, but it
             // counts as away while it is maintained.
-            if let Err(found) = self.may_spare(&change.instance, &change.pool) {
-                let (away, budget) = (found.away, found.budget);
+            if let Err(availability) = self.check_away_budget(&change.instance, &change.pool) {
+                let (away, budget) = (availability.away, availability.budget);
                 return WaveAnswer::OverBudget { away, budget };
             }
         }
         if change.to == Step::Rebooting {
-            self.targets.drop_instance(&change.instance);
+            self.targets.remove_on_instance(&change.instance);
         }
         let state = StepState {
             step: change.to,
@@ -84,7 +84,7 @@
         WaveAnswer::Stepped { epoch: index }
     }
 
-    fn may_be_maintained(&self, instance: &str) -> bool {
+    fn is_maintainable(&self, instance: &str) -> bool {
         let place = self.places.get(instance);
         place.is_some_and(|place| matches!(place.phase, Phase::Joining | Phase::Member))
     }
--- a/crates/cleat-world/src/state/world.rs
+++ b/crates/cleat-world/src/state/world.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
+use super::answer_cache::AnswerCache;
 use super::config::{ConfigRecord, ConfigState};
-use super::memory::Memory;
 use super::targets::{Target, Targets};
 use crate::command::to_bytes;
 use crate::{FleetConfig, KeyTable, Place, Step, Wave};
@@ -31,7 +31,7 @@
     /// The latest maintenance wave of each pool.
     pub(super) waves: IndexMap<Box<str>, Wave>,
     /// The answers of commands that may be sent again.
-    pub(super) memory: Memory,
+    pub(super) answer_cache: AnswerCache,
 }
 
 /// A snapshot that could not be restored.
@@ -94,7 +94,7 @@
     /// or reboot. Targets on instances that leave their pool are withdrawn.
     pub fn serving_targets(&self) -> impl Iterator<Item = (&Box<str>, &Target)> {
         let targets = self.targets.by_name.iter();
-        targets.filter(|(_, target)| !self.is_hidden(&target.announcement.instance))
+        targets.filter(|(_, target)| !self.is_blocked(&target.announcement.instance))
     }
 
     /// The place of each configured instance.
@@ -107,7 +107,7 @@
         &self.waves
     }
 
-    fn is_hidden(&self, instance: &str) -> bool {
+    fn is_blocked(&self, instance: &str) -> bool {
         let place = self.places.get(instance);
         let step = place.and_then(|place| self.step_of(instance, place));
         step.is_some_and(Step::blocks_requests)
@@ -129,8 +129,8 @@
     /// [`RestoreError`] if the bytes are of another format.
     pub fn restore(bytes: &[u8]) -> Result<World, RestoreError> {
         let mut world: World = postcard::from_bytes(bytes).context(NotASnapshotSnafu)?;
-        let reread = world.config.reread();
-        reread.map_err(|faults| RestoreError::ConfigRefused { faults })?;
+        let parsed = world.config.reparse();
+        parsed.map_err(|faults| RestoreError::ConfigRefused { faults })?;
         Ok(world)
     }
 }
