--- a/crates/cleat-operate/src/http/mod.rs
+++ b/crates/cleat-operate/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server for JSON requests and answers.
+//! Reads JSON requests and builds JSON answers, on top of the HTTP/1.1 server of `cleat_http`.
 
 mod problem;
 mod request;
--- a/crates/cleat-operate/src/http/problem.rs
+++ b/crates/cleat-operate/src/http/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as `application/problem+json` (RFC 9457).
+//! Error answers in the format `application/problem+json` (RFC 9457).
 
 use http::header::RETRY_AFTER;
 use http::{HeaderValue, StatusCode};
@@ -9,10 +9,11 @@
 
 const MEDIA_TYPE: &str = "application/problem+json";
 const TYPE_PREFIX: &str = "urn:celerycleat:problem:";
-/// When to come back after a lost quorum: an election takes about this long.
+/// The `Retry-After` header of an answer without a quorum: an election takes about
+/// this long.
 const RETRY_AFTER_S: &str = "2";
 
-/// The kinds of problem; each has a stable name.
+/// The kinds of problem. Each has a stable name, which ends the `type` URN.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProblemKind {
     NotFound,
@@ -127,7 +128,7 @@
     }
 }
 
-/// A problem with what is particular to this case.
+/// A problem with the details of one occurrence.
 #[derive(Debug)]
 pub(crate) struct Problem {
     pub(crate) kind: ProblemKind,
@@ -165,7 +166,7 @@
     }
 }
 
-/// The problem that stands for a failure of control.
+/// Converts an error of the control plane to a problem.
 pub(crate) fn from_control(error: &ControlError) -> Problem {
     let kind = match error {
         ControlError::NoQuorum => ProblemKind::NoQuorum,
--- a/crates/cleat-operate/src/http/request.rs
+++ b/crates/cleat-operate/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading requests.
+//! Reads request bodies.
 
 use cleat_http::{BodyError, read_body};
 use http::Request;
@@ -7,11 +7,11 @@
 
 use super::{Problem, ProblemKind};
 
-/// The largest body taken, in bytes: a configuration of the size planned for
-/// is about a tenth of it.
+/// The maximum size of a request body, in bytes. A configuration for the fleet size
+/// that the system is designed for takes about a tenth of it.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The body as JSON.
+/// Reads the request body as JSON.
 pub(crate) async fn read_json(req: Request<Incoming>) -> Result<Value, Problem> {
     let body = read_body(req.into_body(), MAX_BODY_BYTES).await;
     let body = body.map_err(|error| {
--- a/crates/cleat-operate/src/jobs/body.rs
+++ b/crates/cleat-operate/src/jobs/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the interface.
+//! Request and answer bodies of the job interface.
 
 use cleat_jobs::{JobId, JobSpec};
 use cleat_link::{CustomerLine, JobView, Overview, WorkerLine};
@@ -8,12 +8,12 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Submission {
-    /// The name of its queue.
+    /// The name of the queue to submit to.
     pub(super) queue: Box<str>,
-    /// What it asks for.
+    /// The specification of the job.
     pub(super) job: JobSpec,
-    /// The command line sends one with each order; a job's own name does the
-    /// same here.
+    /// Accepted because the command line sends a command id with every request, but
+    /// unused: the id of the job already makes a repeated submission idempotent.
     #[serde(default, rename = "command_id")]
     pub(super) _command_id: Option<Box<str>>,
 }
--- a/crates/cleat-operate/src/jobs/mod.rs
+++ b/crates/cleat-operate/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of control instances: jobs and workers.
+//! The operator interface of control instances: jobs, workers and customers.
 
 mod body;
 
@@ -16,12 +16,12 @@
 };
 use body::{CustomersBody, JobBody, JobsBody, Submission, WorkersBody};
 
-/// How long a call may take: two elections.
+/// The timeout of a call to the leader: the duration of two elections.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the interface needs of a control instance.
+/// The interface of a control instance that the HTTP handlers call.
 pub trait JobControl: Send + Sync + 'static {
-    /// Asks the leader.
+    /// Sends a call to the leader and waits for the reply.
     fn ask(
         &self,
         call: ControlCall,
@@ -29,14 +29,14 @@
     ) -> impl Future<Output = Result<ControlReply, AskError>> + Send;
 }
 
-/// Serves operators of jobs.
+/// The HTTP server for operators of jobs.
 #[derive(Debug)]
 pub struct JobOperatorServer<C> {
     control: Arc<C>,
 }
 
 impl<C: JobControl> JobOperatorServer<C> {
-    /// Serves on `listener` until the returned server is stopped.
+    /// Serves requests on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
         listener.spawn(Arc::new(JobOperatorServer { control }))
     }
@@ -155,7 +155,7 @@
 }
 
 fn unexpected_reply(reply: &ControlReply) -> Problem {
-    log::warn!("an answer does not fit its call: {reply:?}");
+    log::warn!("the leader returned a reply of the wrong kind: {reply:?}");
     let detail = "the answer does not fit the call".to_owned();
     Problem::new(ProblemKind::OutcomeUnknown, detail)
 }
--- a/crates/cleat-operate/src/lib.rs
+++ b/crates/cleat-operate/src/lib.rs
@@ -1,7 +1,8 @@
-//! The interfaces for operators and targets: HTTP/1.1 with JSON.
+//! The HTTP interfaces for operators and targets: HTTP/1.1 with JSON bodies.
 //!
-//! Handlers read the local replica and propose commands through
-//! [`ControlPlane`], which the daemon implements.
+//! The handlers read the local replica of the fleet's state and propose commands
+//! through [`ControlPlane`], which the instance implements. The interface for jobs
+//! sends calls to the leader through [`JobControl`].
 
 mod control;
 mod http;
--- a/crates/cleat-operate/src/operators/command_id.rs
+++ b/crates/cleat-operate/src/operators/command_id.rs
@@ -1,13 +1,13 @@
-//! The identity of commands that may be sent again.
+//! Command ids, which make a repeated command idempotent.
 
 use cleat_json::{FaultKind, Faults, Object};
 
 use crate::http::{Answer, Problem, ProblemKind};
 
-/// The longest command id, in bytes.
+/// The maximum length of a command id, in bytes.
 const MAX_COMMAND_ID_BYTES: usize = 128;
 
-/// The member `command_id`, if it is there.
+/// Reads the optional member `command_id`.
 pub(super) fn read_command_id(root: &Object<'_>, faults: &mut Faults) -> Option<Box<str>> {
     let node = root.get("command_id")?;
     let text = node.text(faults)?;
@@ -21,8 +21,8 @@
     Some(text)
 }
 
-/// The id was first used with another kind of command, whose answer says
-/// nothing about this one. Nothing was changed.
+/// The answer to a command whose id was first used with another kind of command.
+/// The stored answer belongs to that command, and nothing was changed.
 pub(super) fn command_id_taken() -> Answer {
     let detail = "$.command_id was used with another kind of command; choose a new one";
     Problem::new(ProblemKind::CommandIdTaken, detail).into_answer()
--- a/crates/cleat-operate/src/operators/config.rs
+++ b/crates/cleat-operate/src/operators/config.rs
@@ -1,4 +1,4 @@
-//! Showing and changing the configuration.
+//! Shows and changes the fleet configuration.
 
 use cleat_json::{Fault, Faults, Node};
 use cleat_link::MemberReport;
@@ -60,7 +60,8 @@
     match answer {
         ConfigAnswer::Accepted { version } => {
             let in_force = control.wait_in_force(proposed.index).await;
-            // It is committed, so a failed wait leaves it open, not undone.
+            // The command is committed, so after a failed wait its outcome is
+            // unknown rather than undone.
             in_force.map_err(|_| ControlError::OutcomeUnknown)?;
             Ok(json_answer(StatusCode::OK, &json!({"version": version})))
         }
@@ -78,8 +79,9 @@
     }
 }
 
-/// Reads the change; the configuration's own faults are reported relative to
-/// the configuration, the envelope's relative to the envelope.
+/// Parses a request to change the configuration. The paths of faults in the
+/// configuration are relative to the configuration, those of faults in the
+/// envelope are relative to the envelope.
 fn read_change<C: ControlPlane>(control: &C, value: &Value) -> Result<ApplyConfig, Box<[Fault]>> {
     let mut faults = Faults::default();
     let change = read_envelope(value, &mut faults);
@@ -94,8 +96,8 @@
     })
 }
 
-/// The smallest form that makes `config` out of the version expected, if this
-/// instance has that version.
+/// Returns `config` as a patch to the expected version if this instance has that
+/// version and a patch can express the change, otherwise as a whole.
 fn smallest_form<C: ControlPlane>(control: &C, expect: u64, config: &Value) -> ProposedConfig {
     let base = control.world(|world| {
         let same = world.version() == expect && expect > 0;
@@ -108,7 +110,7 @@
     }
 }
 
-/// What surrounds a proposed configuration.
+/// A request to change the configuration.
 struct Envelope<'a> {
     expect: u64,
     command_id: Option<Box<str>>,
@@ -129,7 +131,8 @@
     })
 }
 
-/// The configuration would break the budget of `pool` now.
+/// The fault of a configuration that would exceed the availability budget of `pool`
+/// at this moment.
 fn over_budget(pool: &str, away: u64, budget: u64) -> Fault {
     let path = cleat_json::Path::root().key("pools").key(pool);
     Fault {
@@ -145,6 +148,7 @@
     }
 }
 
+/// The answer that lists the faults of a request.
 pub(super) fn faults_answer(faults: &[Fault]) -> Answer {
     let faults: Vec<_> = faults.iter().map(fault_body).collect();
     json_answer(StatusCode::UNPROCESSABLE_ENTITY, &json!({"faults": faults}))
@@ -185,7 +189,7 @@
     })
 }
 
-/// `GET /config/status`: the version in force on each instance.
+/// `GET /config/status`: the applied version of each instance.
 pub(super) async fn status<C: ControlPlane>(control: &C) -> Answer {
     let members = match control.members().await {
         Ok(members) => members,
@@ -216,8 +220,8 @@
     }
 }
 
-/// The version in force at a log index; `None` if it is older than the
-/// history goes back.
+/// Returns the configuration version at a log index, or `None` if that version is
+/// no longer in the history.
 fn version_at(index: u64, history: &[ConfigRecord]) -> Option<u64> {
     let record = history.iter().rev().find(|record| record.index <= index);
     match (record, history.first()) {
--- a/crates/cleat-operate/src/operators/lists.rs
+++ b/crates/cleat-operate/src/operators/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of pools, instances and targets.
+//! Lists pools, instances and targets.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     availability_budget: u64,
     instances: u64,
     away: u64,
-    /// Those that have joined and not served yet; they do not count as away.
+    /// The instances that have joined but not served yet, which do not count as away.
     joining: u64,
 }
 
@@ -28,11 +28,11 @@
     data_centre: &'a str,
     rack: &'a str,
     targets: usize,
-    /// How far a move is.
+    /// The phase of joining the pool or of moving to another.
     phase: &'static str,
-    /// The pool it moves to.
+    /// The destination of the move in progress, if any.
     moves_to: Option<&'a str>,
-    /// How far the wave of the pool is with it.
+    /// The step of the instance in the pool's latest maintenance wave.
     maintenance: Option<&'static str>,
 }
 
@@ -48,8 +48,8 @@
     incarnation: u64,
 }
 
-/// `GET /pools`. An instance that has served counts as away while no target
-/// runs on it, it leaves the pool, or it is under maintenance.
+/// `GET /pools`. An instance that has served counts as away while it has no
+/// target, is leaving the pool, or is under maintenance.
 pub(super) async fn pools<C: ControlPlane>(control: &C) -> Answer {
     read(control, |world| {
         let pools: Vec<_> = pool_bodies(world).collect();
@@ -79,6 +79,7 @@
     .await
 }
 
+/// Answers from the local replica once it has caught up with the leader.
 async fn read<C: ControlPlane>(control: &C, answer: impl FnOnce(&World) -> Answer) -> Answer {
     match control.catch_up().await {
         Ok(()) => control.world(answer),
--- a/crates/cleat-operate/src/operators/maintenance.rs
+++ b/crates/cleat-operate/src/operators/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves: starting, pausing, resuming and showing them.
+//! Starts, pauses, resumes and shows maintenance waves.
 
 use cleat_json::{Fault, Faults, Node};
 use cleat_maintain::{WaitReason, wait_reason};
@@ -16,7 +16,7 @@
 use crate::ControlPlane;
 use crate::http::{Answer, Problem, ProblemKind, from_control, json as json_answer, read_json};
 
-/// What an operator wants of a wave.
+/// An operator command on a maintenance wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WaveAction {
     Start,
@@ -25,7 +25,7 @@
 }
 
 impl WaveAction {
-    /// The action of a path, if it is one.
+    /// Parses the last segment of the path.
     pub(super) fn from_segment(segment: &str) -> Option<WaveAction> {
         match segment {
             "start" => Some(WaveAction::Start),
@@ -50,7 +50,8 @@
     pool: &'a str,
     wave: u64,
     state: &'static str,
-    /// Absent while an instance is taken, and once the wave has ended.
+    /// Why no further instance starts maintenance; null if the next one starts now or
+    /// the wave has ended.
     waiting_for: Option<WaitReason>,
     instances: Vec<InstanceBody<'a>>,
 }
@@ -61,7 +62,7 @@
     step: &'static str,
 }
 
-/// `POST /maintenance/POOL/VERB`.
+/// `POST /maintenance/POOL/ACTION`.
 pub(super) async fn post<C: ControlPlane>(
     control: &C,
     pool: &str,
@@ -129,7 +130,7 @@
     }
 }
 
-/// `GET /maintenance`: the latest wave of each pool and what it waits for.
+/// `GET /maintenance`: the latest wave of each pool and the reason why it waits.
 pub(super) async fn show<C: ControlPlane>(control: &C) -> Answer {
     if let Err(error) = control.catch_up().await {
         return from_control(&error).into_answer();
--- a/crates/cleat-operate/src/operators/mod.rs
+++ b/crates/cleat-operate/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface.
+//! The operator interface of entry instances.
 
 mod command_id;
 mod config;
@@ -15,14 +15,14 @@
 use crate::ControlPlane;
 use crate::http::{Answer, Handler, Listener, Problem, ProblemKind, RunningServer};
 
-/// Serves operators.
+/// The HTTP server for operators.
 #[derive(Debug)]
 pub struct OperatorServer<C> {
     control: Arc<C>,
 }
 
 impl<C: ControlPlane> OperatorServer<C> {
-    /// Serves on `listener` until the returned server is stopped.
+    /// Serves requests on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
         listener.spawn(Arc::new(OperatorServer { control }))
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What is changed by a command on one object.
+/// Routes a POST request, which acts on one instance or one pool.
 async fn post<C: ControlPlane>(control: &C, path: &str, req: Request<Incoming>) -> Answer {
     let segments: Vec<&str> = path.split('/').skip(1).collect();
     match segments[..] {
@@ -64,6 +64,7 @@
     unknown_route(&Method::POST, path)
 }
 
+/// Answers that the path does not exist or does not support the method.
 fn unknown_route(method: &Method, path: &str) -> Answer {
     let known = [
         "/config",
--- a/crates/cleat-operate/src/operators/moves.rs
+++ b/crates/cleat-operate/src/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Moving an instance to another pool.
+//! Moves an instance to another pool.
 
 use cleat_json::{Fault, Faults, Node};
 use cleat_world::{Answer as CommandAnswer, CommandBody, MoveAnswer, MoveInstance, Step};
@@ -93,7 +93,7 @@
     }
 }
 
-/// The step as it stands in answers.
+/// The name of a maintenance step in answers.
 pub(super) fn step_text(step: Step) -> &'static str {
     match step {
         Step::Waiting => "waiting",
--- a/crates/cleat-operate/src/operators/status.rs
+++ b/crates/cleat-operate/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! This instance's own state.
+//! The status and the metrics of this instance.
 
 use cleat_link::MemberReport;
 use http::StatusCode;
@@ -13,11 +13,11 @@
     instance: InstanceStatus,
     version: u64,
     targets: usize,
-    /// Absent when the leader cannot be reached.
+    /// Null if the leader cannot be reached.
     members: Option<Vec<MemberReport>>,
 }
 
-/// `GET /status`: answers also without a quorum.
+/// `GET /status`, which also works without a quorum.
 pub(super) async fn status<C: ControlPlane>(control: &C) -> Answer {
     let members = control.members().await.ok();
     let (version, targets) = control.world(|world| (world.version(), world.targets().len()));
--- a/crates/cleat-operate/src/targets/announce.rs
+++ b/crates/cleat-operate/src/targets/announce.rs
@@ -1,4 +1,4 @@
-//! Reading an announcement with every fault found.
+//! Parses announcements and reports all their faults.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 const MAX_SLOTS: u64 = 65_536;
 const MAX_NAME_BYTES: usize = 128;
 
-/// Reads the announcement of target `name`.
+/// Parses the announcement of the target `name`.
 pub(super) fn parse(name: &str, value: &Value) -> Result<Announce, Box<[Fault]>> {
     let mut faults = Faults::default();
     check_name(name, value, &mut faults);
@@ -30,7 +30,7 @@
     }
 }
 
-/// The answer to a faulty announcement.
+/// The answer that lists the faults of an announcement.
 pub(super) fn faults_answer(faults: &[Fault]) -> Answer {
     let faults: Vec<_> = faults
         .iter()
--- a/crates/cleat-operate/src/targets/leases.rs
+++ b/crates/cleat-operate/src/targets/leases.rs
@@ -1,7 +1,7 @@
-//! The leases of targets, watched by the leader.
+//! The leases of targets, which the leader tracks.
 //!
-//! Renewals are not in the log: a new leader gives every target a full lease
-//! from the moment it leads, so a lease never lapses early.
+//! Renewals are not written to the log. A new leader instead starts with a full lease
+//! for every target, so a change of leader never makes a lease lapse early.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 /// A target whose lease has lapsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LapsedLease {
-    /// Its name.
+    /// The name of the target.
     pub name: Box<str>,
-    /// The announcement that lapsed.
+    /// The incarnation of the target whose lease lapsed.
     pub incarnation: u64,
 }
 
@@ -23,16 +23,18 @@
     lapses_at: Duration,
 }
 
-/// When each target's lease lapses. Times are monotonic, since any fixed
-/// moment of this process.
+/// The time at which each target's lease lapses. Times are monotonic, measured from
+/// a fixed moment of this process.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: IndexMap<Box<str>, Lease>,
+    /// The configured lease duration.
     duration: Duration,
 }
 
 impl LeaseTable {
-    /// Takes over the targets of `world`: what is new gets a full lease.
+    /// Reconciles the table with the targets of `world`. New targets and new
+    /// incarnations get a full lease.
     pub fn sync(&mut self, world: &World, now: Duration) {
         self.duration = Duration::from_millis(world.fleet().target_lease_ms);
         let targets = world.targets();
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Renews a lease; `false` if there is no such announcement.
+    /// Renews a lease. Returns `false` if the target has no such incarnation.
     pub fn renew(&mut self, name: &str, incarnation: u64, now: Duration) -> bool {
         match self.leases.get_mut(name) {
             Some(lease) if lease.incarnation == incarnation => {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The targets whose lease has lapsed.
+    /// Returns the targets whose lease has lapsed.
     pub fn lapsed(&self, now: Duration) -> Vec<LapsedLease> {
         let leases = self.leases.iter();
         let lapsed = leases.filter(|(_, lease)| lease.lapses_at <= now);
@@ -73,7 +75,7 @@
         lapsed.collect()
     }
 
-    /// Forgets everything: this instance does not lead any more.
+    /// Removes all leases, when this instance stops being the leader.
     pub fn clear(&mut self) {
         self.leases.clear();
     }
--- a/crates/cleat-operate/src/targets/mod.rs
+++ b/crates/cleat-operate/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! The targets' interface and their leases.
+//! The interface for targets, and their leases.
 
 mod announce;
 mod leases;
@@ -23,14 +23,14 @@
 
 const PATH_PREFIX: &str = "/targets/";
 
-/// Serves targets.
+/// The HTTP server for targets.
 #[derive(Debug)]
 pub struct TargetServer<C> {
     control: Arc<C>,
 }
 
 impl<C: ControlPlane> TargetServer<C> {
-    /// Serves on `listener` until the returned server is stopped.
+    /// Serves requests on `listener` until the returned server is stopped.
     pub fn spawn(listener: Listener, control: Arc<C>) -> RunningServer {
         listener.spawn(Arc::new(TargetServer { control }))
     }
@@ -49,7 +49,8 @@
         answer.map_or_else(|error| Err(from_control(&error)), to_answer)
     }
 
-    /// Renews the lease if nothing new is said; `None` if it must be announced.
+    /// Renews the lease if the announcement is unchanged. Returns `None` if it has to
+    /// be proposed as a command.
     async fn renew(&self, announce: &Announce) -> Result<Option<TargetAnswer>, ControlError> {
         let known = self.control.world(|world| {
             let target = world.targets().get(&announce.name)?;
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Answers once no instance that takes requests starts work on the target.
+    /// Withdraws the target, and answers once no instance that accepts requests sends
+    /// the target new ones.
     async fn delete(&self, name: &str) -> Result<Answer, ControlError> {
         let withdraw = Withdraw {
             name: name.into(),
--- a/crates/cleat-operate/tests/interfaces.rs
+++ b/crates/cleat-operate/tests/interfaces.rs
@@ -1,5 +1,5 @@
-//! The operators' and targets' interfaces over HTTP, with a control plane of
-//! one replica in memory.
+//! The interfaces for operators and targets over HTTP, with an in-memory control
+//! plane of one replica.
 
 mod support;
 
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn config_race_names_the_winner() {
+async fn config_conflict_names_the_winner() {
     let f = configured().await;
     let late = json!({"expect": 0, "command_id": "b", "config": config()});
     let (status, body) = f.operator(Method::PUT, "/config", &late).await;
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn config_not_in_force_is_unknown() {
+async fn config_not_in_force_has_unknown_outcome() {
     let f = configured().await;
     f.control.block_in_force(true);
     let change = json!({"expect": 1, "config": config()});
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn request_bad_is_a_typed_problem() {
+async fn bad_request_gets_a_typed_problem() {
     let f = Fixture::start().await;
     let (status, body) = f.operator(Method::GET, "/nothing", &Value::Null).await;
     assert_eq!(
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn target_with_a_bad_address_is_refused() {
+async fn target_with_a_bad_address_is_rejected() {
     let f = configured().await;
     for address in ["nowhere", "127.0.0.1:0", "0.0.0.0:80"] {
         let mut bad = announcement();
--- a/crates/cleat-operate/tests/maintenance.rs
+++ b/crates/cleat-operate/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Moves and waves over HTTP.
+//! Moves and maintenance waves over HTTP.
 
 #[allow(dead_code)]
 mod support;
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn move_is_shown_and_repeats_its_answer() {
+async fn move_is_listed_and_repeats_its_answer() {
     let f = serving().await;
     let order = json!({"pool": "b", "command_id": "m-1"});
     let first = f.operator(Method::POST, "/instances/r1/move", &order).await;
@@ -54,7 +54,7 @@
     );
     let (_, body) = f.operator(Method::GET, "/pools", &Value::Null).await;
     assert_eq!(body["pools"][0]["away"], 1);
-    // Its target is told to come back later.
+    // The target of a leaving instance is rejected with a problem that asks it to retry.
     let announcement = json!({"service": "dock", "address": "127.0.0.1:9001",
         "instance": "r1", "data_centre": "dc1"});
     let (status, body) = f.target(Method::PUT, "/targets/t1", &announcement).await;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn move_refused_says_why() {
+async fn move_rejection_is_a_typed_problem() {
     let f = serving().await;
     f.operator(Method::POST, "/instances/r1/move", &json!({"pool": "b"}))
         .await;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn wave_starts_pauses_and_says_what_it_waits_for() {
+async fn wave_starts_pauses_and_reports_its_wait_reason() {
     let f = serving().await;
     let id = |id: &str| json!({"command_id": id});
     let post = async |path: &str, id: &Value| f.operator(Method::POST, path, id).await;
@@ -98,7 +98,7 @@
         (&json!("paused"), &json!("paused"))
     );
     assert_eq!(post("/maintenance/a/resume", &id("r")).await.0, 200);
-    // An id belongs to one kind of command.
+    // A command id cannot be reused for another kind of command.
     let (status, body) = post(
         "/instances/r1/move",
         &json!({"pool": "b", "command_id": "r"}),
--- a/crates/cleat-operate/tests/support/mod.rs
+++ b/crates/cleat-operate/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A control plane in memory and a client.
+//! An in-memory control plane and an HTTP client.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
