--- a/crates/cleat-world/src/command.rs
+++ b/crates/cleat-world/src/command.rs
@@ -12,44 +12,45 @@
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// The leader's clock when it proposed this, in milliseconds since the
-    /// Unix epoch. The state never lets it run backwards.
+    /// The time on the leader's clock when it proposed the command, in milliseconds
+    /// since the Unix epoch. A time earlier than that of a previous command does not
+    /// set the clock of the state back.
     pub at_ms: u64,
-    /// What to change.
+    /// The change to make.
     pub body: CommandBody,
 }
 
-/// What a command changes.
+/// The change that a command makes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CommandBody {
-    /// Bring a configuration into force.
+    /// Replaces the configuration.
     ApplyConfig(ApplyConfig),
-    /// A target announces itself, or announces something new about itself.
+    /// Announces a target, or replaces its announcement.
     Announce(Announce),
-    /// A target leaves.
+    /// Withdraws a target.
     Withdraw(Withdraw),
-    /// Take an idempotency key before the first send.
+    /// Claims an idempotency key, before the request is first sent to a target.
     ClaimKey(ClaimKey),
-    /// Say what came of a claimed key.
+    /// Records the outcome of the request under a claimed key.
     SettleKey(SettleKey),
-    /// One of the system's own instances starts a new incarnation.
+    /// Starts a new incarnation of an entry instance.
     BeginIncarnation(BeginIncarnation),
-    /// Move an instance to another pool.
+    /// Moves an instance to another pool.
     MoveInstance(MoveInstance),
-    /// Take a move one phase on.
+    /// Advances a move to its next phase.
     AdvanceMove(AdvanceMove),
-    /// Start a maintenance wave.
+    /// Starts a maintenance wave.
     StartWave(StartWave),
-    /// Pause a maintenance wave.
+    /// Pauses a maintenance wave.
     PauseWave(PauseWave),
-    /// Resume a maintenance wave.
+    /// Resumes a maintenance wave.
     ResumeWave(ResumeWave),
-    /// Take an instance one step on in a wave.
+    /// Advances an instance to its next step in a wave.
     StepInstance(StepInstance),
 }
 
 impl CommandBody {
-    /// The identity of the command when it is sent again, if it has one.
+    /// Returns the id that identifies a repeated command, if it has one.
     pub fn command_id(&self) -> Option<&str> {
         match self {
             CommandBody::ApplyConfig(change) => change.command_id.as_deref(),
@@ -68,186 +69,189 @@
     }
 }
 
-/// A proposal of a configuration.
+/// Proposes a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyConfig {
-    /// The version that must be in force for this to be accepted.
+    /// The version that has to be current for the proposal to be accepted.
     pub expect: u64,
-    /// The identity of the command when it is sent again.
+    /// Identifies the command when it is repeated.
     pub command_id: Option<Box<str>>,
-    /// What is proposed.
+    /// The proposed configuration.
     pub config: ProposedConfig,
 }
 
-/// A configuration as it is sent to every instance.
+/// A proposed configuration as the replicated log contains it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposedConfig {
-    /// The whole configuration as JSON text, overlay already merged in.
+    /// The whole configuration as JSON text, with the overlay already merged in.
     Whole(Box<str>),
-    /// Only what differs from the expected version: a JSON Merge Patch as
-    /// text. Most changes are small and configurations are not.
+    /// The difference from the expected version, as the text of a JSON Merge Patch.
+    /// Most changes are small while configurations are large.
     Patch(Box<str>),
 }
 
-/// What a target says of itself.
+/// The properties that a target declares for itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The service it serves.
+    /// The service that the target provides.
     pub service: Box<str>,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: std::net::SocketAddr,
-    /// The instance it runs on, one of the service's pool.
+    /// The instance that the target runs on, which belongs to the pool of the service.
     pub instance: Box<str>,
-    /// The data centre it runs in.
+    /// The data centre that the target runs in.
     pub data_centre: Box<str>,
-    /// The most requests of ours it takes at once, over all instances.
+    /// The maximum number of concurrent requests that the target admits from all
+    /// entry instances together.
     pub slots: u32,
-    /// The most connections of ours it takes, over all instances.
+    /// The maximum number of connections that the target accepts from all entry
+    /// instances together.
     pub connections: u32,
 }
 
-/// An announcement under a name.
+/// Announces a target under a name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announce {
     /// The target's name, unique in the fleet.
     pub name: Box<str>,
-    /// What it says.
+    /// The declared properties.
     pub announcement: Announcement,
 }
 
-/// The end of a target.
+/// Withdraws a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withdraw {
     /// The target's name.
     pub name: Box<str>,
-    /// Why.
+    /// The reason.
     pub cause: WithdrawCause,
 }
 
-/// Why a target leaves.
+/// The reason for withdrawing a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WithdrawCause {
-    /// It said so.
+    /// The target requested it.
     Left,
-    /// Its lease lapsed. Holds only for the announcement that the leader
-    /// watched, so that a later one under the same name is not taken away.
+    /// The lease of the target lapsed. This applies only to the incarnation that the
+    /// leader tracked, so that a later one under the same name is not withdrawn.
     LeaseLapsed {
-        /// The log index of that announcement.
+        /// The log index of the announcement that started this incarnation.
         incarnation: u64,
     },
 }
 
-/// Taking an idempotency key.
+/// Claims an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// Service, caller and key, see [`KeyTable`](crate::KeyTable).
+    /// The service, the caller and the key, in the stored form of
+    /// [`KeyTable`](crate::KeyTable).
     pub key: Box<str>,
-    /// A digest of what identifies the request; another under the same key is
-    /// a caller's mistake.
+    /// A digest of what identifies the request. A different digest under the same key
+    /// is an error of the caller.
     pub digest: u64,
-    /// The claiming instance of the system's own.
+    /// The entry instance that makes the claim.
     pub entry: Box<str>,
-    /// That instance's incarnation.
+    /// The incarnation of the entry instance.
     pub incarnation: u64,
-    /// A number that no other claim of this incarnation has: a settlement that is
-    /// sent twice or late cannot end a later claim of the same key.
+    /// A number that is unique among the claims of this incarnation, so that a
+    /// repeated or late settlement cannot end a later claim of the same key.
     pub number: u64,
-    /// After this long without a settlement the outcome is unknown, in ms.
+    /// The time after which the outcome of an unsettled claim is unknown, in ms.
     pub settle_timeout_ms: u64,
 }
 
-/// What came of a claimed key.
+/// Records the outcome of the request under a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleKey {
     /// The key of the claim.
     pub key: Box<str>,
-    /// The instance that claimed it.
+    /// The entry instance that made the claim.
     pub entry: Box<str>,
-    /// That instance's incarnation when it claimed.
+    /// The incarnation of the entry instance that made the claim.
     pub incarnation: u64,
     /// The number of the claim.
     pub number: u64,
-    /// What came of it.
+    /// The outcome.
     pub settlement: crate::Settlement,
 }
 
-/// A new incarnation of one of the system's own instances.
+/// Starts a new incarnation of an entry instance: a new run of its process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginIncarnation {
-    /// The instance.
+    /// The entry instance.
     pub entry: Box<str>,
-    /// A number that no earlier incarnation of it had.
+    /// A number that no earlier incarnation of the entry instance had.
     pub incarnation: u64,
 }
 
-/// What a command came to.
+/// The answer to a command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To [`ApplyConfig`].
+    /// The answer to [`ApplyConfig`].
     Config(ConfigAnswer),
-    /// To [`Announce`] and [`Withdraw`].
+    /// The answer to [`Announce`] and [`Withdraw`].
     Target(TargetAnswer),
-    /// To [`ClaimKey`] and [`SettleKey`].
+    /// The answer to [`ClaimKey`] and [`SettleKey`].
     Key(KeyAnswer),
-    /// To [`MoveInstance`] and [`AdvanceMove`].
+    /// The answer to [`MoveInstance`] and [`AdvanceMove`].
     Move(MoveAnswer),
-    /// To the commands about waves.
+    /// The answer to the commands on maintenance waves.
     Wave(WaveAnswer),
-    /// To a command that always succeeds.
+    /// The answer to a command that always succeeds.
     Done,
-    /// The entry could not be read; it changed nothing on any instance.
+    /// The log entry could not be decoded and changed nothing on any instance.
     Unreadable,
 }
 
-/// What an [`ApplyConfig`] came to.
+/// The answer to [`ApplyConfig`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigAnswer {
-    /// It is the configuration now.
+    /// The proposal is the current configuration.
     Accepted {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
     },
-    /// Another version is in force than was expected.
+    /// The current version is not the expected one.
     Refused {
-        /// The version in force.
+        /// The current version.
         winner: u64,
-        /// The command that brought it, if it had an id.
+        /// The id of the command that set the current version, if it had one.
         winner_command_id: Option<Box<str>>,
     },
-    /// It is not valid.
+    /// The proposed configuration is not valid.
     Invalid {
-        /// Every fault found.
+        /// All faults of the configuration.
         faults: Box<[Fault]>,
     },
-    /// A pool keeps its budget now and would not keep it afterwards.
+    /// A pool that is within its availability budget would exceed it.
     OverBudget {
         /// The pool.
         pool: Box<str>,
-        /// How many of its instances are away.
+        /// The number of its instances that would be away.
         away: u64,
-        /// How many could be.
+        /// The number of its instances that may be away under the proposal.
         budget: u64,
     },
 }
 
-/// What an announcement or withdrawal came to.
+/// The answer to [`Announce`] and [`Withdraw`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetAnswer {
-    /// The target is known under this announcement.
+    /// The target is registered with this announcement.
     Announced {
         /// The log index of the announcement.
         incarnation: u64,
-        /// How long it holds without renewal, in milliseconds.
+        /// The duration of the lease without a renewal, in milliseconds.
         lease_ms: u64,
     },
-    /// The target is gone, or was never there.
+    /// The target is withdrawn, or was never announced.
     Withdrawn,
     /// The service is not configured.
     UnknownService,
-    /// The instance is in no pool.
+    /// The instance belongs to no pool.
     UnknownInstance,
-    /// The instance belongs to another pool than the service's.
+    /// The instance does not belong to the pool of the service.
     WrongPool {
         /// The pool of the instance.
         pool: Box<str>,
@@ -257,61 +261,61 @@
         /// The data centre of the instance.
         data_centre: Box<str>,
     },
-    /// The instance moves to another pool or reboots; announce again later.
+    /// The instance is moving to another pool or rebooting. Announce again later.
     InstanceAway,
-    /// Another target has the address.
+    /// Another target uses the address.
     AddressTaken {
-        /// The target that has it.
+        /// The target that uses the address.
         by: Box<str>,
     },
 }
 
-/// What a claim or settlement came to.
+/// The answer to [`ClaimKey`] and [`SettleKey`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyAnswer {
-    /// The claim is the caller's: it may send.
+    /// The key is claimed: the claimant may send the request.
     Granted,
-    /// Another request with this key is in progress.
+    /// Another request under this key is in progress.
     InProgress {
-        /// The instance that holds it.
+        /// The entry instance that holds the claim.
         entry: Box<str>,
     },
-    /// It ran; this is the first answer.
+    /// The request ran. This is its stored answer.
     Ran(StoredAnswer),
-    /// It ran; the answer was larger than what is kept.
+    /// The request ran. Its answer exceeded the size limit or was evicted.
     RanAnswerNotKept,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key was used with another request.
+    /// The key was used for a different request.
     OtherRequest,
-    /// The table of keys is full; nothing was claimed.
+    /// The key table is full. The key was not claimed.
     Full,
     /// The settlement was recorded.
     Settled,
-    /// The settlement came from no holder of the claim and changed nothing.
+    /// The settlement did not come from the holder of the claim and changed nothing.
     NotHolder,
 }
 
-/// A log entry that could not be read.
+/// Why a log entry could not be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// The bytes are not a command of this format. An instance of another
-    /// version wrote them; run the same version on all instances.
+    /// The bytes are not a command of this format. An instance of another version
+    /// wrote them. Run the same version on all instances.
     #[snafu(display("the log entry is not a command of this version"))]
     NotACommand {
-        /// What the codec says.
+        /// The error of the codec.
         source: postcard::Error,
     },
 }
 
 impl Command {
-    /// The bytes that stand in the log.
+    /// Encodes the command for the log.
     pub fn encode(&self) -> Box<[u8]> {
         to_bytes(self)
     }
 
-    /// Reads what [`Command::encode`] wrote.
+    /// Decodes the output of [`Command::encode`].
     ///
     /// # Errors
     /// [`DecodeError`] if the bytes are not a command of this format.
@@ -321,20 +325,20 @@
 }
 
 impl Answer {
-    /// The bytes that go back to the proposer.
+    /// Encodes the answer for the proposer.
     pub fn encode(&self) -> Box<[u8]> {
         to_bytes(self)
     }
 
-    /// Reads what [`Answer::encode`] wrote; anything else is
+    /// Decodes the output of [`Answer::encode`]; anything else is
     /// [`Answer::Unreadable`].
     pub fn decode(bytes: &[u8]) -> Answer {
         postcard::from_bytes(bytes).unwrap_or(Answer::Unreadable)
     }
 }
 
-/// Plain data of known length always encodes; an empty buffer would be refused
-/// by every reader.
+/// Encodes `value`. Plain data of known length can always be encoded; the empty buffer
+/// that an error would produce fails to decode.
 pub(crate) fn to_bytes<T: Serialize>(value: &T) -> Box<[u8]> {
     postcard::to_stdvec(value).unwrap_or_default().into()
 }
--- a/crates/cleat-world/src/fleet/defaults.rs
+++ b/crates/cleat-world/src/fleet/defaults.rs
@@ -1,12 +1,12 @@
-//! The defaults of every optional key.
+//! The default values of all optional keys of the configuration.
 
-/// An example configuration in JSON that states every optional key with its
+/// Returns an example configuration in JSON that contains every optional key with its
 /// default value.
 pub fn default_config_text() -> &'static str {
     include_str!("default.json")
 }
 
-/// The caller name that stands for every caller not listed.
+/// The name that matches every caller that is not listed.
 pub(super) const ANY_CALLER: &str = "*";
 pub(super) const AVAILABILITY_BUDGET: u64 = 1;
 pub(super) const DEADLINE_MS: u64 = 2_000;
--- a/crates/cleat-world/src/fleet/maintenance.rs
+++ b/crates/cleat-world/src/fleet/maintenance.rs
@@ -1,4 +1,4 @@
-//! What the configuration says of maintenance.
+//! Parses the maintenance settings of the configuration.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 const DAY_S: u64 = 24 * 60 * 60;
 
-/// `maintenance` of a pool.
+/// Reads the key `maintenance` of a pool.
 pub(super) fn read_terms(pool: &Object<'_>, faults: &mut Faults) -> MaintenanceTerms {
     let mut terms = MaintenanceTerms::default();
     let keys = ["probation_s", "drain_s", "reboot_s"];
@@ -21,7 +21,7 @@
     terms
 }
 
-/// `platform` of the fleet.
+/// Reads the key `platform` of the fleet.
 pub(super) fn read_platform(root: &Object<'_>, faults: &mut Faults) -> Option<SocketAddr> {
     let object = optional_object("platform", &["address"], root, faults)?;
     let text = object.text("address", faults)?;
--- a/crates/cleat-world/src/fleet/merge.rs
+++ b/crates/cleat-world/src/fleet/merge.rs
@@ -1,17 +1,18 @@
-//! One base file for all sites, with an overlay for each site.
+//! Merges a base configuration with the overlay of a site, and computes the
+//! difference between two configurations.
 
 use serde_json::{Map, Value};
 
-/// `base` with `overlay` merged in as a JSON Merge Patch (RFC 7396): a member
-/// of the overlay replaces that of the base, `null` removes it, objects are
-/// merged member by member.
+/// Applies `overlay` to `base` as a JSON Merge Patch (RFC 7396): a member of the
+/// overlay replaces that of the base, `null` removes it, and objects are merged
+/// member by member.
 pub fn merge(mut base: Value, overlay: &Value) -> Value {
     json_patch::merge(&mut base, overlay);
     base
 }
 
-/// The JSON Merge Patch that makes `wanted` out of `base`; `None` if no patch
-/// can, since `wanted` holds a `null`, which a patch takes for a removal.
+/// Returns the JSON Merge Patch that turns `base` into `wanted`, or `None` if no patch
+/// can: a `null` in `wanted` would be applied as a removal.
 pub fn diff(base: &Value, wanted: &Value) -> Option<Value> {
     let patch = difference(base, wanted);
     let made = merge(base.clone(), &patch);
--- a/crates/cleat-world/src/fleet/mod.rs
+++ b/crates/cleat-world/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration: what operators write, checked and typed.
+//! The fleet configuration: its typed form, its parser and its defaults.
 
 mod defaults;
 mod maintenance;
--- a/crates/cleat-world/src/fleet/parse.rs
+++ b/crates/cleat-world/src/fleet/parse.rs
@@ -1,4 +1,4 @@
-//! From JSON to the typed configuration, with every fault found.
+//! Parses the configuration from JSON and reports all its faults.
 
 use cleat_json::{Fault, FaultKind, Faults, Node, Object, Path};
 use indexmap::IndexMap;
@@ -15,10 +15,10 @@
 const MAX_BYTES: u64 = 1 << 30;
 
 impl FleetConfig {
-    /// Checks and types a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
-    /// Every fault found, at least one.
+    /// All faults of the configuration, at least one.
     pub fn parse(value: &Value) -> Result<FleetConfig, Box<[Fault]>> {
         let mut faults = Faults::default();
         let config = read_config(value, &mut faults);
@@ -56,7 +56,7 @@
     for (name, object) in root.objects("data_centres", faults) {
         object.only(&["region"], faults);
         let region = object.get("region").and_then(|node| node.text(faults));
-        // Names of members of one JSON object are unique already.
+        // The member names of a JSON object are already unique.
         let _ = config.data_centres.add(name, DataCentre { region });
     }
 }
@@ -138,7 +138,8 @@
     }
 }
 
-/// A service's name is a path segment, and `-` is the instance's own.
+/// The name of a service is a path segment. The segment `-` is reserved for the paths
+/// of the entry instance itself.
 fn check_service_name(name: &str, object: &Object<'_>, faults: &mut Faults) {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     if name != "-" && !name.is_empty() && name.bytes().all(allowed) {
@@ -250,7 +251,7 @@
     terms
 }
 
-/// The member object `key`, if it is there, with unknown keys reported.
+/// Reads the optional member object `key` and reports its unknown keys.
 pub(super) fn optional_object<'a>(
     key: &str,
     keys: &[&str],
@@ -262,7 +263,7 @@
     Some(object)
 }
 
-/// The id that the text member `key` names in `arena`.
+/// Resolves the name in the text member `key` to an id of `arena`.
 fn resolve_reference<K: crate::Key, T>(
     key: &str,
     object: &Object<'_>,
--- a/crates/cleat-world/src/fleet/types.rs
+++ b/crates/cleat-world/src/fleet/types.rs
@@ -1,4 +1,4 @@
-//! The typed configuration.
+//! The typed form of the configuration.
 
 use std::net::SocketAddr;
 
@@ -7,55 +7,56 @@
 use super::defaults;
 use crate::{Arena, DataCentreId, InstanceId, PoolId, ServiceId};
 
-/// One accepted or proposed configuration.
+/// An accepted or proposed configuration.
 ///
-/// Made by [`FleetConfig::parse`] only, so every reference in it resolves.
+/// Only [`FleetConfig::parse`] creates a nonempty one, so every reference in it
+/// resolves.
 #[derive(Debug, Clone, Default)]
 pub struct FleetConfig {
     /// The data centres.
     pub data_centres: Arena<DataCentreId, DataCentre>,
     /// The pools.
     pub pools: Arena<PoolId, Pool>,
-    /// The instances of all pools. Invariant: each belongs to exactly one.
+    /// The instances of all pools. Invariant: each is configured in exactly one pool.
     pub instances: Arena<InstanceId, Instance>,
     /// The services.
     pub services: Arena<ServiceId, Service>,
-    /// How long an announcement of a target holds, in milliseconds.
+    /// The duration of the lease of a target, in milliseconds.
     pub target_lease_ms: u64,
-    /// What is kept of idempotency keys.
+    /// The limits on stored idempotency keys.
     pub keys: KeyTerms,
-    /// Where the platform that drains and reboots instances listens.
+    /// The address of the platform that drains and reboots instances.
     pub platform: Option<SocketAddr>,
 }
 
 /// A data centre, a failure domain.
 #[derive(Debug, Clone)]
 pub struct DataCentre {
-    /// The region it lies in, if stated.
+    /// The region of the data centre, if configured.
     pub region: Option<Box<str>>,
 }
 
 /// A pool of instances.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// How many of its instances may be away at once, for whatever cause.
-    /// Invariant: at most the number of its instances.
+    /// The number of instances of the pool that may be away at once, for any reason.
+    /// Invariant: at most the number of configured instances.
     pub availability_budget: u64,
-    /// Its instances as configured.
+    /// The instances that are configured in the pool.
     pub instances: Vec<InstanceId>,
-    /// How its instances are maintained.
+    /// The time limits of maintenance.
     pub maintenance: MaintenanceTerms,
 }
 
-/// How the instances of a pool are maintained. Times in seconds.
+/// The time limits of maintenance in a pool, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MaintenanceTerms {
-    /// How long an instance has to serve after its reboot before it counts
-    /// as available.
+    /// The time that an instance has to serve after its reboot before it counts as
+    /// available.
     pub probation_s: u64,
-    /// After this long, an instance that is not drained has failed.
+    /// The timeout of a drain, after which maintenance of the instance has failed.
     pub drain_s: u64,
-    /// After this long, an instance that is not back has failed.
+    /// The timeout of a reboot, after which maintenance of the instance has failed.
     pub reboot_s: u64,
 }
 
@@ -72,36 +73,38 @@
 /// A machine that runs targets.
 #[derive(Debug, Clone)]
 pub struct Instance {
-    /// The pool it is configured in.
+    /// The pool that the instance is configured in.
     pub pool: PoolId,
-    /// Where it stands.
+    /// The data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Its rack, a failure domain within the data centre.
+    /// The rack of the instance, a failure domain within the data centre.
     pub rack: Box<str>,
 }
 
-/// A service: what callers name, and how its requests are treated.
+/// A service that callers name in their requests, and the rules for these requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// The pool whose instances run its targets.
     pub pool: PoolId,
-    /// The longest a request may take over all tries, in milliseconds.
+    /// The maximum duration of a request over all tries, in milliseconds.
     pub deadline_ms: u64,
-    /// The waiting requests.
+    /// The bounds of the request queue.
     pub queue: Queue,
-    /// The tries.
+    /// The retry policy.
     pub retry: Retry,
-    /// Terms by caller.
+    /// The weights and quotas by caller.
     pub callers: IndexMap<Box<str>, CallerTerms>,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_limit_bytes: u64,
-    /// The largest answer held back until it is whole, in bytes. A larger one
-    /// is passed on as it comes, and a cut shows as a broken connection.
+    /// The maximum size of an answer that is buffered until it is complete, in bytes. A
+    /// larger one is streamed to the caller, who sees an interruption as a broken
+    /// connection.
     pub answer_buffer_bytes: u64,
 }
 
 impl Service {
-    /// The terms of `caller`: its own, else those of `*`, else the defaults.
+    /// Returns the terms of `caller`: its own, otherwise those of `*`, otherwise the
+    /// defaults.
     pub fn terms(&self, caller: &str) -> CallerTerms {
         let own = self.callers.get(caller);
         let any = || self.callers.get(defaults::ANY_CALLER);
@@ -109,28 +112,28 @@
     }
 }
 
-/// Bounds of a service's queue on each instance.
+/// The bounds of a service's queue on each entry instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Queue {
-    /// The most requests that wait at once.
+    /// The maximum number of waiting requests.
     pub length: u64,
 }
 
-/// How requests that provably did not run, or may run twice, are tried again.
+/// The retry policy for requests that provably did not run or that are idempotent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retry {
-    /// The most tries of one request, the first included.
+    /// The maximum number of tries of a request, including the first.
     pub tries: u64,
-    /// Retries as a share of successes, in percent.
+    /// The retry budget, as a percentage of successful requests.
     pub budget_percent: u64,
 }
 
-/// What one caller is entitled to.
+/// The share and the limit of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerTerms {
-    /// Its share relative to other callers, at least 1.
+    /// The weight of the caller relative to other callers, at least 1.
     pub weight: u64,
-    /// Its limit, if any.
+    /// The rate limit of the caller, if any.
     pub quota: Option<Quota>,
 }
 
@@ -143,23 +146,23 @@
     }
 }
 
-/// A limit on a caller's requests at each instance.
+/// A rate limit on a caller's requests at each entry instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota {
-    /// Requests a second in the long run.
+    /// The sustained rate, in requests per second.
     pub per_second: u64,
-    /// Requests at once after a pause.
+    /// The maximum burst, in requests.
     pub burst: u64,
 }
 
-/// What is kept of idempotency keys.
+/// The limits on stored idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyTerms {
-    /// How long a key is remembered after its claim, in seconds.
+    /// How long a key is stored after its claim, in seconds.
     pub retention_s: u64,
-    /// The most keys remembered; at the bound new keys are refused.
+    /// The maximum number of stored keys, above which new keys are refused.
     pub max_keys: u64,
-    /// The largest answer kept with a key, in bytes.
+    /// The maximum size of an answer that is stored with a key, in bytes.
     pub max_answer_bytes: u64,
 }
 
--- a/crates/cleat-world/src/ids.rs
+++ b/crates/cleat-world/src/ids.rs
@@ -1,7 +1,7 @@
-//! Small typed keys into the arenas of one configuration version.
+//! Typed ids of objects in one version of the configuration.
 //!
-//! An id is valid only for the [`FleetConfig`](crate::FleetConfig) that made
-//! it; names are what lasts from version to version.
+//! An id is valid only for the [`FleetConfig`](crate::FleetConfig) that created it.
+//! Objects are identified by name across versions.
 
 use crate::arena::Key;
 
@@ -24,18 +24,18 @@
 }
 
 key! {
-    /// A data centre.
+    /// The id of a data centre.
     DataCentreId
 }
 key! {
-    /// A pool of instances.
+    /// The id of a pool of instances.
     PoolId
 }
 key! {
-    /// An instance, a machine that belongs to exactly one pool.
+    /// The id of an instance, a machine that belongs to exactly one pool.
     InstanceId
 }
 key! {
-    /// A service that callers name in the first segment of the path.
+    /// The id of a service, which callers name in the first segment of the path.
     ServiceId
 }
--- a/crates/cleat-world/src/keys/mod.rs
+++ b/crates/cleat-world/src/keys/mod.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: claimed in the replicated log before the first send.
+//! Idempotency keys, which are claimed in the replicated log before a request is first
+//! sent to a target.
 
 mod table;
 mod types;
--- a/crates/cleat-world/src/keys/table.rs
+++ b/crates/cleat-world/src/keys/table.rs
@@ -1,4 +1,4 @@
-//! The table of claimed keys, bounded by age and count.
+//! The table of claimed keys, bounded by age and number.
 
 use indexmap::IndexMap;
 use indexmap::map::Entry;
@@ -6,32 +6,33 @@
 
 use super::{Claim, ClaimState, Settlement};
 
-/// The most bytes that all kept answers take together. Above it the oldest
-/// are given up, so that a snapshot of the state stays small enough to send;
-/// their keys stay, and their requests never run again.
-const MAX_ANSWERS_BYTES: usize = 4 << 20;
 use crate::{ClaimKey, KeyAnswer, KeyTerms, SettleKey};
 
-/// Every key claimed within the time it is kept.
+/// The maximum total size of the stored answers, in bytes. Above it the oldest answers
+/// are evicted, so that a snapshot of the state stays small enough to send. Their keys
+/// are retained, so their requests never run again.
+const MAX_ANSWERS_BYTES: usize = 4 << 20;
+
+/// All keys that were claimed within the retention time.
 ///
-/// A key is stored as `service NUL caller NUL key`, so that callers cannot
-/// meet each other's keys. At the bound a new key is refused: forgetting an
-/// old one early could let its request run a second time.
+/// A key is stored as `service NUL caller NUL key`, so that the keys of different
+/// callers never collide. A full table refuses new keys: evicting an old key early
+/// could let its request run a second time.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct KeyTable {
     /// Invariant: in the order of `claimed_at_ms`.
     claims: IndexMap<Box<str>, Claim>,
-    /// The bytes of all kept answers. Invariant: at most [`MAX_ANSWERS_BYTES`].
+    /// The total size of the stored answers. Invariant: at most [`MAX_ANSWERS_BYTES`].
     answers_bytes: usize,
 }
 
 impl KeyTable {
-    /// The stored form of a key.
+    /// Returns the stored form of a key.
     pub fn scoped(service: &str, caller: &str, key: &str) -> Box<str> {
         format!("{service}\0{caller}\0{key}").into()
     }
 
-    /// Claims a key at `now_ms` or says what became of it.
+    /// Claims a key at `now_ms`, or returns the state of an existing claim.
     pub fn claim(&mut self, claim: ClaimKey, terms: KeyTerms, now_ms: u64) -> KeyAnswer {
         self.evict_expired(terms, now_ms);
         let full = self.claims.len() as u64 >= terms.max_keys;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Records what came of a claim, if the claim is the settler's.
+    /// Records the outcome of a claim, if the settlement comes from its holder.
     pub fn settle(&mut self, settle: SettleKey) -> KeyAnswer {
         let Some(claim) = self.claims.get_mut(&settle.key) else {
             return KeyAnswer::NotHolder;
@@ -67,8 +68,8 @@
         KeyAnswer::Settled
     }
 
-    /// What is known of a key without claiming it; `None` if no request under
-    /// it can have run.
+    /// Returns the state of a key without claiming it, or `None` if no request under
+    /// the key can have run.
     pub fn look_up(&self, key: &str, digest: u64) -> Option<KeyAnswer> {
         let claim = self.claims.get(key)?;
         if claim.digest != digest {
@@ -77,7 +78,8 @@
         answer_for(&claim.state)
     }
 
-    /// Ends the claims of earlier incarnations of `entry`: nobody knows their outcome.
+    /// Settles the pending claims of other incarnations of `entry` as unknown, since
+    /// no running process knows their outcome.
     pub fn end_other_incarnations(&mut self, entry: &str, incarnation: u64) {
         for claim in self.claims.values_mut() {
             let is_abandoned = matches!(&claim.state, ClaimState::Pending { entry: e, incarnation: i, .. }
@@ -88,12 +90,12 @@
         }
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
@@ -153,7 +155,8 @@
     }
 }
 
-/// What a request under a claimed key is told; `None` if the key is free.
+/// Returns the answer to a request under a claimed key, or `None` if the key may be
+/// claimed again.
 fn answer_for(state: &ClaimState) -> Option<KeyAnswer> {
     match state {
         ClaimState::Pending { entry, .. } => Some(KeyAnswer::InProgress {
--- a/crates/cleat-world/src/keys/types.rs
+++ b/crates/cleat-world/src/keys/types.rs
@@ -1,20 +1,20 @@
-//! A claim and what can come of it.
+//! Claims of idempotency keys and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
-/// One claimed idempotency key.
+/// The claim of an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// A digest of the request that claimed it.
+    /// The digest of the claiming request.
     pub digest: u64,
-    /// When it was claimed, in the state's clock (ms).
+    /// The time of the claim on the clock of the state, in ms.
     pub claimed_at_ms: u64,
-    /// Where it stands.
+    /// The state of the claim.
     pub state: ClaimState,
 }
 
 impl Claim {
-    /// The bytes of the answer kept with it.
+    /// Returns the size of the stored answer, in bytes.
     pub(super) fn answer_bytes(&self) -> usize {
         match &self.state {
             ClaimState::Settled(Settlement::Ran(answer)) => answer.size(),
@@ -23,50 +23,52 @@
     }
 }
 
-/// Where a claim stands.
+/// The state of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// An instance may be sending it.
+    /// An entry instance may be sending the request.
     Pending {
-        /// That instance.
+        /// The entry instance that holds the claim.
         entry: Box<str>,
-        /// Its incarnation.
+        /// The incarnation of the entry instance.
         incarnation: u64,
-        /// The claim's number within that incarnation.
+        /// The number of the claim, unique in the incarnation.
         number: u64,
-        /// From then on the outcome counts as unknown (ms).
+        /// The time from which the outcome counts as unknown, in ms.
         until_ms: u64,
     },
-    /// It came to an end.
+    /// The outcome is recorded.
     Settled(Settlement),
 }
 
-/// How a claimed request ended.
+/// The outcome of a request under a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran and was answered.
+    /// The request ran and was answered.
     Ran(StoredAnswer),
-    /// It ran and was answered; the answer was too large to keep.
+    /// The request ran and was answered. The answer was too large to store or was
+    /// evicted.
     RanAnswerNotKept,
-    /// It provably did not run: the key may be claimed anew.
+    /// The request provably did not run. The key may be claimed again.
     NotRun,
-    /// It may have run. Invariant: never claimed anew while remembered.
+    /// The request may have run. Invariant: the key is never claimed again while it is
+    /// stored.
     Unknown,
 }
 
-/// An answer kept for requests sent again.
+/// An answer that is stored for repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// The status code.
     pub status: u16,
-    /// End-to-end headers in order; values are bytes as received.
+    /// The end-to-end headers in their order, with the values as received.
     pub headers: Vec<(Box<str>, Box<[u8]>)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Box<[u8]>,
 }
 
 impl StoredAnswer {
-    /// The memory it takes, in bytes, without fixed overhead.
+    /// Returns the size of the headers and the body, in bytes, without fixed overhead.
     pub fn size(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
         headers + self.body.len()
--- a/crates/cleat-world/src/lib.rs
+++ b/crates/cleat-world/src/lib.rs
@@ -1,9 +1,12 @@
-//! The objects of the fleet: data centres, pools, instances, services and
-//! targets, the configuration that states them, and the replicated state.
+//! The fleet's data model: data centres, pools, instances, services and targets,
+//! the configuration that declares them, and the replicated state.
 //!
-//! Everything here is plain data and pure functions. A [`World`] changes only
-//! through [`World::apply`], one [`Command`] at a time, in the order of the
-//! replicated log, so that every instance computes the same state.
+//! This crate contains only plain data and pure functions. A [`World`] changes only
+//! through [`World::apply`], one [`Command`] at a time in the order of the replicated
+//! log, so every entry instance computes the same state.
+//!
+//! Commands and snapshots are encoded with postcard, which stores fields and variants
+//! by position: their names may change, their order must not.
 
 mod arena;
 mod command;
--- a/crates/cleat-world/src/maintenance/commands.rs
+++ b/crates/cleat-world/src/maintenance/commands.rs
@@ -1,146 +1,146 @@
-//! The commands that move and maintain instances, and their answers.
+//! The commands for moves and maintenance of instances, and their answers.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Phase, Step};
 
-/// An operator moves an instance to another pool.
+/// Moves an instance to another pool, by order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveInstance {
-    /// The instance.
+    /// The instance to move.
     pub instance: Box<str>,
-    /// The pool it is to belong to.
+    /// The destination pool.
     pub to: Box<str>,
-    /// The identity of the command when it is sent again.
+    /// Identifies the command when it is repeated.
     pub command_id: Option<Box<str>>,
 }
 
-/// A move goes one phase on.
+/// Advances a move to its next phase.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvanceMove {
     /// The instance.
     pub instance: Box<str>,
-    /// The epoch of the phase that this was decided in.
+    /// The epoch of the phase in which the command was proposed.
     pub epoch: u64,
     /// The phase to enter; [`Phase::Joining`] ends the move.
     pub phase: Phase,
 }
 
-/// An operator starts a maintenance wave.
+/// Starts a maintenance wave, by order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartWave {
     /// The pool to maintain.
     pub pool: Box<str>,
-    /// The identity of the command when it is sent again.
+    /// Identifies the command when it is repeated.
     pub command_id: Option<Box<str>>,
 }
 
-/// An operator pauses a wave.
+/// Pauses a maintenance wave, by order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PauseWave {
     /// The pool under maintenance.
     pub pool: Box<str>,
-    /// The identity of the command when it is sent again.
+    /// Identifies the command when it is repeated.
     pub command_id: Option<Box<str>>,
 }
 
-/// An operator resumes a paused wave.
+/// Resumes a paused maintenance wave, by order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeWave {
     /// The pool under maintenance.
     pub pool: Box<str>,
-    /// The identity of the command when it is sent again.
+    /// Identifies the command when it is repeated.
     pub command_id: Option<Box<str>>,
 }
 
-/// An instance goes one step on in a wave.
+/// Advances an instance to its next step in a maintenance wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepInstance {
     /// The pool under maintenance.
     pub pool: Box<str>,
-    /// The id of the wave that this was decided in.
+    /// The id of the wave in which the command was proposed.
     pub wave: u64,
     /// The instance.
     pub instance: Box<str>,
-    /// The step that this was decided in.
+    /// The step in which the command was proposed.
     pub from: Step,
     /// The step to enter.
     pub to: Step,
 }
 
-/// What a [`MoveInstance`] or [`AdvanceMove`] came to.
+/// The answer to [`MoveInstance`] and [`AdvanceMove`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveAnswer {
-    /// The move began or went on.
+    /// The move is in progress.
     Moving {
-        /// The log index from which it holds.
+        /// The log index at which the current phase began.
         epoch: u64,
     },
-    /// The instance belongs to the pool already; nothing was changed.
+    /// The instance already belongs to the pool. Nothing was changed.
     AlreadyThere,
-    /// No such instance.
+    /// The instance does not exist.
     UnknownInstance,
-    /// No such pool.
+    /// The pool does not exist.
     UnknownPool,
-    /// Another move of the instance is under way.
+    /// Another move of the instance is in progress.
     MoveInProgress {
-        /// Where it goes.
+        /// The destination of that move.
         to: Box<str>,
     },
-    /// A maintenance wave has the instance.
+    /// The instance is under maintenance.
     InMaintenance {
-        /// How far it is.
+        /// The current maintenance step.
         step: Step,
     },
-    /// More instances of the pool would be away than its budget allows.
+    /// The move or the step would exceed the availability budget of the pool.
     OverBudget {
-        /// The pool that would be short.
+        /// The pool that the instance would leave.
         pool: Box<str>,
-        /// How many of its instances are away now.
+        /// The number of its instances that are away.
         away: u64,
-        /// How many may be.
+        /// The number of its instances that may be away.
         budget: u64,
     },
-    /// It was decided in another phase than the instance is in now.
+    /// The command was proposed in a phase that is no longer current.
     Stale,
 }
 
-/// What a command about a wave came to.
+/// The answer to a command on a maintenance wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaveAnswer {
     /// The wave started.
     Started {
-        /// Its id.
+        /// The id of the wave.
         wave: u64,
     },
     /// The wave is paused.
     Paused,
-    /// The wave goes on.
+    /// The wave is resumed.
     Resumed,
-    /// The instance went one step on.
+    /// The instance entered the step.
     Stepped {
-        /// The log index from which it holds.
+        /// The log index at which the step began.
         epoch: u64,
     },
-    /// No such pool.
+    /// The pool does not exist.
     UnknownPool,
-    /// The configuration names no platform that could do it.
+    /// The configuration does not name a platform that could maintain instances.
     NoPlatform,
-    /// A wave of the pool is under way.
+    /// A wave of the pool is in progress.
     InProgress {
-        /// Its id.
+        /// The id of the wave.
         wave: u64,
     },
-    /// No wave of the pool is under way.
+    /// No wave of the pool is in progress.
     NoWave,
-    /// More instances of the pool would be away than its budget allows.
+    /// The move or the step would exceed the availability budget of the pool.
     OverBudget {
-        /// How many of its instances are away now.
+        /// The number of its instances that are away.
         away: u64,
-        /// How many may be.
+        /// The number of its instances that may be away.
         budget: u64,
     },
-    /// It was decided in another wave or step than the one now, the wave is
-    /// paused, or the instance is on the move.
+    /// The command was proposed in a wave or step that is no longer current, the wave
+    /// is paused, or the instance is moving to another pool.
     Stale,
 }
--- a/crates/cleat-world/src/maintenance/mod.rs
+++ b/crates/cleat-world/src/maintenance/mod.rs
@@ -1,4 +1,4 @@
-//! Places of instances in pools, moves between pools, and maintenance waves.
+//! The places of instances in pools, moves between pools, and maintenance waves.
 
 mod commands;
 mod place;
--- a/crates/cleat-world/src/maintenance/place.rs
+++ b/crates/cleat-world/src/maintenance/place.rs
@@ -1,58 +1,57 @@
-//! Which pool an instance is in.
+//! The place of an instance: its pool and the phase of joining or leaving it.
 
 use serde::{Deserialize, Serialize};
 
-/// The place of one instance.
+/// The place of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// The one pool it belongs to. Invariant: only the end of a move changes it,
-    /// or the configuration, if the pool is gone or the instance never served
-    /// there.
+    /// The one pool that the instance belongs to. Invariant: it changes only at the end
+    /// of a move, or with the configuration if the pool was removed or the instance
+    /// never served there.
     pub pool: Box<str>,
-    /// The pool that the configuration last declared for it.
+    /// The pool that the latest configuration declares for the instance.
     pub configured_pool: Box<str>,
-    /// The log index of the command that brought `pool` and `phase`: it
-    /// fences commands that were made for an earlier phase.
+    /// The log index of the command that set `pool` and `phase`. It fences off commands
+    /// that were proposed in an earlier phase.
     pub epoch: u64,
-    /// How far a move is.
+    /// The phase of joining the pool or of moving to another.
     pub phase: Phase,
 }
 
-/// How far an instance is in joining its pool or in moving to another.
+/// The phases of an instance that joins a pool, belongs to it, and moves to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It belongs to the pool and no target has run on it there yet. It adds
-    /// to the pool without having been part of its promise, so it does not
-    /// count as away.
+    /// The instance belongs to the pool, but no target has run on it there yet. The
+    /// availability budget does not cover it before that, so it does not count as away.
     Joining,
-    /// It runs targets of the pool's services.
+    /// The instance has run targets of the pool's services.
     Member,
-    /// As a member; a move that the configuration declared starts once the
-    /// budget of the pool has room.
+    /// Like [`Phase::Member`], with a move that the configuration declared and that
+    /// starts once the availability budget of the pool allows it.
     Ordered {
-        /// The pool it is to move to.
+        /// The destination pool.
         to: Box<str>,
     },
-    /// Nothing new is sent to it; requests in progress finish.
+    /// The instance gets no new requests, while those in progress finish.
     Leaving {
-        /// The pool it moves to.
+        /// The destination pool.
         to: Box<str>,
     },
-    /// Nothing is in progress on it.
+    /// No request is in progress on the instance.
     Drained {
-        /// The pool it moves to.
+        /// The destination pool.
         to: Box<str>,
     },
 }
 
 impl Phase {
-    /// Whether targets on the instance may be announced.
+    /// Whether targets may be announced on the instance.
     pub fn accepts_targets(&self) -> bool {
         matches!(self, Phase::Joining | Phase::Member | Phase::Ordered { .. })
     }
 
-    /// Where a move goes, if there is one.
+    /// Returns the destination pool of the move, if there is one.
     pub fn destination(&self) -> Option<&str> {
         match self {
             Phase::Joining | Phase::Member => None,
@@ -62,7 +61,8 @@
 }
 
 impl Place {
-    /// A place in the pool `home`, from the log index `epoch` on.
+    /// Returns the place of an instance that joins `pool`, its configured pool, at the
+    /// log index `epoch`.
     pub(crate) fn joining(pool: &str, epoch: u64) -> Place {
         Place {
             pool: pool.into(),
--- a/crates/cleat-world/src/maintenance/wave.rs
+++ b/crates/cleat-world/src/maintenance/wave.rs
@@ -1,4 +1,4 @@
-//! One pass of maintenance over a pool.
+//! Maintenance waves: one round of maintenance of all instances of a pool.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -8,39 +8,40 @@
 pub struct Wave {
     /// The log index of the command that started it, unique among waves.
     pub id: u64,
-    /// While set, no further instance is taken; those under way finish.
+    /// While set, no further instance starts maintenance; those in progress finish.
     pub paused: bool,
-    /// The instances of the pool. Invariant: each is in the pool now.
+    /// The instances to maintain. Invariant: each currently belongs to the pool.
     pub instances: IndexMap<Box<str>, StepState>,
 }
 
-/// How far one instance is.
+/// The progress of an instance in a wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepState {
-    /// Its step.
+    /// The current step.
     pub step: Step,
-    /// The log index of the command that brought the step.
+    /// The log index of the command that set the step.
     pub epoch: u64,
 }
 
-/// The steps of maintenance of one instance.
+/// The steps of the maintenance of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// Not begun.
+    /// Maintenance has not started.
     Waiting,
-    /// Nothing new is sent to it; requests in progress finish.
+    /// The instance gets no new requests, while those in progress finish.
     Draining,
-    /// The platform reboots it.
+    /// The platform reboots the instance.
     Rebooting,
-    /// It is back and has to prove itself before it counts as available.
+    /// The instance is back and has to serve for the probation time without
+    /// interruption before it counts as available.
     Probation,
-    /// Maintained.
+    /// Maintenance is complete.
     Done,
-    /// It could not be maintained, and counts as away until it has proved
-    /// itself.
+    /// Maintenance failed. The instance counts as away until it has served for the
+    /// probation time without interruption.
     Failed,
-    /// It serves again after a failure, without having been maintained.
+    /// The instance serves again after a failure, without having been maintained.
     Skipped,
 }
 
@@ -50,17 +51,17 @@
         !matches!(self, Step::Waiting | Step::Done | Step::Skipped)
     }
 
-    /// Whether targets on the instance get no requests.
+    /// Whether targets on the instance get no new requests.
     pub fn blocks_requests(self) -> bool {
         matches!(self, Step::Draining | Step::Rebooting)
     }
 
-    /// Whether the wave has nothing left to do with the instance.
+    /// Whether the wave has no further work to do on the instance.
     pub fn is_final(self) -> bool {
         matches!(self, Step::Done | Step::Failed | Step::Skipped)
     }
 
-    /// Whether the step `to` may follow.
+    /// Whether the step `to` may follow this one.
     pub fn can_transition_to(self, to: Step) -> bool {
         matches!(
             (self, to),
@@ -79,7 +80,7 @@
         self.instances.values().all(|state| state.step.is_final())
     }
 
-    /// The step of an instance, if it is in the wave.
+    /// Returns the step of an instance, if it is part of the wave.
     pub fn step(&self, instance: &str) -> Option<Step> {
         self.instances.get(instance).map(|state| state.step)
     }
--- a/crates/cleat-world/src/state/answer_cache.rs
+++ b/crates/cleat-world/src/state/answer_cache.rs
@@ -1,32 +1,33 @@
-//! Command ids and the answers that their first use got.
+//! The answers to commands by command id, so that a repeated command gets the first
+//! answer.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
 use crate::Answer;
 
-/// How many command ids are remembered with their answers: more than a day's
-/// changes at the size planned for.
+/// The maximum number of stored command ids: more than the changes of a day at the
+/// fleet size that the system is designed for.
 const MAX_COMMAND_IDS: usize = 4_096;
-/// How long a command id is remembered, in milliseconds: a week.
+/// The retention time of a command id, in milliseconds: a week.
 const COMMAND_ID_RETENTION_MS: u64 = 7 * 24 * 60 * 60 * 1_000;
 
-/// An answer remembered for a command that is sent again.
+/// An answer that is stored for a repeated command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct CachedAnswer {
     at_ms: u64,
     answer: Answer,
 }
 
-/// The ids of commands with their answers, bounded by age and count.
+/// Command ids with their answers, bounded by age and number.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct AnswerCache {
-    /// In the order of arrival.
+    /// In the order of insertion, so the oldest is first.
     by_id: IndexMap<Box<str>, CachedAnswer>,
 }
 
 impl AnswerCache {
-    /// The answer that the first command of this id got.
+    /// Returns the answer to the first command with this id.
     pub(super) fn get(&mut self, id: &str, now_ms: u64) -> Option<Answer> {
         self.evict_expired(now_ms);
         self.by_id.get(id).map(|first| first.answer.clone())
--- a/crates/cleat-world/src/state/apply.rs
+++ b/crates/cleat-world/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! One command at a time, the same on every instance.
+//! Applies commands to the state, with the same result on every entry instance.
 
 use super::World;
 use super::config::LogPosition;
@@ -9,8 +9,8 @@
 };
 
 impl World {
-    /// Applies the command at log index `index` and gives its answer. A
-    /// command id that was used before gets its first answer again.
+    /// Applies the command at the log index `index` and returns its answer. A command
+    /// id that was used before gets the answer to its first use.
     pub fn apply(&mut self, index: u64, command: Command) -> Answer {
         self.now_ms = self.now_ms.max(command.at_ms);
         let Some(id) = command.body.command_id().map(Box::from) else {
@@ -34,7 +34,7 @@
             CommandBody::BeginIncarnation(begin) => return self.begin_incarnation(begin),
             _ => {}
         }
-        // All that follows may concern the request path.
+        // All other commands may affect the request path.
         self.generation += 1;
         match body {
             CommandBody::ApplyConfig(change) => Answer::Config(self.apply_config(change, index)),
@@ -77,8 +77,9 @@
         answer
     }
 
-    /// Refuses a budget that holds now and would not hold afterwards. Moves
-    /// that the configuration declares wait for room, so they break none.
+    /// Refuses a configuration under which a pool that is within its availability
+    /// budget would exceed it. Moves that the configuration declares start only when
+    /// the budget allows them, so they cannot exceed it.
     fn check_budgets(&self, fleet: &FleetConfig) -> Result<(), ConfigAnswer> {
         for (_, name, pool) in fleet.pools.iter() {
             if !self
@@ -97,8 +98,8 @@
         Ok(())
     }
 
-    /// How many of the pool's present instances would be away under `fleet`.
-    /// One that is removed, or whose services are, is no longer promised.
+    /// Returns how many of the pool's current instances would be away under `fleet`. The
+    /// budget no longer covers an instance that is removed, or whose services are.
     fn away_under(&self, fleet: &FleetConfig, pool: &str) -> u64 {
         let rules = PlacementRules {
             fleet,
--- a/crates/cleat-world/src/state/budget.rs
+++ b/crates/cleat-world/src/state/budget.rs
@@ -1,23 +1,24 @@
-//! How many instances of a pool are away, and how many may be.
+//! The availability of pools: how many instances are away, and how many may be.
 
 use super::World;
 use crate::{Phase, Place, Step};
 
-/// What a pool has and may lack.
+/// The availability of the instances of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Availability {
-    /// Its instances, on the move out of it or not.
+    /// The number of instances, including those that are leaving the pool.
     pub instances: u64,
-    /// How many of them are away, for whatever cause.
+    /// The number of instances that are away, for any reason.
     pub away: u64,
-    /// How many have joined and not served yet; they do not count as away.
+    /// The number of instances that have joined but not served yet. They do not count as
+    /// away.
     pub joining: u64,
-    /// How many may be away at once.
+    /// The number of instances that may be away at once.
     pub budget: u64,
 }
 
 impl Availability {
-    /// Whether no more instances are away than the budget allows.
+    /// Whether the number of instances that are away does not exceed the budget.
     pub fn is_within_budget(self) -> bool {
         self.away <= self.budget
     }
@@ -29,7 +30,7 @@
 }
 
 impl World {
-    /// What the pool has and may lack; `None` for an unknown pool.
+    /// Returns the availability of the pool, or `None` for an unknown pool.
     pub fn availability(&self, pool: &str) -> Option<Availability> {
         let budget = self.config.fleet.pools.by_name(pool)?.availability_budget;
         let mut availability = Availability {
@@ -46,7 +47,7 @@
         Some(availability)
     }
 
-    /// The instances of the pool with their places.
+    /// Iterates over the instances of the pool with their places.
     pub fn places_in<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (&'a str, &'a Place)> {
         let places = self.places.iter();
         let here = places.filter(move |(_, place)| &*place.pool == pool);
@@ -68,12 +69,12 @@
         }
     }
 
-    /// Whether a target on the instance is announced.
+    /// Whether a target is announced on the instance.
     pub fn has_target(&self, instance: &str) -> bool {
         self.targets.has_on(instance)
     }
 
-    /// The step of an instance in the wave of its pool.
+    /// Returns the step of an instance in the latest wave of its pool.
     pub(super) fn step_of(&self, instance: &str, place: &Place) -> Option<Step> {
         self.waves.get(&place.pool)?.step(instance)
     }
@@ -82,8 +83,11 @@
         place.phase == Phase::Joining && !self.is_away(instance)
     }
 
-    /// Whether the pool may do without the instance too: it is away already,
-    /// or the budget has room for one more.
+    /// Checks that the instance may be away: it already is, or the budget of the pool
+    /// allows one more.
+    ///
+    /// # Errors
+    /// The availability of the pool, if its budget is used up.
     pub(super) fn check_away_budget(&self, instance: &str, pool: &str) -> Result<(), Availability> {
         match self.availability(pool) {
             Some(availability) if !self.is_away(instance) && !availability.has_budget_left() => {
--- a/crates/cleat-world/src/state/config.rs
+++ b/crates/cleat-world/src/state/config.rs
@@ -1,63 +1,63 @@
-//! The configuration in force and its history.
+//! The current configuration and its history.
 
 use std::sync::Arc;
 
 use cleat_json::Fault;
 use serde::{Deserialize, Serialize};
-
 use serde_json::Value;
 
 use crate::{ApplyConfig, ConfigAnswer, FleetConfig, ProposedConfig, merge};
 
-/// How many versions `history` goes back.
+/// The maximum number of versions in the history.
 const HISTORY_LENGTH: usize = 64;
-/// One accepted version.
+
+/// An accepted version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecord {
-    /// Counts 1, 2, 3…
+    /// The version: 1, 2, 3…
     pub version: u64,
-    /// The log index from which it is in force.
+    /// The log index of the command that set the version.
     pub index: u64,
-    /// The command that brought it, if it had an id.
+    /// The id of the command that set the version, if it had one.
     pub command_id: Option<Box<str>>,
-    /// When, in the state's clock (ms since the Unix epoch).
+    /// The time of the command on the clock of the state, in ms since the Unix epoch.
     pub at_ms: u64,
-    /// The length of the configuration, in bytes.
+    /// The size of the configuration text, in bytes.
     pub bytes: u64,
 }
 
-/// When a command is applied.
+/// The log index and the time at which a command is applied.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LogPosition {
-    /// Its log index.
+    /// The log index of the command.
     pub(super) index: u64,
-    /// The state's clock (ms).
+    /// The time on the clock of the state, in ms.
     pub(super) ms: u64,
 }
 
-/// A configuration that was read and found valid.
+/// A proposed configuration that was parsed and is valid.
 pub(super) struct Proposal {
     pub(super) text: Box<str>,
     pub(super) fleet: FleetConfig,
 }
 
-/// The part of the state that concerns the configuration.
+/// The configuration part of the state.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ConfigState {
-    /// Invariant: 0 before the first accepted configuration, then one more
-    /// with each; it never goes back.
+    /// Invariant: 0 before the first accepted configuration, then incremented with
+    /// each, and never decremented.
     pub(super) version: u64,
-    /// The text of the version in force, empty at version 0.
+    /// The text of the current version, empty at version 0.
     pub(super) text: Box<str>,
-    /// The newest last, at most [`HISTORY_LENGTH`].
+    /// The accepted versions, at most [`HISTORY_LENGTH`], with the newest last.
     pub(super) history: Vec<ConfigRecord>,
-    /// `text` as read; derived, so it is not in snapshots.
+    /// The parsed form of `text`, which is derived and so not part of snapshots.
     #[serde(skip)]
     pub(super) fleet: Arc<FleetConfig>,
 }
 
 impl ConfigState {
-    /// Reads `text` again after a snapshot was restored.
+    /// Parses `text` after a snapshot is restored.
     pub(super) fn reparse(&mut self) -> Result<(), Box<[Fault]>> {
         if self.version > 0 {
             self.fleet = Arc::new(read(&self.text)?);
@@ -65,10 +65,10 @@
         Ok(())
     }
 
-    /// Reads a proposal without changing anything.
+    /// Parses a proposal without changing the state.
     ///
     /// # Errors
-    /// The answer that refuses it.
+    /// The answer that refuses the proposal.
     pub(super) fn check(&self, change: &ApplyConfig) -> Result<Proposal, ConfigAnswer> {
         if change.expect != self.version {
             let last = self.history.last();
@@ -84,7 +84,8 @@
         }
     }
 
-    /// A patch is relative to the version in force, which is the expected one.
+    /// Returns the text of the proposed configuration. A patch is relative to the current
+    /// version, which is the expected one.
     fn resulting_text(&self, proposed: &ProposedConfig) -> Box<str> {
         match proposed {
             ProposedConfig::Whole(text) => text.clone(),
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Brings a checked proposal into force.
+    /// Makes a checked proposal the current configuration.
     pub(super) fn accept(
         &mut self,
         proposal: Proposal,
@@ -126,8 +127,8 @@
     FleetConfig::parse(&parse_json(text))
 }
 
-/// Proposals are built from parsed documents, so text that is no JSON reads
-/// as null, which is refused as a wrong type.
+/// Parses JSON text. Proposals are built from parsed documents, so invalid JSON is not
+/// expected; it is read as null, which the parser refuses as a wrong type.
 fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_default()
 }
--- a/crates/cleat-world/src/state/mod.rs
+++ b/crates/cleat-world/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state and how commands change it.
+//! The replicated state and the effects of commands on it.
 
 mod answer_cache;
 mod apply;
--- a/crates/cleat-world/src/state/places.rs
+++ b/crates/cleat-world/src/state/places.rs
@@ -1,10 +1,10 @@
-//! Moves of instances between pools.
+//! Moves of instances between pools, and their places after a new configuration.
 
 use super::World;
 use crate::{AdvanceMove, FleetConfig, MoveAnswer, MoveInstance, Phase, Place, Step};
 
 impl World {
-    /// Starts a move that an operator wants.
+    /// Starts a move by order of an operator.
     pub(super) fn move_instance(&mut self, change: &MoveInstance, index: u64) -> MoveAnswer {
         let Some(place) = self.places.get(&change.instance) else {
             return MoveAnswer::UnknownInstance;
@@ -22,8 +22,9 @@
         self.start_leaving(&change.instance, to, index)
     }
 
-    /// Takes a move one phase on, if it is still in the phase it was decided
-    /// in. The budget is checked here, at the only place where it is certain.
+    /// Advances a move to its next phase, if it is still in the phase in which the
+    /// command was proposed. The budget is checked here because a check before the
+    /// proposal may be based on an outdated state.
     pub(super) fn advance_move(&mut self, change: &AdvanceMove, index: u64) -> MoveAnswer {
         let Some(place) = self.places.get_mut(&change.instance) else {
             return MoveAnswer::UnknownInstance;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// From here on nothing new is sent to the instance.
+    /// Starts moving the instance, which gets no new requests from now on.
     fn start_leaving(&mut self, instance: &str, to: Box<str>, index: u64) -> MoveAnswer {
         let Some(place) = self.places.get(instance) else {
             return MoveAnswer::UnknownInstance;
@@ -73,9 +74,10 @@
         MoveAnswer::Moving { epoch: index }
     }
 
-    /// Gives each configured instance its place: a new one joins its pool,
-    /// one whose declared pool changed is ordered to move, one that is gone
-    /// has none, and a pool that is gone sends its instances home.
+    /// Reconciles the places of all instances with the configuration. A new instance
+    /// joins its configured pool, an instance whose configured pool changed is ordered to
+    /// move, a removed instance loses its place, and the instances of a removed pool join
+    /// their configured pools.
     pub(super) fn reconcile_places(&mut self, index: u64) {
         let fleet = self.config.fleet.clone();
         self.places
@@ -88,7 +90,7 @@
             let step = wave.and_then(|wave| wave.step(name));
             let idle = place.phase == Phase::Joining && !step.is_some_and(Step::is_away);
             if idle && &*place.pool != configured && &*place.configured_pool != configured {
-                // Nothing was ever sent to it there, so nothing has to end.
+                // The instance never got a request in that pool, so no drain is needed.
                 *place = Place::joining(configured, index);
             }
             reconcile_place(place, configured, &fleet, index);
@@ -97,16 +99,18 @@
     }
 }
 
+/// Reconciles the place of one instance with its configured pool.
 fn reconcile_place(place: &mut Place, configured: &str, fleet: &FleetConfig, index: u64) {
     if fleet.pools.find(&place.pool).is_none() {
-        // A pool that is gone has no services, so nothing is in progress for
-        // it that a drain would protect.
+        // A removed pool has no services, so there are no requests in progress that a
+        // drain would protect.
         *place = Place::joining(configured, index);
         return;
     }
     let lost = |to: &str| fleet.pools.find(to).is_none();
     if place.phase.destination().is_some_and(lost) {
-        // It stays, and is missing until its target is announced again.
+        // The destination was removed, so the instance stays in its pool. It counts as
+        // away until its target is announced again.
         place.enter(Phase::Member, index);
     }
     if &*place.configured_pool == configured {
--- a/crates/cleat-world/src/state/targets.rs
+++ b/crates/cleat-world/src/state/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that announced themselves.
+//! The announced targets.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,21 @@
     Announce, Announcement, FleetConfig, Place, Step, TargetAnswer, Wave, Withdraw, WithdrawCause,
 };
 
-/// A target that takes requests.
+/// An announced target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// What it says of itself.
+    /// The properties that the target declares.
     pub announcement: Announcement,
-    /// The log index of the announcement: a later one fences an earlier.
+    /// The log index of the announcement. A later incarnation fences off an earlier one.
     pub incarnation: u64,
 }
 
-/// Every target by name.
+/// All announced targets by name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Targets {
     pub(super) by_name: IndexMap<Box<str>, Target>,
-    /// How many run on each instance. Invariant: as in `by_name`, no zeros.
+    /// The number of targets on each instance. Invariant: matches `by_name`, without
+    /// zeros.
     count_by_instance: IndexMap<Box<str>, u32>,
 }
 
@@ -62,14 +63,14 @@
         TargetAnswer::Withdrawn
     }
 
-    /// Drops what a new configuration no longer has a place for.
+    /// Removes the targets that are not valid under a new configuration.
     pub(super) fn retain_valid(&mut self, rules: &PlacementRules<'_>) {
         let valid = |target: &Target| rules.check(&target.announcement).is_ok();
         self.by_name.retain(|_, target| valid(target));
         self.recount();
     }
 
-    /// Whether targets run on the instance and none of them could stay.
+    /// Whether the instance has targets and the rules reject the place of every one.
     pub(super) fn rejects_all_on(&self, instance: &str, rules: &PlacementRules<'_>) -> bool {
         let targets = self.by_name.values();
         let mut here = targets
@@ -78,20 +79,21 @@
         here.peek().is_some() && here.all(|target| rules.rejects_place(&target.announcement))
     }
 
-    /// Drops what runs on an instance that leaves or reboots.
+    /// Removes the targets on an instance that leaves its pool or reboots.
     pub(super) fn remove_on_instance(&mut self, instance: &str) {
         let elsewhere = |target: &Target| &*target.announcement.instance != instance;
         self.by_name.retain(|_, target| elsewhere(target));
         self.recount();
     }
 
-    /// Whether a target runs on the instance; asked for each instance
-    /// whenever a budget is looked at.
+    /// Whether the instance has a target. Each check of a budget calls this for every
+    /// instance of the pool, so it must not scan all targets.
     pub(super) fn has_on(&self, instance: &str) -> bool {
         self.count_by_instance.contains_key(instance)
     }
 
-    /// Announcements are rare and already cost as much as this.
+    /// Rebuilds `count_by_instance`. A full pass is cheap enough here: announcements are
+    /// rare and already scan all targets.
     fn recount(&mut self) {
         self.count_by_instance.clear();
         for target in self.by_name.values() {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Where a target may run.
+/// The state that decides where a target may run.
 pub(super) struct PlacementRules<'a> {
     pub(super) fleet: &'a FleetConfig,
     pub(super) places: &'a IndexMap<Box<str>, Place>,
@@ -122,8 +124,8 @@
 }
 
 impl PlacementRules<'_> {
-    /// Whether there is a place for the target: it is the pool that the
-    /// instance is in now which counts, not the configured one.
+    /// Checks whether the target may run on its instance. The current pool of the
+    /// instance decides, not the configured one.
     fn check(&self, announcement: &Announcement) -> Result<(), TargetAnswer> {
         let fleet = self.fleet;
         let service = fleet.services.by_name(&announcement.service);
@@ -148,7 +150,8 @@
         Ok(())
     }
 
-    /// Whether the place is wrong, not the service gone.
+    /// Whether the rules reject the place of the target, rather than its service because
+    /// that was removed.
     fn rejects_place(&self, announcement: &Announcement) -> bool {
         let checked = self.check(announcement);
         matches!(checked, Err(refusal) if refusal != TargetAnswer::UnknownService)
--- a/crates/cleat-world/src/state/waves.rs
+++ b/crates/cleat-world/src/state/waves.rs
@@ -6,7 +6,7 @@
 use crate::{Phase, StartWave, Step, StepInstance, StepState, Wave, WaveAnswer};
 
 impl World {
-    /// Starts a wave over all instances that the pool has now.
+    /// Starts a wave over all current instances of the pool.
     pub(super) fn start_wave(&mut self, change: &StartWave, index: u64) -> WaveAnswer {
         if self.config.fleet.pools.find(&change.pool).is_none() {
             return WaveAnswer::UnknownPool;
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Takes an instance one step on, if it is still in the step that this
-    /// was decided in. The budget is checked here, at the only place where
-    /// it is certain.
+    /// Advances an instance to its next step, if it is still in the step in which the
+    /// command was proposed. The budget is checked here because a check before the
+    /// proposal may be based on an outdated state.
     pub(super) fn step_instance(&mut self, change: &StepInstance, index: u64) -> WaveAnswer {
         let Some(wave) = self.waves.get(&change.pool) else {
             return WaveAnswer::NoWave;
@@ -64,8 +64,8 @@
             if wave.paused || !self.is_maintainable(&change.instance) {
                 return WaveAnswer::Stale;
             }
-            // An instance that joins is no part of the promise yet, but it
-            // counts as away while it is maintained.
+            // The budget does not cover an instance that is joining, but the instance
+            // counts as away during maintenance.
             if let Err(availability) = self.check_away_budget(&change.instance, &change.pool) {
                 let (away, budget) = (availability.away, availability.budget);
                 return WaveAnswer::OverBudget { away, budget };
@@ -89,7 +89,8 @@
         place.is_some_and(|place| matches!(place.phase, Phase::Joining | Phase::Member))
     }
 
-    /// Keeps in each wave only the instances that are in its pool.
+    /// Removes the waves of removed pools, and from each other wave the instances that no
+    /// longer belong to its pool.
     pub(super) fn prune_waves(&mut self) {
         let (places, fleet) = (&self.places, &self.config.fleet);
         self.waves
--- a/crates/cleat-world/src/state/world.rs
+++ b/crates/cleat-world/src/state/world.rs
@@ -13,96 +13,98 @@
 use crate::command::to_bytes;
 use crate::{FleetConfig, KeyTable, Place, Step, Wave};
 
-/// The state that every instance computes from the replicated log.
+/// The state that every entry instance computes from the replicated log.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct World {
-    /// The latest time any command carried (ms). Invariant: never runs back.
+    /// The clock of the state: the latest time of any command, in ms. Invariant: never
+    /// decreases.
     pub(super) now_ms: u64,
-    /// Grows with each change of the configuration, the targets, or the
-    /// places and maintenance of instances.
+    /// Incremented by each command that may change the configuration, the targets, or
+    /// the places and maintenance of instances.
     pub(super) generation: u64,
     pub(super) config: ConfigState,
     pub(super) targets: Targets,
     pub(super) keys: KeyTable,
-    /// The current incarnation of each of the system's own instances.
+    /// The current incarnation of each entry instance.
     pub(super) incarnations: IndexMap<Box<str>, u64>,
-    /// The place of each configured instance. Invariant: one each.
+    /// The place of each configured instance. Invariant: exactly one each.
     pub(super) places: IndexMap<Box<str>, Place>,
     /// The latest maintenance wave of each pool.
     pub(super) waves: IndexMap<Box<str>, Wave>,
-    /// The answers of commands that may be sent again.
+    /// The answers to commands that may be repeated.
     pub(super) answer_cache: AnswerCache,
 }
 
-/// A snapshot that could not be restored.
+/// Why a snapshot could not be restored.
 #[derive(Debug, Snafu)]
 pub enum RestoreError {
-    /// The bytes are not a snapshot of this format; run the same version on
-    /// all instances.
+    /// The bytes are not a snapshot of this format. Run the same version on all
+    /// instances.
     #[snafu(display("the snapshot is not of this version's format"))]
     NotASnapshot {
-        /// What the codec says.
+        /// The error of the codec.
         source: postcard::Error,
     },
-    /// The configuration in the snapshot has faults by this version's rules;
-    /// run the version that accepted it.
+    /// The configuration in the snapshot is not valid in this version. Run the version
+    /// that accepted it.
     #[snafu(display("the configuration in the snapshot has {} faults", faults.len()))]
     ConfigRefused {
-        /// Every fault found.
+        /// All faults of the configuration.
         faults: Box<[Fault]>,
     },
 }
 
 impl World {
-    /// The version of the configuration, 0 before the first.
+    /// Returns the version of the current configuration, 0 before the first.
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// Grows with each change of what the request path needs: the
-    /// configuration and the targets.
+    /// Returns a number that grows with each change that may affect the request path:
+    /// of the configuration, the targets, or the places and maintenance of instances.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The current incarnation of one of the system's own instances.
+    /// Returns the current incarnation of an entry instance.
     pub fn incarnation(&self, entry: &str) -> Option<u64> {
         self.incarnations.get(entry).copied()
     }
 
-    /// The configuration.
+    /// Returns the current configuration.
     pub fn fleet(&self) -> &Arc<FleetConfig> {
         &self.config.fleet
     }
 
-    /// The configuration as accepted, empty at version 0.
+    /// Returns the text of the current configuration, empty at version 0.
     pub fn config_text(&self) -> &str {
         &self.config.text
     }
 
-    /// Accepted versions, the newest last.
+    /// Returns the latest accepted versions, with the newest last.
     pub fn history(&self) -> &[ConfigRecord] {
         &self.config.history
     }
 
-    /// The targets by name.
+    /// Returns the targets by name.
     pub fn targets(&self) -> &IndexMap<Box<str>, Target> {
         &self.targets.by_name
     }
 
-    /// The targets that take requests: those on instances that do not drain
-    /// or reboot. Targets on instances that leave their pool are withdrawn.
+    /// Iterates over the targets that may get new requests: those on instances that are
+    /// not draining or rebooting. Targets on instances that leave their pool are already
+    /// removed.
     pub fn serving_targets(&self) -> impl Iterator<Item = (&Box<str>, &Target)> {
         let targets = self.targets.by_name.iter();
         targets.filter(|(_, target)| !self.is_blocked(&target.announcement.instance))
     }
 
-    /// The place of each configured instance.
+    /// Returns the place of each configured instance.
     pub fn places(&self) -> &IndexMap<Box<str>, Place> {
         &self.places
     }
 
-    /// The latest maintenance wave of each pool.
+    /// Returns the latest maintenance wave of each pool.
     pub fn waves(&self) -> &IndexMap<Box<str>, Wave> {
         &self.waves
     }
@@ -113,20 +115,21 @@
         step.is_some_and(Step::blocks_requests)
     }
 
-    /// The claimed idempotency keys.
+    /// Returns the claimed idempotency keys.
     pub fn keys(&self) -> &KeyTable {
         &self.keys
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Box<[u8]> {
         to_bytes(self)
     }
 
-    /// Reads what [`World::snapshot`] wrote.
+    /// Decodes the output of [`World::snapshot`].
     ///
     /// # Errors
-    /// [`RestoreError`] if the bytes are of another format.
+    /// [`RestoreError`] if the bytes have another format, or if the configuration in them
+    /// is not valid in this version.
     pub fn restore(bytes: &[u8]) -> Result<World, RestoreError> {
         let mut world: World = postcard::from_bytes(bytes).context(NotASnapshotSnafu)?;
         let parsed = world.config.reparse();
--- a/crates/cleat-world/tests/moves.rs
+++ b/crates/cleat-world/tests/moves.rs
@@ -1,4 +1,4 @@
-//! One pool for each instance, always.
+//! Moves of instances between pools: each instance always belongs to exactly one pool.
 
 #[allow(dead_code)]
 mod support;
@@ -14,7 +14,7 @@
         f.move_to("a1", "b", None),
         MoveAnswer::Moving { .. }
     ));
-    // Nothing new is sent to it, and it announces nothing.
+    // A leaving instance gets no new requests, and its announcements are rejected.
     assert!(!f.serving_names().contains(&"a1"));
     assert_eq!(f.announce("a1"), TargetAnswer::InstanceAway);
     assert_eq!((f.away("a"), f.away("b")), (1, 0));
@@ -23,7 +23,7 @@
     f.advance("a1", Phase::Joining);
     assert_eq!(&*f.world.places()["a1"].pool, "b");
     assert_eq!((f.away("a"), f.away("b")), (0, 0));
-    f.announced("a1");
+    f.announce_accepted("a1");
     assert_eq!(f.world.places()["a1"].phase, Phase::Member);
     assert_eq!(
         f.world.availability("b").map(|found| found.instances),
@@ -36,14 +36,14 @@
 #[test]
 fn move_over_budget_is_refused() {
     let mut f = Fixture::serving(3, 3, 1);
-    f.fail("a2");
+    f.withdraw_target("a2");
     let refused = MoveAnswer::OverBudget {
         pool: "a".into(),
         away: 1,
         budget: 1,
     };
     assert_eq!(f.move_to("a1", "b", None), refused);
-    // The one that is away already makes no other away.
+    // Moving an instance that is already away does not make another one away.
     assert!(matches!(
         f.move_to("a2", "b", None),
         MoveAnswer::Moving { .. }
@@ -60,13 +60,13 @@
     assert_eq!(f.move_to("a1", "b", None), first);
     let under_way = MoveAnswer::MoveInProgress { to: "b".into() };
     assert_eq!(f.move_to("a1", "a", None), under_way);
-    // The same id gets the first answer, whatever became of it since.
+    // A repeated command id gets the first answer, even though the phase has changed.
     f.advance("a1", drained("b"));
     assert_eq!(f.move_to("a1", "b", Some("id-1")), first);
 }
 
 #[test]
-fn advance_late_changes_nothing() {
+fn advance_from_an_earlier_epoch_is_stale() {
     let mut f = Fixture::serving(3, 3, 2);
     f.move_to("a1", "b", None);
     let epoch = f.world.places()["a1"].epoch;
@@ -76,17 +76,17 @@
         f.advance("a1", Phase::Joining);
     }
     f.move_to("a1", "b", None);
-    // A leader that was frozen meanwhile decided this in the first move,
-    // which went to the same pool.
+    // A leader that was paused proposes this command in the epoch of the first move,
+    // which had the same destination.
     let late = f.advance_from("a1", epoch, drained("b"));
     assert_eq!(late, MoveAnswer::Stale);
     assert_eq!(f.world.places()["a1"].phase, leaving("b"));
-    // A phase cannot be left out.
+    // A phase cannot be skipped.
     assert_eq!(f.advance("a1", Phase::Joining), MoveAnswer::Stale);
 }
 
 #[test]
-fn config_home_declared_anew_orders_a_move() {
+fn config_pool_change_orders_a_move() {
     let mut f = Fixture::serving(3, 3, 1);
     let mut changed = config(3, 3, 1);
     for name in ["a1", "a2"] {
@@ -96,7 +96,7 @@
         changed["pools"]["b"]["instances"][name] = instance.expect("an instance");
     }
     assert_eq!(f.config(&changed), accepted(2));
-    // Both wait for room; both serve meanwhile.
+    // Both moves wait for the budget, and both instances serve until then.
     assert_eq!(f.away("a"), 0);
     assert_eq!(f.serving_names().len(), 6);
     assert!(matches!(
@@ -107,23 +107,23 @@
         f.advance("a2", leaving("b")),
         MoveAnswer::OverBudget { .. }
     ));
-    // Declared back: the one that has not left stays.
+    // With the old configuration again, the instance that has not left stays.
     f.config(&config(3, 3, 1));
     assert_eq!(f.world.places()["a2"].phase, Phase::Member);
     assert_eq!(f.world.places()["a1"].phase, leaving("a"));
 }
 
 #[test]
-fn config_home_of_one_that_never_served_changes_at_once() {
+fn config_pool_change_is_immediate_before_the_first_target() {
     let mut f = Fixture::serving(3, 3, 1);
-    f.fail("a1");
+    f.withdraw_target("a1");
     let declared = |name: &str, pool: &str| {
         let mut config = config(3, 3, 1);
         config["pools"][pool]["instances"][name] = json!({"data_centre": "dc1", "rack": "k"});
         config
     };
     f.config(&declared("c1", "a"));
-    // It moves, and moves back, without ever counting as away.
+    // The instance changes pools twice without ever counting as away.
     for pool in ["b", "a"] {
         assert!(matches!(
             f.config(&declared("c1", pool)),
@@ -136,12 +136,12 @@
 }
 
 #[test]
-fn config_pool_withdrawn_sends_its_instances_home() {
+fn config_pool_removal_returns_instances_to_configured_pools() {
     let mut f = Fixture::serving(3, 3, 1);
     f.move_to("a1", "b", None);
     f.advance("a1", drained("b"));
     f.advance("a1", Phase::Joining);
-    f.announced("a1");
+    f.announce_accepted("a1");
     f.move_to("a2", "b", None);
     let mut without = config(3, 3, 1);
     for (group, name) in [("pools", "b"), ("services", "serve-b")] {
@@ -156,17 +156,17 @@
             .clone()
             .all(|place| &*place.pool == "a" && place.phase.accepts_targets())
     );
-    // The one that had not left yet is still promised, and is missing.
+    // The budget still covers the instance that had not left, which has no target now.
     assert_eq!(f.away("a"), 1);
-    f.announced("a1");
-    f.announced("a2");
+    f.announce_accepted("a1");
+    f.announce_accepted("a2");
     assert_eq!(f.away("a"), 0);
 }
 
 #[test]
-fn config_that_breaks_a_budget_now_is_refused() {
+fn config_over_a_budget_is_refused() {
     let mut f = Fixture::serving(3, 3, 1);
-    f.fail("a1");
+    f.withdraw_target("a1");
     let refused = ConfigAnswer::OverBudget {
         pool: "a".into(),
         away: 1,
@@ -174,8 +174,8 @@
     };
     assert_eq!(f.config(&config(3, 3, 0)), refused);
     assert_eq!(f.world.version(), 1);
-    // A service that changes pools takes every target's place away.
-    f.announced("a1");
+    // A service that changes pools makes the place of each of its targets invalid.
+    f.announce_accepted("a1");
     let mut swapped = config(3, 3, 1);
     swapped["services"]["serve-a"]["pool"] = "b".into();
     assert!(matches!(
--- a/crates/cleat-world/tests/support/mod.rs
+++ b/crates/cleat-world/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of two pools whose commands are applied one by one.
+//! A fleet of two pools, with helpers that apply one command each.
 
 use cleat_world::{
     AdvanceMove, Announce, Announcement, Answer, ApplyConfig, Command, CommandBody, ConfigAnswer,
@@ -14,14 +14,14 @@
 }
 
 impl Fixture {
-    /// Pools `a` of `a1`… and `b` of `b1`…, two instances a rack, every
-    /// instance with a target.
+    /// The pool `a` with the instances `a1`…, and the pool `b` with `b1`…: two instances
+    /// per rack, each with a target.
     pub(crate) fn serving(a: u16, b: u16, budget: u64) -> Fixture {
         let mut f = Fixture::default();
         assert_eq!(f.config(&config(a, b, budget)), accepted(1));
         for (pool, count) in [("a", a), ("b", b)] {
             for i in 1..=count {
-                f.announced(&format!("{pool}{i}"));
+                f.announce_accepted(&format!("{pool}{i}"));
             }
         }
         f
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(crate) fn announced(&mut self, instance: &str) {
+    pub(crate) fn announce_accepted(&mut self, instance: &str) {
         let answer = self.announce(instance);
         assert!(
             matches!(answer, TargetAnswer::Announced { .. }),
@@ -76,8 +76,8 @@
         );
     }
 
-    /// The instance's target is gone.
-    pub(crate) fn fail(&mut self, instance: &str) {
+    /// Withdraws the target of the instance.
+    pub(crate) fn withdraw_target(&mut self, instance: &str) {
         self.run(CommandBody::Withdraw(Withdraw {
             name: format!("t-{instance}").into(),
             cause: WithdrawCause::Left,
@@ -85,14 +85,14 @@
     }
 
     pub(crate) fn move_to(&mut self, instance: &str, to: &str, id: Option<&str>) -> MoveAnswer {
-        self.moved(CommandBody::MoveInstance(MoveInstance {
+        self.run_move_command(CommandBody::MoveInstance(MoveInstance {
             instance: instance.into(),
             to: to.into(),
             command_id: id.map(Into::into),
         }))
     }
 
-    /// Takes the move on from the phase that the instance is in.
+    /// Advances the move from its current phase.
     pub(crate) fn advance(&mut self, instance: &str, phase: Phase) -> MoveAnswer {
         let epoch = self.world.places()[instance].epoch;
         self.advance_from(instance, epoch, phase)
@@ -100,14 +100,14 @@
 
     pub(crate) fn advance_from(&mut self, instance: &str, epoch: u64, phase: Phase) -> MoveAnswer {
         let instance = instance.into();
-        self.moved(CommandBody::AdvanceMove(AdvanceMove {
+        self.run_move_command(CommandBody::AdvanceMove(AdvanceMove {
             instance,
             epoch,
             phase,
         }))
     }
 
-    fn moved(&mut self, body: CommandBody) -> MoveAnswer {
+    fn run_move_command(&mut self, body: CommandBody) -> MoveAnswer {
         match self.run(body) {
             Answer::Move(answer) => answer,
             other => panic!("{other:?}"),
@@ -116,14 +116,14 @@
 
     pub(crate) fn start_wave(&mut self, pool: &str) -> WaveAnswer {
         let (pool, command_id) = (pool.into(), None);
-        self.wave(CommandBody::StartWave(StartWave { pool, command_id }))
+        self.run_wave_command(CommandBody::StartWave(StartWave { pool, command_id }))
     }
 
-    /// Takes an instance of pool `a` on in the wave under way.
+    /// Advances an instance of the pool `a` in the current wave.
     pub(crate) fn step(&mut self, instance: &str, from: Step, to: Step) -> WaveAnswer {
         let wave = self.world.waves()["a"].id;
         let (pool, instance) = ("a".into(), instance.into());
-        self.wave(CommandBody::StepInstance(StepInstance {
+        self.run_wave_command(CommandBody::StepInstance(StepInstance {
             pool,
             wave,
             instance,
@@ -132,7 +132,7 @@
         }))
     }
 
-    pub(crate) fn wave(&mut self, body: CommandBody) -> WaveAnswer {
+    pub(crate) fn run_wave_command(&mut self, body: CommandBody) -> WaveAnswer {
         match self.run(body) {
             Answer::Wave(answer) => answer,
             other => panic!("{other:?}"),
--- a/crates/cleat-world/tests/waves.rs
+++ b/crates/cleat-world/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Budgets through waves: what `apply` itself refuses.
+//! Maintenance waves: the steps that `World::apply` refuses, and the budget.
 
 #[allow(dead_code)]
 mod support;
@@ -49,11 +49,11 @@
                 assert_eq!(f.announce("a1"), TargetAnswer::InstanceAway);
                 assert!(!serves);
             }
-            Step::Probation => f.announced("a1"),
+            Step::Probation => f.announce_accepted("a1"),
             step => assert_eq!(serves, step == Step::Done, "{pair:?}"),
         }
     }
-    // Late and repeated steps change nothing.
+    // Outdated and repeated steps change nothing.
     for pair in CYCLE.windows(2) {
         assert_eq!(f.step("a1", pair[0], pair[1]), WaveAnswer::Stale);
     }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn wave_paused_takes_no_further_instance() {
+fn wave_paused_starts_no_further_instance() {
     let mut f = Fixture::serving(4, 2, 2);
     let pool: Box<str> = "a".into();
     let pause = |id: &str| {
@@ -70,24 +70,24 @@
             command_id: Some(id.into()),
         })
     };
-    assert_eq!(f.wave(pause("p-0")), WaveAnswer::NoWave);
+    assert_eq!(f.run_wave_command(pause("p-0")), WaveAnswer::NoWave);
     let WaveAnswer::Started { wave } = f.start_wave("a") else {
         panic!("not started");
     };
     assert_eq!(f.start_wave("a"), WaveAnswer::InProgress { wave });
     f.step("a1", CYCLE[0], CYCLE[1]);
-    assert_eq!(f.wave(pause("p-1")), WaveAnswer::Paused);
+    assert_eq!(f.run_wave_command(pause("p-1")), WaveAnswer::Paused);
     assert_eq!(f.step("a2", CYCLE[0], CYCLE[1]), WaveAnswer::Stale);
     assert!(matches!(
         f.step("a1", CYCLE[1], CYCLE[2]),
         WaveAnswer::Stepped { .. }
     ));
-    f.wave(CommandBody::ResumeWave(ResumeWave {
+    f.run_wave_command(CommandBody::ResumeWave(ResumeWave {
         pool: pool.clone(),
         command_id: None,
     }));
-    // The pause sent again gets its first answer and pauses nothing.
-    assert_eq!(f.wave(pause("p-1")), WaveAnswer::Paused);
+    // The repeated pause gets its first answer and does not pause the wave again.
+    assert_eq!(f.run_wave_command(pause("p-1")), WaveAnswer::Paused);
     assert!(matches!(
         f.step("a2", CYCLE[0], CYCLE[1]),
         WaveAnswer::Stepped { .. }
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn wave_loses_the_instances_that_move_away() {
+fn wave_excludes_instances_that_move_away() {
     let mut f = Fixture::serving(3, 2, 1);
     f.move_to("a1", "b", None);
     f.start_wave("a");
--- a/crates/cleat-world/tests/world.rs
+++ b/crates/cleat-world/tests/world.rs
@@ -1,4 +1,4 @@
-//! Commands against the replicated state.
+//! Effects of commands on the replicated state.
 
 use cleat_world::{
     Announce, Announcement, Answer, ApplyConfig, BeginIncarnation, ClaimKey, Command, CommandBody,
@@ -85,8 +85,7 @@
         }
     }
 
-    /// Settles the claim that was made by the first command after the
-    /// configuration.
+    /// Settles the claim that the first command after the configuration made.
     fn settle(&mut self, entry: &str, incarnation: u64, settlement: Settlement) -> Answer {
         self.settle_number(1, entry, incarnation, settlement)
     }
@@ -113,7 +112,7 @@
 }
 
 #[test]
-fn config_equal_versions_one_wins() {
+fn config_conflict_has_one_winner() {
     let mut f = Fixture::default();
     assert_eq!(f.config(0, Some("a"), CONFIG), accepted(1));
     let lost = ConfigAnswer::Refused {
@@ -168,7 +167,7 @@
 }
 
 #[test]
-fn announce_checks_its_place() {
+fn announce_checks_instance_and_address() {
     let mut f = Fixture::configured();
     assert_eq!(
         f.announce("t1", "r9", "dc1", 9001),
@@ -187,7 +186,7 @@
 }
 
 #[test]
-fn withdraw_lapse_spares_a_later_announcement() {
+fn withdraw_after_lapse_leaves_a_later_incarnation() {
     let mut f = Fixture::configured();
     let TargetAnswer::Announced { incarnation, .. } = f.announce("t1", "r1", "dc1", 9001) else {
         panic!("refused");
@@ -206,7 +205,7 @@
 }
 
 #[test]
-fn config_drops_targets_without_a_place() {
+fn config_removes_targets_of_removed_instances() {
     let mut f = Fixture::configured();
     f.announce("t1", "r1", "dc1", 9001);
     f.announce("t2", "r2", "dc2", 9002);
@@ -234,7 +233,7 @@
 }
 
 #[test]
-fn claim_not_run_may_be_claimed_anew() {
+fn claim_not_run_may_be_claimed_again() {
     let mut f = Fixture::configured();
     f.claim_at(1_000, "e1", 7);
     f.settle("e1", 1, Settlement::NotRun);
@@ -245,12 +244,12 @@
 }
 
 #[test]
-fn settle_late_spares_a_later_claim() {
+fn settle_repeated_does_not_end_a_later_claim() {
     let mut f = Fixture::configured();
     f.claim_at(1_000, "e1", 7);
     f.settle("e1", 1, Settlement::NotRun);
     assert_eq!(f.claim_at(1_000, "e1", 7), KeyAnswer::Granted);
-    // The first settlement arrives again; the second claim is in progress.
+    // The first settlement is repeated while the second claim is pending.
     let not_holder = Answer::Key(KeyAnswer::NotHolder);
     assert_eq!(f.settle("e1", 1, Settlement::NotRun), not_holder);
     let busy = KeyAnswer::InProgress { entry: "e1".into() };
@@ -260,7 +259,7 @@
 }
 
 #[test]
-fn claim_of_a_dead_holder_is_unknown() {
+fn claim_of_an_earlier_incarnation_is_unknown() {
     let mut f = Fixture::configured();
     f.claim_at(1_000, "e1", 7);
     f.run(CommandBody::BeginIncarnation(BeginIncarnation {
@@ -273,7 +272,7 @@
 }
 
 #[test]
-fn claim_never_settled_is_unknown_after_its_hold() {
+fn claim_never_settled_is_unknown_after_its_timeout() {
     let mut f = Fixture::configured();
     f.claim_at(1_000, "e1", 7);
     assert_eq!(f.claim_at(6_000, "e2", 7), KeyAnswer::Unknown);
@@ -306,7 +305,7 @@
 }
 
 #[test]
-fn answers_over_the_bound_give_up_the_oldest() {
+fn answers_over_the_limit_evict_the_oldest() {
     const MIB: usize = 1 << 20;
     let mut table = KeyTable::default();
     let mut run = |number: u64, at_ms| {
@@ -342,7 +341,7 @@
     let (oldest, newest) = run(3, 0);
     assert_eq!(oldest, Some(KeyAnswer::RanAnswerNotKept));
     assert!(matches!(newest, Some(KeyAnswer::Ran(_))));
-    // What has been forgotten with its key takes no memory any more.
+    // The answer of an expired key no longer counts towards the limit.
     let (oldest, newest) = run(4, 700_000);
     assert_eq!(oldest, None);
     assert!(matches!(newest, Some(KeyAnswer::Ran(_))));
