--- a/crates/cleat-operate/src/operators/lists.rs
+++ b/crates/cleat-operate/src/operators/lists.rs
@@ -90,13 +90,13 @@
 fn pool_bodies(world: &World) -> impl Iterator<Item = PoolBody<'_>> {
     let pools = world.fleet().pools.iter();
     pools.filter_map(move |(_, name, _)| {
-        let found = world.availability(name)?;
+        let availability = world.availability(name)?;
         Some(PoolBody {
             name,
-            availability_budget: found.budget,
-            instances: found.instances,
-            away: found.away,
-            joining: found.joining,
+            availability_budget: availability.budget,
+            instances: availability.instances,
+            away: availability.away,
+            joining: availability.joining,
         })
     })
 }
--- a/crates/cleat-operate/tests/support/mod.rs
+++ b/crates/cleat-operate/tests/support/mod.rs
@@ -113,9 +113,9 @@
 impl Fixture {
     pub(crate) async fn start() -> Fixture {
         let control = Arc::new(FakeControl::default());
-        let any = || SocketAddr::from(([127, 0, 0, 1], 0));
-        let operators = Listener::bind(any()).await.expect("a port");
-        let targets = Listener::bind(any()).await.expect("a port");
+        let any_port = || SocketAddr::from(([127, 0, 0, 1], 0));
+        let operators = Listener::bind(any_port()).await.expect("a port");
+        let targets = Listener::bind(any_port()).await.expect("a port");
         Fixture {
             operators: operators.local_addr(),
             targets: targets.local_addr(),
--- a/crates/cleat-world/src/fleet/merge.rs
+++ b/crates/cleat-world/src/fleet/merge.rs
@@ -15,8 +15,8 @@
 /// can: a `null` in `wanted` would be applied as a removal.
 pub fn diff(base: &Value, wanted: &Value) -> Option<Value> {
     let patch = difference(base, wanted);
-    let made = merge(base.clone(), &patch);
-    (made == *wanted).then_some(patch)
+    let patched = merge(base.clone(), &patch);
+    (patched == *wanted).then_some(patch)
 }
 
 fn difference(base: &Value, wanted: &Value) -> Value {
--- a/crates/cleat-world/src/keys/table.rs
+++ b/crates/cleat-world/src/keys/table.rs
@@ -5,7 +5,6 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Claim, ClaimState, Settlement};
-
 use crate::{ClaimKey, KeyAnswer, KeyTerms, SettleKey};
 
 /// The maximum total size of the stored answers, in bytes. Above it the oldest answers
@@ -55,10 +54,13 @@
         let Some(claim) = self.claims.get_mut(&settle.key) else {
             return KeyAnswer::NotHolder;
         };
-        let is_holder = matches!(&claim.state, ClaimState::Pending { entry, incarnation, number, .. }
-            if *entry == settle.entry
-                && *incarnation == settle.incarnation
-                && *number == settle.number);
+        let is_holder = matches!(
+            &claim.state,
+            ClaimState::Pending { entry, incarnation, number, .. }
+                if *entry == settle.entry
+                    && *incarnation == settle.incarnation
+                    && *number == settle.number
+        );
         if !is_holder {
             return KeyAnswer::NotHolder;
         }
@@ -82,8 +84,11 @@
     /// no running process knows their outcome.
     pub fn end_other_incarnations(&mut self, entry: &str, incarnation: u64) {
         for claim in self.claims.values_mut() {
-            let is_abandoned = matches!(&claim.state, ClaimState::Pending { entry: e, incarnation: i, .. }
-                if **e == *entry && *i != incarnation);
+            let is_abandoned = matches!(
+                &claim.state,
+                ClaimState::Pending { entry: e, incarnation: i, .. }
+                    if **e == *entry && *i != incarnation
+            );
             if is_abandoned {
                 claim.state = ClaimState::Settled(Settlement::Unknown);
             }
--- a/crates/cleat-world/src/maintenance/commands.rs
+++ b/crates/cleat-world/src/maintenance/commands.rs
@@ -92,7 +92,7 @@
         /// The current maintenance step.
         step: Step,
     },
-    /// The move or the step would exceed the availability budget of the pool.
+    /// The move would exceed the availability budget of the pool.
     OverBudget {
         /// The pool that the instance would leave.
         pool: Box<str>,
@@ -133,11 +133,11 @@
     },
     /// No wave of the pool is in progress.
     NoWave,
-    /// The move or the step would exceed the availability budget of the pool.
+    /// The step would exceed the availability budget of the pool.
     OverBudget {
-        /// The number of its instances that are away.
+        /// The number of instances of the pool that are away.
         away: u64,
-        /// The number of its instances that may be away.
+        /// The number of instances of the pool that may be away.
         budget: u64,
     },
     /// The command was proposed in a wave or step that is no longer current, the wave
--- a/crates/cleat-world/src/state/config.rs
+++ b/crates/cleat-world/src/state/config.rs
@@ -90,8 +90,8 @@
         match proposed {
             ProposedConfig::Whole(text) => text.clone(),
             ProposedConfig::Patch(patch) => {
-                let made = merge(parse_json(&self.text), &parse_json(patch));
-                made.to_string().into()
+                let merged = merge(parse_json(&self.text), &parse_json(patch));
+                merged.to_string().into()
             }
         }
     }
--- a/crates/cleat-world/src/state/places.rs
+++ b/crates/cleat-world/src/state/places.rs
@@ -99,49 +99,34 @@
     }
 }
 
-/// Reconciles the place of one instance with its configured pool.
-fn reconcile_place(place: &mut Place, configured: &str, fleet: &FleetConfig, index: u64) {
+/// Reconciles the place of one instance with `pool`, its configured pool.
+fn reconcile_place(place: &mut Place, pool: &str, fleet: &FleetConfig, index: u64) {
     if fleet.pools.find(&place.pool).is_none() {
         // A removed pool has no services, so there are no requests in progress that a
         // drain would protect.
-        *place = Place::joining(configured, index);
+        *place = Place::joining(pool, index);
         return;
     }
-    let lost = |to: &str| fleet.pools.find(to).is_none();
-    if place.phase.destination().is_some_and(lost) {
-        // The destination was removed, so the instance stays in its pool. It counts as
-        // away until its target is announced again.
+    let is_removed = |to: &str| fleet.pools.find(to).is_none();
+    if place.phase.destination().is_some_and(is_removed) {
+        // The destination was removed, so the instance stays in its pool. If it had
+        // already started to leave, it counts as away until its target is announced again.
         place.enter(Phase::Member, index);
     }
-    if &*place.configured_pool == configured {
+    if &*place.configured_pool == pool {
         return;
     }
-    place.configured_pool = configured.into();
+    place.configured_pool = pool.into();
     match &place.phase {
-        Phase::Joining | Phase::Member | Phase::Ordered { .. } if &*place.pool == configured => {
+        Phase::Joining | Phase::Member | Phase::Ordered { .. } if &*place.pool == pool => {
             if let Phase::Ordered { .. } = place.phase {
                 place.enter(Phase::Member, index);
             }
         }
         Phase::Joining | Phase::Member | Phase::Ordered { .. } => {
-            place.enter(
-                Phase::Ordered {
-                    to: configured.into(),
-                },
-                index,
-            );
+            place.enter(Phase::Ordered { to: pool.into() }, index);
         }
-        Phase::Leaving { .. } => place.enter(
-            Phase::Leaving {
-                to: configured.into(),
-            },
-            index,
-        ),
-        Phase::Drained { .. } => place.enter(
-            Phase::Drained {
-                to: configured.into(),
-            },
-            index,
-        ),
+        Phase::Leaving { .. } => place.enter(Phase::Leaving { to: pool.into() }, index),
+        Phase::Drained { .. } => place.enter(Phase::Drained { to: pool.into() }, index),
     }
 }
--- a/crates/cleat-world/src/state/targets.rs
+++ b/crates/cleat-world/src/state/targets.rs
@@ -144,7 +144,8 @@
             let data_centre = data_centre.into();
             return Err(TargetAnswer::WrongDataCentre { data_centre });
         }
-        if !place.phase.accepts_targets() || self.reboots(&announcement.instance, &place.pool) {
+        if !place.phase.accepts_targets() || self.is_rebooting(&announcement.instance, &place.pool)
+        {
             return Err(TargetAnswer::InstanceAway);
         }
         Ok(())
@@ -157,7 +158,7 @@
         matches!(checked, Err(refusal) if refusal != TargetAnswer::UnknownService)
     }
 
-    fn reboots(&self, instance: &str, pool: &str) -> bool {
+    fn is_rebooting(&self, instance: &str, pool: &str) -> bool {
         let wave = self.waves.get(pool);
         wave.and_then(|wave| wave.step(instance)) == Some(Step::Rebooting)
     }
