--- a/crates/cleat-entry/examples/alone.rs
+++ b/crates/cleat-entry/examples/alone.rs
@@ -78,14 +78,14 @@
     let cfg = EntryConfig {
         name: "e1".into(),
         data_centre: "dc1".into(),
-        life: 1,
+        incarnation: 1,
         listen: ([127, 0, 0, 1], 0).into(),
         entries: vec!["e1".into()],
         seed: 7,
         limits: Limits::default(),
     };
     let entry = Entry::bind(cfg, Arc::new(Alone)).await?;
-    entry.publish(&world(target.parse()?));
+    entry.update_routes(&world(target.parse()?));
     println!("{{\"address\":\"{}\"}}", entry.local_addr());
     std::future::pending().await
 }
--- a/crates/cleat-entry/src/control.rs
+++ b/crates/cleat-entry/src/control.rs
@@ -14,7 +14,7 @@
     /// The log index at which this life became known, `None` while it is not:
     /// an earlier life may have begun work at targets announced before, never
     /// at those announced later. By default there was no earlier life.
-    fn life_began(&self) -> Option<u64> {
+    fn incarnation_start_index(&self) -> Option<u64> {
         Some(0)
     }
 
--- a/crates/cleat-entry/src/entry/accept.rs
+++ b/crates/cleat-entry/src/entry/accept.rs
@@ -40,7 +40,7 @@
 
 /// Accepts until the entry closes, and then what has already connected.
 async fn accept_all<C: Control>(shared: &Arc<Shared<C>>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(shared.cfg.limits.connections));
+    let places = Arc::new(Semaphore::new(shared.cfg.limits.max_connections));
     let mut phase = shared.phase.subscribe();
     loop {
         let accepted = tokio::select! {
@@ -106,7 +106,7 @@
     let mut phase = shared.phase.subscribe();
     let service = service_fn(|req| handle(Arc::clone(&shared), connection.clone(), req));
     let conn = http1::Builder::new()
-        .max_header_size(limits.header_bytes * HEADER_FACTOR)
+        .max_header_size(limits.max_header_bytes * HEADER_FACTOR)
         .serve_connection(TokioIo::new(io), service);
     let mut conn = pin!(conn);
     tokio::select! {
--- a/crates/cleat-entry/src/entry/caller_io.rs
+++ b/crates/cleat-entry/src/entry/caller_io.rs
@@ -33,8 +33,8 @@
     pub(super) fn new(stream: TcpStream, limits: &Limits, connection: Connection) -> CallerIo {
         CallerIo {
             stream,
-            limit: limits.caller_stall,
-            head: HeadTimer::new(limits.header_read),
+            limit: limits.caller_write_timeout,
+            head: HeadTimer::new(limits.header_read_timeout),
             stall: None,
             connection,
             replacement: None,
--- a/crates/cleat-entry/src/entry/drain.rs
+++ b/crates/cleat-entry/src/entry/drain.rs
@@ -14,7 +14,7 @@
 
 pub(super) async fn drain<C: Control>(shared: &Shared<C>) {
     shared.phase.send_replace(Phase::Lingering);
-    sleep(shared.cfg.limits.linger).await;
+    sleep(shared.cfg.limits.drain_delay).await;
     shared.phase.send_replace(Phase::Closing);
     shared.work.end().await;
     if timeout(SETTLEMENTS, settled(shared)).await.is_err() {
--- a/crates/cleat-entry/src/entry/entry.rs
+++ b/crates/cleat-entry/src/entry/entry.rs
@@ -44,12 +44,12 @@
 
 impl<C: Control> Entry<C> {
     /// Listens and serves. Every service is unknown until the first
-    /// [`Entry::publish`].
+    /// [`Entry::update_routes`].
     ///
     /// # Errors
     /// [`BindError`] if the address can't be listened on.
     pub async fn bind(cfg: EntryConfig, control: Arc<C>) -> Result<Entry<C>, BindError> {
-        Entry::bind_with(cfg, control, &Counters::default()).await
+        Entry::bind_with_counters(cfg, control, &Counters::default()).await
     }
 
     /// As [`Entry::bind`], counting in `counters` under names that begin with
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// [`BindError`] if the address can't be listened on.
-    pub async fn bind_with(
+    pub async fn bind_with_counters(
         cfg: EntryConfig,
         control: Arc<C>,
         counters: &Counters,
@@ -84,19 +84,19 @@
 
     /// Brings the services and targets of `world` into force. When it returns,
     /// no request begins by what was before. Cheap if neither changed.
-    pub fn publish(&self, world: &World) {
+    pub fn update_routes(&self, world: &World) {
         self.shared.publish(world);
     }
 
     /// What this entry has to say to others about slots; `None` if it was taken
     /// before. While nobody sends it, the entry has its own part of the slots.
-    pub fn slot_messages(&self) -> Option<mpsc::Receiver<SlotMessage>> {
+    pub fn take_slot_messages(&self) -> Option<mpsc::Receiver<SlotMessage>> {
         let messages = self.shared.slot_messages.lock();
         messages.unwrap_or_else(PoisonError::into_inner).take()
     }
 
     /// Handles what the entry `from` says about the slots of `service`.
-    pub fn receive_slots(&self, from: &str, service: &str, message: Message) {
+    pub fn handle_slot_message(&self, from: &str, service: &str, message: Message) {
         if let Some(route) = self.shared.routes().find(service) {
             route.state.receive_slots(from, message);
         }
@@ -104,7 +104,7 @@
 
     /// Gives back borrowed slots that are idle. Says whether any is left; then
     /// it has to be called again within a few tens of milliseconds.
-    pub fn tick_slots(&self) -> bool {
+    pub fn return_idle_slots(&self) -> bool {
         let routes = self.shared.routes();
         let mut borrowed = false;
         for route in routes.services.values() {
@@ -120,7 +120,7 @@
     }
 
     /// Stops gracefully: not ready at once, lets what is on its way arrive
-    /// ([`Limits::linger`](crate::Limits::linger)), then takes no more and
+    /// ([`Limits::drain_delay`](crate::Limits::drain_delay)), then takes no more and
     /// returns when every request in progress has its answer.
     pub async fn drain(&self) {
         drain::drain(&self.shared).await;
--- a/crates/cleat-entry/src/entry/handle.rs
+++ b/crates/cleat-entry/src/entry/handle.rs
@@ -102,7 +102,7 @@
     in_service: bool,
     trace: &Trace,
 ) -> Result<Job<C>, Problem> {
-    let header_bytes = shared.cfg.limits.header_bytes;
+    let header_bytes = shared.cfg.limits.max_header_bytes;
     let intake = Intake::check(parts, &shared.routes(), header_bytes, received)?;
     let limit = intake.terms().body_limit_bytes;
     trace.note_request(intake.method.as_str(), &intake.service, &intake.caller);
--- a/crates/cleat-entry/src/entry/shared.rs
+++ b/crates/cleat-entry/src/entry/shared.rs
@@ -75,9 +75,9 @@
         Shared {
             control,
             counters: Counters::new(counters),
-            answer_memory: Memory::new(cfg.limits.answer_memory_bytes),
+            answer_memory: Memory::new(cfg.limits.response_memory_bytes),
             request_memory: Memory::new(cfg.limits.request_memory_bytes),
-            keys_in_hand: KeysInHand::new(cfg.limits.claims),
+            keys_in_hand: KeysInHand::new(cfg.limits.max_claims),
             look_ups: Semaphore::new(LOOK_UPS),
             phase: watch::Sender::new(Phase::Running),
             work: Arc::default(),
@@ -94,7 +94,9 @@
     pub(super) fn publish(&self, world: &World) {
         let publisher = self.publisher.lock();
         let mut publisher = publisher.unwrap_or_else(PoisonError::into_inner);
-        if let Some(routes) = publisher.update(world, &self.cfg, self.control.life_began()) {
+        if let Some(routes) =
+            publisher.update(world, &self.cfg, self.control.incarnation_start_index())
+        {
             self.routes.store(Arc::new(routes));
         }
     }
@@ -117,8 +119,8 @@
 
     pub(crate) fn connect_terms(&self) -> ConnectTerms {
         ConnectTerms {
-            connect: self.cfg.limits.connect,
-            idle: self.cfg.limits.idle,
+            connect: self.cfg.limits.connect_timeout,
+            idle: self.cfg.limits.idle_timeout,
         }
     }
 
--- a/crates/cleat-entry/src/entry/tick.rs
+++ b/crates/cleat-entry/src/entry/tick.rs
@@ -48,6 +48,6 @@
 
 fn sweep<C: Control>(shared: &Shared<C>) {
     for route in shared.routes().services.values() {
-        route.state.sweep(shared.cfg.limits.idle);
+        route.state.sweep(shared.cfg.limits.idle_timeout);
     }
 }
--- a/crates/cleat-entry/src/problem/kind.rs
+++ b/crates/cleat-entry/src/problem/kind.rs
@@ -23,7 +23,7 @@
     /// `Celerycleat-Idempotent` is neither `true` nor `false`.
     BadIdempotent,
     /// `Idempotency-Key` is empty, too long or not printable ASCII.
-    BadKey,
+    BadIdempotencyKey,
     /// The body broke off or its framing is malformed.
     BadBody,
     /// The header block is too large.
@@ -53,20 +53,20 @@
     /// No target could be reached.
     TargetsUnreachable,
     /// The target's connection broke.
-    TargetCut,
+    TargetConnectionLost,
     /// The target's answer did not come in time.
-    TargetLate,
+    TargetTimedOut,
     /// The target's answer is no HTTP/1.1.
-    AnswerMalformed,
+    ResponseMalformed,
     /// Nothing but the connection's end marks the end of the answer.
-    AnswerUnframed,
+    ResponseUnframed,
     /// More came than the answer's framing states.
-    AnswerSurplus,
+    ResponseSurplus,
     /// The answer is too large to hold and the caller's HTTP/1.0 could not
     /// tell a cut from its end.
-    AnswerTooLarge,
+    ResponseTooLarge,
     /// An earlier try may have run and a later one was not sent.
-    EarlierTry,
+    EarlierAttempt,
     /// A request with the same key is still in progress.
     KeyInProgress,
     /// The request was refused before its key could be claimed, and whether
@@ -90,7 +90,7 @@
             | K::BadDeadline
             | K::BadCaller
             | K::BadIdempotent
-            | K::BadKey
+            | K::BadIdempotencyKey
             | K::BadBody => StatusCode::BAD_REQUEST,
             K::UriTooLong => StatusCode::URI_TOO_LONG,
             K::HeadersTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -106,13 +106,13 @@
             | K::CannotFinishInTime
             | K::NoTarget
             | K::TargetsUnreachable => StatusCode::SERVICE_UNAVAILABLE,
-            K::TargetLate | K::KeyInProgress | K::KeyNotLookedUp => StatusCode::GATEWAY_TIMEOUT,
-            K::TargetCut
-            | K::AnswerMalformed
-            | K::AnswerUnframed
-            | K::AnswerSurplus
-            | K::AnswerTooLarge
-            | K::EarlierTry
+            K::TargetTimedOut | K::KeyInProgress | K::KeyNotLookedUp => StatusCode::GATEWAY_TIMEOUT,
+            K::TargetConnectionLost
+            | K::ResponseMalformed
+            | K::ResponseUnframed
+            | K::ResponseSurplus
+            | K::ResponseTooLarge
+            | K::EarlierAttempt
             | K::KeyOutcomeUnknown
             | K::KeyAnswerNotKept => StatusCode::BAD_GATEWAY,
         }
@@ -143,7 +143,7 @@
             K::BadDeadline => "bad-deadline",
             K::BadCaller => "bad-caller",
             K::BadIdempotent => "bad-idempotent",
-            K::BadKey => "bad-idempotency-key",
+            K::BadIdempotencyKey => "bad-idempotency-key",
             K::BadBody => "bad-body",
             K::HeadersTooLarge => "headers-too-large",
             K::BodyTooLarge => "body-too-large",
@@ -158,13 +158,13 @@
             K::CannotFinishInTime => "cannot-finish-in-time",
             K::NoTarget => "no-target",
             K::TargetsUnreachable => "targets-unreachable",
-            K::TargetCut => "target-cut",
-            K::TargetLate => "target-late",
-            K::AnswerMalformed => "answer-malformed",
-            K::AnswerUnframed => "answer-unframed",
-            K::AnswerSurplus => "answer-surplus",
-            K::AnswerTooLarge => "answer-too-large",
-            K::EarlierTry => "earlier-try",
+            K::TargetConnectionLost => "target-cut",
+            K::TargetTimedOut => "target-late",
+            K::ResponseMalformed => "answer-malformed",
+            K::ResponseUnframed => "answer-unframed",
+            K::ResponseSurplus => "answer-surplus",
+            K::ResponseTooLarge => "answer-too-large",
+            K::EarlierAttempt => "earlier-try",
             K::KeyInProgress => "idempotency-key-in-progress",
             K::KeyNotLookedUp => "idempotency-key-not-looked-up",
             K::KeyOutcomeUnknown => "idempotency-key-outcome-unknown",
@@ -182,7 +182,9 @@
             K::BadDeadline => "Celerycleat-Deadline-Ms must be one positive whole number.",
             K::BadCaller => "Celerycleat-Caller must be one value of at most 256 printable bytes.",
             K::BadIdempotent => "Celerycleat-Idempotent must be true or false.",
-            K::BadKey => "Idempotency-Key must be one value of 1 to 256 printable bytes.",
+            K::BadIdempotencyKey => {
+                "Idempotency-Key must be one value of 1 to 256 printable bytes."
+            }
             K::BadBody => "The request body could not be read.",
             K::HeadersTooLarge => "The request's header block is too large.",
             K::BodyTooLarge => "The request's body is larger than the service takes.",
@@ -197,15 +199,15 @@
             K::CannotFinishInTime => "The request could not finish in the time left.",
             K::NoTarget => "The service has no target that takes requests.",
             K::TargetsUnreachable => "No target could be reached.",
-            K::TargetCut => "The target's connection broke before its answer was whole.",
-            K::TargetLate => "The target's answer did not come in time.",
-            K::AnswerMalformed => "The target's answer is not valid HTTP/1.1.",
-            K::AnswerUnframed => {
+            K::TargetConnectionLost => "The target's connection broke before its answer was whole.",
+            K::TargetTimedOut => "The target's answer did not come in time.",
+            K::ResponseMalformed => "The target's answer is not valid HTTP/1.1.",
+            K::ResponseUnframed => {
                 "The target's answer has no length, so it cannot be proved to be whole."
             }
-            K::AnswerSurplus => "The target sent more than its answer's length states.",
-            K::AnswerTooLarge => "The answer is too large to pass on by HTTP/1.0.",
-            K::EarlierTry => "An earlier try may have run; no later one could be sent.",
+            K::ResponseSurplus => "The target sent more than its answer's length states.",
+            K::ResponseTooLarge => "The answer is too large to pass on by HTTP/1.0.",
+            K::EarlierAttempt => "An earlier try may have run; no later one could be sent.",
             K::KeyInProgress => "A request with this Idempotency-Key is still in progress.",
             K::KeyNotLookedUp => {
                 "Whether a request with this Idempotency-Key ran could not be found out now; \
--- a/crates/cleat-entry/src/request/fields.rs
+++ b/crates/cleat-entry/src/request/fields.rs
@@ -89,11 +89,11 @@
 
     /// The idempotency key.
     pub(super) fn key(&self) -> Result<Option<Box<str>>, Problem> {
-        let Some(key) = self.key.text(ProblemKind::BadKey)? else {
+        let Some(key) = self.key.text(ProblemKind::BadIdempotencyKey)? else {
             return Ok(None);
         };
         if key.is_empty() || key.len() > NAME_MAX {
-            return Err(Problem::new(ProblemKind::BadKey));
+            return Err(Problem::new(ProblemKind::BadIdempotencyKey));
         }
         Ok(Some(key.into()))
     }
--- a/crates/cleat-entry/src/route/publisher.rs
+++ b/crates/cleat-entry/src/route/publisher.rs
@@ -58,7 +58,7 @@
         &mut self,
         world: &World,
         cfg: &EntryConfig,
-        life_began: Option<u64>,
+        incarnation_start_index: Option<u64>,
     ) -> Option<Routes> {
         if !self.source.take_over(world) {
             return None;
@@ -67,7 +67,7 @@
         for (_, name, terms) in fleet.services.iter() {
             self.update_sharing(name, terms, cfg);
         }
-        let mut grouped = self.update_targets(world, cfg, life_began);
+        let mut grouped = self.update_targets(world, cfg, incarnation_start_index);
         let mut routes = Routes {
             services: IndexMap::with_capacity(fleet.services.len()),
             keys: fleet.keys,
@@ -120,7 +120,7 @@
         &mut self,
         world: &World,
         cfg: &EntryConfig,
-        life_began: Option<u64>,
+        incarnation_start_index: Option<u64>,
     ) -> Grouped {
         let now = self.epoch.elapsed();
         let mut before = std::mem::take(&mut self.targets);
@@ -128,7 +128,8 @@
         for (name, announced) in world.serving_targets() {
             // Alone, an entry has lent nothing, and its end cut off its requests.
             let alone = cfg.entries.len() == 1;
-            let fresh = alone || life_began.is_some_and(|began| announced.incarnation > began);
+            let fresh =
+                alone || incarnation_start_index.is_some_and(|began| announced.incarnation > began);
             let slots = self.slots_of(name, announced, cfg, fresh);
             let target = self.target(name, announced, slots, &mut before, cfg, now);
             let service = announced.announcement.service.clone();
--- a/crates/cleat-entry/src/target/service_slots.rs
+++ b/crates/cleat-entry/src/target/service_slots.rs
@@ -65,7 +65,8 @@
         let me = EntryIndex(index(me.unwrap_or(usize::MAX)));
         // What ran before this life began is over later than that by the time
         // that the decisions count from the epoch.
-        let slots = cleat_decide::Slots::new(me, cfg.life, &cfg.entries, terms, Duration::ZERO);
+        let slots =
+            cleat_decide::Slots::new(me, cfg.incarnation, &cfg.entries, terms, Duration::ZERO);
         ServiceSlots {
             service: service.into(),
             entries: cfg.entries.clone().into(),
--- a/crates/cleat-entry/src/tries/keyed.rs
+++ b/crates/cleat-entry/src/tries/keyed.rs
@@ -69,7 +69,7 @@
             key: self.scoped(key),
             digest: self.digest(),
             entry: self.shared.cfg.name.clone(),
-            life: self.shared.cfg.life,
+            life: self.shared.cfg.incarnation,
             number: self.shared.claim_number(),
             hold_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
         }
--- a/crates/cleat-entry/src/tries/run.rs
+++ b/crates/cleat-entry/src/tries/run.rs
@@ -77,7 +77,7 @@
             Ok(Received::Whole(parts, chunks)) => self.whole(slot, parts, chunks, progress),
             Ok(Received::Begun(parts, begun, rest)) => {
                 if !self.can_stream(&parts) {
-                    let kind = ProblemKind::AnswerTooLarge;
+                    let kind = ProblemKind::ResponseTooLarge;
                     return Step::Done(Err(Problem::new(kind)));
                 }
                 self.counters.streamed.incr();
@@ -165,7 +165,7 @@
     /// The final answer when no further try can be made.
     fn give_up(&mut self) -> Result<Answer, Problem> {
         if self.may_have_run {
-            self.or_fallback(ProblemKind::EarlierTry)
+            self.or_fallback(ProblemKind::EarlierAttempt)
         } else {
             Err(Problem::new(ProblemKind::TargetsUnreachable))
         }
@@ -179,11 +179,11 @@
 
 fn unknown(reason: UnknownReason, failure: Failure) -> ProblemKind {
     match (reason, failure) {
-        (UnknownReason::EarlierAttempt, _) => ProblemKind::EarlierTry,
-        (UnknownReason::TimedOut, _) => ProblemKind::TargetLate,
-        (UnknownReason::ConnectionLost, _) => ProblemKind::TargetCut,
-        (UnknownReason::Malformed, Failure::Unframed) => ProblemKind::AnswerUnframed,
-        (UnknownReason::Malformed, Failure::Surplus) => ProblemKind::AnswerSurplus,
-        (UnknownReason::Malformed, _) => ProblemKind::AnswerMalformed,
+        (UnknownReason::EarlierAttempt, _) => ProblemKind::EarlierAttempt,
+        (UnknownReason::TimedOut, _) => ProblemKind::TargetTimedOut,
+        (UnknownReason::ConnectionLost, _) => ProblemKind::TargetConnectionLost,
+        (UnknownReason::Malformed, Failure::Unframed) => ProblemKind::ResponseUnframed,
+        (UnknownReason::Malformed, Failure::Surplus) => ProblemKind::ResponseSurplus,
+        (UnknownReason::Malformed, _) => ProblemKind::ResponseMalformed,
     }
 }
--- a/crates/cleat-entry/tests/admission.rs
+++ b/crates/cleat-entry/tests/admission.rs
@@ -161,7 +161,7 @@
     })
     .await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let begun = leaving.count();
     let replies = running.await.unwrap();
     assert!(
@@ -189,7 +189,7 @@
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
     eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
     assert_eq!(first.await.unwrap().status, 200, "what runs finishes");
     let later = get(address, "/dock/x", "").await;
@@ -207,9 +207,9 @@
     let running = tokio::spawn(many(address, 2, ""));
     eventually("its slots are used", || old.in_progress() == 2).await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     fleet.announce("t0", new.address, 2);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
     eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
     assert_eq!(new.count(), 0, "requests begun before still count");
@@ -235,7 +235,7 @@
     eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
     let quick = Target::ok("quick").await;
     fleet.announce("t1", quick.address, 1);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().text(), "quick");
     assert_eq!(slow.in_progress(), 1, "it did not wait for the slow one");
     assert_eq!(first.await.unwrap().text(), "slow");
@@ -252,7 +252,7 @@
     let waiting = tokio::spawn(post(address, "/dock/x", "", "boat"));
     eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.configure(&[("jetty", json!({}))]);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
     assert_eq!(first.await.unwrap().status, 200);
     let gone = get(address, "/dock/x", "").await;
@@ -301,7 +301,7 @@
     let long = tokio::spawn(get(address, "/dock/x", ""));
     eventually("it runs", || good.in_progress() == 1).await;
     fleet.announce("t1", cutting.address, 1);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let hurried = get(address, "/dock/x", "celerycleat-deadline-ms: 400\r\n").await;
     assert_eq!(hurried.summary(), "502 unknown earlier-try");
     assert_eq!((good.in_progress(), cutting.count()), (1, 1));
--- a/crates/cleat-entry/tests/answers.rs
+++ b/crates/cleat-entry/tests/answers.rs
@@ -413,7 +413,7 @@
     let fleet = Fleet::with(json!({}), &[&target], 4);
     let control = std::sync::Arc::default();
     let limits = cleat_entry::Limits {
-        answer_memory_bytes: 10_000,
+        response_memory_bytes: 10_000,
         ..support::limits()
     };
     let entry = support::entry_with(&fleet, control, "e1", &["e1"], limits).await;
--- a/crates/cleat-entry/tests/drain.rs
+++ b/crates/cleat-entry/tests/drain.rs
@@ -72,7 +72,7 @@
     let target = Target::ok("own").await;
     let fleet = Fleet::with(json!({}), &[&target], 8);
     let limits = Limits {
-        connections: 1,
+        max_connections: 1,
         ..support::limits()
     };
     let control = std::sync::Arc::default();
@@ -127,7 +127,7 @@
     let target = Target::spawn(|_| Step::slow_ok(3, "own")).await;
     let fleet = Fleet::with(json!({}), &[&target], 64);
     let limits = Limits {
-        linger: Duration::from_millis(300),
+        drain_delay: Duration::from_millis(300),
         ..support::limits()
     };
     let control = std::sync::Arc::default();
@@ -161,7 +161,7 @@
     .await;
     let fleet = Fleet::with(json!({}), &[&target], 1);
     let limits = Limits {
-        caller_stall: Duration::from_millis(200),
+        caller_write_timeout: Duration::from_millis(200),
         ..support::limits()
     };
     let control = std::sync::Arc::default();
--- a/crates/cleat-entry/tests/input.rs
+++ b/crates/cleat-entry/tests/input.rs
@@ -181,7 +181,7 @@
     let target = Target::ok("own").await;
     let fleet = Fleet::with(json!({}), &[&target], 8);
     let limits = cleat_entry::Limits {
-        header_read: std::time::Duration::from_millis(200),
+        header_read_timeout: std::time::Duration::from_millis(200),
         ..support::limits()
     };
     let control = std::sync::Arc::default();
--- a/crates/cleat-entry/tests/keys.rs
+++ b/crates/cleat-entry/tests/keys.rs
@@ -112,10 +112,10 @@
     })
     .await;
     fleet.withdraw("t0");
-    first.publish(&fleet.world);
+    first.update_routes(&fleet.world);
     assert_eq!(send(&first).await.summary(), "503 not-run no-target");
     fleet.announce("t0", good.address, 8);
-    second.publish(&fleet.world);
+    second.update_routes(&fleet.world);
     assert_eq!(send(&second).await.status, 200);
     assert_eq!(good.count(), 1);
 }
@@ -131,8 +131,8 @@
     eventually("it is settled", || settled(&control).len() == 1).await;
     fleet.withdraw("t0");
     fleet.announce("t1", slow.address, 8);
-    first.publish(&fleet.world);
-    second.publish(&fleet.world);
+    first.update_routes(&fleet.world);
+    second.update_routes(&fleet.world);
     let running = tokio::spawn(post(first.local_addr(), "/dock/x", KEY, "boat"));
     eventually("it runs", || slow.in_progress() == 1).await;
     let late = control.settlements.lock().unwrap()[0].clone();
--- a/crates/cleat-entry/tests/matrix_support/world.rs
+++ b/crates/cleat-entry/tests/matrix_support/world.rs
@@ -48,12 +48,12 @@
     let cfg = EntryConfig {
         name: name.into(),
         data_centre: "dc1".into(),
-        life: 1,
+        incarnation: 1,
         listen: ([127, 0, 0, 1], 0).into(),
         entries: ["e1", "e2"].map(Box::from).to_vec(),
         seed: 7,
         limits: Limits {
-            connect: Duration::from_secs(3),
+            connect_timeout: Duration::from_secs(3),
             // Too little for two bodies.
             request_memory_bytes: BODY * 3 / 2,
             ..support::limits()
@@ -88,8 +88,8 @@
             .await
             .unwrap();
         let second = bind("e2", Arc::clone(&control)).await;
-        first.publish(&fleet.world);
-        second.publish(&fleet.world);
+        first.update_routes(&fleet.world);
+        second.update_routes(&fleet.world);
         let (runtime, reset_caller) = (Some(runtime), watch::Sender::new(false));
         World {
             cell,
@@ -289,7 +289,7 @@
             .into_iter()
             .skip(usize::from(self.cell.kills_instance()))
         {
-            entry.publish(&self.fleet.world);
+            entry.update_routes(&self.fleet.world);
             self.check_next(entry).await?;
             let drained = timeout(LATE, entry.drain()).await;
             drained.map_err(|_| "work is left")?;
--- a/crates/cleat-entry/tests/refused_keys.rs
+++ b/crates/cleat-entry/tests/refused_keys.rs
@@ -157,7 +157,7 @@
     let unknown = "502 unknown idempotency-key-outcome-unknown";
     assert_eq!(send_all().await, [unknown; 3]);
     fleet.configure(&[("other", json!({}))]);
-    first.publish(&fleet.world);
+    first.update_routes(&fleet.world);
     assert_eq!(send(&first).await.summary(), unknown);
     assert_eq!(target.count(), 1);
 }
--- a/crates/cleat-entry/tests/support/fleet.rs
+++ b/crates/cleat-entry/tests/support/fleet.rs
@@ -96,7 +96,7 @@
 /// Bounds that suit tests: nothing lingers.
 pub fn limits() -> Limits {
     Limits {
-        linger: Duration::ZERO,
+        drain_delay: Duration::ZERO,
         ..Limits::default()
     }
 }
@@ -118,13 +118,13 @@
     let cfg = EntryConfig {
         name: name.into(),
         data_centre: "dc1".into(),
-        life: 1,
+        incarnation: 1,
         listen: ([127, 0, 0, 1], 0).into(),
         entries: entries.iter().copied().map(Box::from).collect(),
         seed: 7,
         limits,
     };
     let entry = Entry::bind(cfg, control).await.unwrap();
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     entry
 }
--- a/crates/cleat-node/src/entry_control.rs
+++ b/crates/cleat-node/src/entry_control.rs
@@ -17,7 +17,7 @@
         Node::in_service(self)
     }
 
-    fn life_began(&self) -> Option<u64> {
+    fn incarnation_start_index(&self) -> Option<u64> {
         self.life_began.get().copied()
     }
 
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -234,18 +234,18 @@
     let cfg = EntryConfig {
         name: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
-        life: node.life,
+        incarnation: node.life,
         listen: settings.listen.callers,
         entries,
         seed: rand::random(),
         limits: Limits::default(),
     };
-    let entry = Entry::bind_with(cfg, node.clone(), &node.counters).await;
+    let entry = Entry::bind_with_counters(cfg, node.clone(), &node.counters).await;
     let entry = Arc::new(entry.context(ListenCallersSnafu)?);
     let published = Arc::downgrade(&entry);
     node.world.subscribe(Box::new(move |world| {
         if let Some(entry) = published.upgrade() {
-            entry.publish(world);
+            entry.update_routes(world);
         }
     }));
     // The first and only entry of this node.
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -28,7 +28,7 @@
 
 /// Starts to carry the messages of `entry`.
 pub(crate) fn spawn(node: &Arc<Node>, entry: &Arc<Entry<Node>>) -> Vec<JoinHandle<()>> {
-    let Some(messages) = entry.slot_messages() else {
+    let Some(messages) = entry.take_slot_messages() else {
         return Vec::new();
     };
     let mut tasks = vec![tokio::spawn(tick(node.clone()))];
@@ -71,7 +71,7 @@
 /// Gives back idle slots on loan.
 async fn tick(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
-        let borrowed = entry.tick_slots();
+        let borrowed = entry.return_idle_slots();
         drop(entry);
         if borrowed {
             sleep(TICK).await;
@@ -89,7 +89,7 @@
             return;
         };
         for SlotMessage { service, message } in messages {
-            entry.receive_slots(from, &service, message);
+            entry.handle_slot_message(from, &service, message);
         }
         self.slots_moved.notify_one();
     }
