--- a/crates/cleat-entry/src/tries/run.rs
+++ b/crates/cleat-entry/src/attempts/attempt_loop.rs
@@ -9,59 +9,59 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::Answer;
-use super::exchange::{Terms, exchange};
-use crate::answer::{Chunks, Received, Stream};
+use super::TargetResponse;
+use super::exchange::{AttemptOptions, exchange};
 use crate::counters::Counters;
 use crate::problem::{Problem, ProblemKind};
+use crate::response::{Chunks, Received, StreamedBody};
 use crate::service::Slot;
 use crate::upstream::Failure;
 
 /// What the tries need besides their first slot.
-pub(super) struct Tries<'a> {
-    pub(super) terms: Terms<'a>,
+pub(super) struct AttemptLoop<'a> {
+    pub(super) options: AttemptOptions<'a>,
     pub(super) idempotent: bool,
-    pub(super) tries_max: u32,
+    pub(super) max_attempts: u32,
     /// The caller's version: one of HTTP/1.0 can't tell a cut from the end of
     /// a body of unknown length.
     pub(super) version: Version,
     pub(super) counters: &'a Counters,
     /// Told when a retry has to wait.
-    pub(super) ticker: &'a Notify,
+    pub(super) waiter_added: &'a Notify,
 }
 
 /// Where the tries stand.
 #[derive(Default)]
 struct Progress {
-    tries: u32,
+    attempts: u32,
     /// Whether a try before the present one may have run.
     may_have_run: bool,
     /// The answer of a try that was tried again, if all else fails.
-    fallback: Option<Answer>,
+    fallback: Option<TargetResponse>,
 }
 
 /// What follows from one try.
 enum Step {
-    Done(Result<Answer, Problem>),
+    Done(Result<TargetResponse, Problem>),
     /// Wait for a slot of another target than this slot's.
-    Again(Arc<crate::target::Target>),
+    Retry(Arc<crate::target::Target>),
 }
 
-impl Tries<'_> {
+impl AttemptLoop<'_> {
     /// Tries until there is a final answer.
     ///
     /// # Errors
     /// The final answer to the caller, if it is not a target's.
-    pub(super) async fn run(&self, mut slot: Slot) -> Result<Answer, Problem> {
+    pub(super) async fn run(&self, mut slot: Slot) -> Result<TargetResponse, Problem> {
         let service = Arc::clone(slot.service());
         let mut progress = Progress::default();
         loop {
-            let before = match self.step(slot, &mut progress).await {
+            let previous = match self.step(slot, &mut progress).await {
                 Step::Done(result) => return result,
-                Step::Again(target) => target,
+                Step::Retry(target) => target,
             };
-            let on_wait = || self.ticker.notify_one();
-            let retry = service.retry(&before, self.terms.deadline, on_wait);
+            let on_wait = || self.waiter_added.notify_one();
+            let retry = service.retry(&previous, self.options.deadline, on_wait);
             slot = match retry.await {
                 Some(slot) => slot,
                 None => return progress.give_up(),
@@ -70,50 +70,58 @@
     }
 
     async fn step(&self, mut slot: Slot, progress: &mut Progress) -> Step {
-        progress.tries += 1;
-        self.counters.tries.incr();
-        let result = exchange(&mut slot, &self.terms).await;
+        progress.attempts += 1;
+        self.counters.attempts.incr();
+        let result = exchange(&mut slot, &self.options).await;
         match result {
-            Ok(Received::Whole(parts, chunks)) => self.whole(slot, parts, chunks, progress),
-            Ok(Received::Begun(parts, begun, rest)) => {
+            Ok(Received::Complete(parts, chunks)) => {
+                self.handle_response(slot, parts, chunks, progress)
+            }
+            Ok(Received::Partial(parts, buffered, rest)) => {
                 if !self.can_stream(&parts) {
                     let kind = ProblemKind::ResponseTooLarge;
                     return Step::Done(Err(Problem::new(kind)));
                 }
                 self.counters.streamed.incr();
                 let status = parts.status.as_u16();
-                let deadline = self.terms.deadline;
-                let stream = Stream::new(begun, rest, slot, deadline, status);
-                Step::Done(Ok(Answer::Streamed(parts, Box::new(stream))))
+                let deadline = self.options.deadline;
+                let stream = StreamedBody::new(buffered, rest, slot, deadline, status);
+                Step::Done(Ok(TargetResponse::Streamed(parts, Box::new(stream))))
             }
-            Err(failure) => self.failed(slot, failure, progress),
+            Err(failure) => self.handle_failure(slot, failure, progress),
         }
     }
 
-    fn whole(&self, slot: Slot, parts: Parts, chunks: Chunks, progress: &mut Progress) -> Step {
+    fn handle_response(
+        &self,
+        slot: Slot,
+        parts: Parts,
+        chunks: Chunks,
+        progress: &mut Progress,
+    ) -> Step {
         let status = parts.status.as_u16();
-        let answer = Answer::Whole(parts, chunks);
+        let response = TargetResponse::Complete(parts, chunks);
         let outcome = cleat_decide::AttemptOutcome::Answered { status };
         let target = slot.target().cloned();
         let service = Arc::clone(slot.service());
-        let verdict = service.conclude(slot, outcome, self.facts(progress));
-        match (verdict, target) {
+        let decision = service.finish_attempt(slot, outcome, self.context(progress));
+        match (decision, target) {
             (RetryDecision::Retry, Some(target)) => {
-                progress.fallback = Some(answer);
-                self.again(target, true, progress)
+                progress.fallback = Some(response);
+                self.schedule_retry(target, true, progress)
             }
-            _ => Step::Done(Ok(answer)),
+            _ => Step::Done(Ok(response)),
         }
     }
 
-    fn failed(&self, slot: Slot, failure: Failure, progress: &mut Progress) -> Step {
+    fn handle_failure(&self, slot: Slot, failure: Failure, progress: &mut Progress) -> Step {
         let outcome = failure.outcome();
         let target = slot.target().cloned();
         let service = Arc::clone(slot.service());
-        let verdict = service.conclude(slot, outcome, self.facts(progress));
-        match (verdict, target) {
+        let decision = service.finish_attempt(slot, outcome, self.context(progress));
+        match (decision, target) {
             (RetryDecision::Retry, Some(target)) => {
-                self.again(target, outcome.may_have_run(), progress)
+                self.schedule_retry(target, outcome.may_have_run(), progress)
             }
             (
                 RetryDecision::Answer(FinalOutcome::NotRun {
@@ -123,14 +131,14 @@
                 _,
             ) => Step::Done(Err(Problem::retry_after(reason.into(), retry_after))),
             (RetryDecision::Answer(FinalOutcome::Unknown { reason }), _) => {
-                let kind = unknown(reason, failure);
-                Step::Done(progress.or_fallback(kind))
+                let kind = unknown_outcome_kind(reason, failure);
+                Step::Done(progress.fallback_or(kind))
             }
             _ => Step::Done(progress.give_up()),
         }
     }
 
-    fn again(
+    fn schedule_retry(
         &self,
         target: Arc<crate::target::Target>,
         may_have_run: bool,
@@ -138,16 +146,16 @@
     ) -> Step {
         self.counters.retries.incr();
         progress.may_have_run |= may_have_run;
-        Step::Again(target)
+        Step::Retry(target)
     }
 
-    fn facts(&self, progress: &Progress) -> AttemptContext {
+    fn context(&self, progress: &Progress) -> AttemptContext {
         AttemptContext {
             idempotent: self.idempotent,
-            attempts: progress.tries,
-            max_attempts: self.tries_max,
+            attempts: progress.attempts,
+            max_attempts: self.max_attempts,
             remaining: self
-                .terms
+                .options
                 .deadline
                 .saturating_duration_since(Instant::now()),
             earlier_may_have_run: progress.may_have_run,
@@ -163,27 +171,27 @@
 
 impl Progress {
     /// The final answer when no further try can be made.
-    fn give_up(&mut self) -> Result<Answer, Problem> {
+    fn give_up(&mut self) -> Result<TargetResponse, Problem> {
         if self.may_have_run {
-            self.or_fallback(ProblemKind::EarlierAttempt)
+            self.fallback_or(ProblemKind::EarlierAttempt)
         } else {
             Err(Problem::new(ProblemKind::TargetsUnreachable))
         }
     }
 
     /// A target's own answer is better than none.
-    fn or_fallback(&mut self, kind: ProblemKind) -> Result<Answer, Problem> {
+    fn fallback_or(&mut self, kind: ProblemKind) -> Result<TargetResponse, Problem> {
         self.fallback.take().ok_or(Problem::new(kind))
     }
 }
 
-fn unknown(reason: UnknownReason, failure: Failure) -> ProblemKind {
+fn unknown_outcome_kind(reason: UnknownReason, failure: Failure) -> ProblemKind {
     match (reason, failure) {
         (UnknownReason::EarlierAttempt, _) => ProblemKind::EarlierAttempt,
         (UnknownReason::TimedOut, _) => ProblemKind::TargetTimedOut,
         (UnknownReason::ConnectionLost, _) => ProblemKind::TargetConnectionLost,
         (UnknownReason::Malformed, Failure::Unframed) => ProblemKind::ResponseUnframed,
-        (UnknownReason::Malformed, Failure::Surplus) => ProblemKind::ResponseSurplus,
+        (UnknownReason::Malformed, Failure::TrailingBytes) => ProblemKind::ResponseSurplus,
         (UnknownReason::Malformed, _) => ProblemKind::ResponseMalformed,
     }
 }
--- a/crates/cleat-entry/src/tries/settle.rs
+++ b/crates/cleat-entry/src/attempts/claim_guard.rs
@@ -9,33 +9,33 @@
 use tokio::runtime::Handle;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::in_hand::InHand;
+use super::held_keys::HeldKey;
 use crate::control::Control;
 
-const BACKOFF_FIRST: Duration = Duration::from_millis(50);
-const BACKOFF_MAX: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// A caller that gets no claim does not wait longer to have it taken back.
-const TAKE_BACK_LIMIT: Duration = Duration::from_millis(500);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A claim that may stand, settled exactly once.
-pub(super) struct Claimed<C: Control> {
+pub(super) struct ClaimGuard<C: Control> {
     control: Arc<C>,
     settle: SettleKey,
     /// How long the key is remembered, so how long a settlement can matter.
-    keep: Duration,
+    retention: Duration,
     /// Taken by the settlement, which keeps the key in hand until it stands.
-    in_hand: Option<InHand>,
+    held_key: Option<HeldKey>,
 }
 
-impl<C: Control> Claimed<C> {
+impl<C: Control> ClaimGuard<C> {
     /// A claim about to be made. Until more is known it is to be settled as
     /// not run.
     pub(super) fn new(
         control: Arc<C>,
         claim: &ClaimKey,
-        keep: Duration,
-        in_hand: InHand,
-    ) -> Claimed<C> {
+        retention: Duration,
+        held_key: HeldKey,
+    ) -> ClaimGuard<C> {
         let settle = SettleKey {
             key: claim.key.clone(),
             entry: claim.entry.clone(),
@@ -43,32 +43,32 @@
             number: claim.number,
             settlement: Settlement::NotRun,
         };
-        Claimed {
+        ClaimGuard {
             control,
             settle,
-            keep,
-            in_hand: Some(in_hand),
+            retention,
+            held_key: Some(held_key),
         }
     }
 
     /// Says that from now on a byte of the request may leave.
-    pub(super) fn set_sent(&mut self) {
+    pub(super) fn mark_sent(&mut self) {
         self.settle.settlement = Settlement::Unknown;
     }
 
     /// Says that no claim of this request stands.
-    pub(super) fn forget(&mut self) {
-        self.in_hand = None;
+    pub(super) fn dismiss(&mut self) {
+        self.held_key = None;
     }
 
     /// Settles a claim that may stand as not run, until `deadline`; whether it
     /// stood. Then the key was free, so no request under it has run. If that
     /// stays open, the drop settles on.
-    pub(super) async fn take_back(mut self, deadline: Instant) -> bool {
-        let end = deadline.min(Instant::now() + TAKE_BACK_LIMIT);
+    pub(super) async fn withdraw(mut self, deadline: Instant) -> bool {
+        let end = deadline.min(Instant::now() + WITHDRAW_TIMEOUT);
         let settled = timeout_at(end, self.control.settle(self.settle.clone())).await;
         if matches!(settled, Ok(Ok(_))) {
-            self.forget();
+            self.dismiss();
         }
         matches!(settled, Ok(Ok(KeyAnswer::Settled)))
     }
@@ -91,13 +91,18 @@
     }
 
     fn proposal(&mut self) -> Option<impl Future<Output = ()> + Send + use<C>> {
-        let in_hand = self.in_hand.take()?;
+        let held_key = self.held_key.take()?;
         let control = Arc::clone(&self.control);
-        Some(propose(control, self.settle.clone(), self.keep, in_hand))
+        Some(propose_until_settled(
+            control,
+            self.settle.clone(),
+            self.retention,
+            held_key,
+        ))
     }
 }
 
-impl<C: Control> Drop for Claimed<C> {
+impl<C: Control> Drop for ClaimGuard<C> {
     fn drop(&mut self) {
         let Some(proposal) = self.proposal() else {
             return;
@@ -110,15 +115,20 @@
 }
 
 /// Proposes until the settlement stands or the key is forgotten.
-async fn propose<C: Control>(control: Arc<C>, settle: SettleKey, keep: Duration, _in_hand: InHand) {
-    let end = Instant::now() + keep;
-    let mut backoff = BACKOFF_FIRST;
+async fn propose_until_settled<C: Control>(
+    control: Arc<C>,
+    settle: SettleKey,
+    retention: Duration,
+    _held_key: HeldKey,
+) {
+    let end = Instant::now() + retention;
+    let mut backoff = INITIAL_BACKOFF;
     while Instant::now() < end {
         if control.settle(settle.clone()).await.is_ok() {
             return;
         }
         sleep(backoff).await;
-        backoff = (backoff * 2).min(BACKOFF_MAX);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
     log::warn!("a claimed key could not be settled while it was remembered");
 }
--- a/crates/cleat-entry/src/tries/in_hand.rs
+++ b/crates/cleat-entry/src/attempts/held_keys.rs
@@ -9,26 +9,26 @@
 /// So this entry may have one request with a key at a time: the settlement of
 /// a second would else end the claim of the first.
 #[derive(Debug)]
-pub(crate) struct KeysInHand {
+pub(crate) struct HeldKeys {
     /// Invariant: at most `most`.
     keys: Mutex<HashSet<Box<str>>>,
-    most: usize,
+    max: usize,
 }
 
 /// Why a key can't be taken in hand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Refused {
+pub(super) enum AcquireError {
     /// Another request of this entry holds it.
-    Held,
+    InUse,
     /// Too many keys are in hand.
     Full,
 }
 
-impl KeysInHand {
-    pub(crate) fn new(most: usize) -> Arc<KeysInHand> {
-        Arc::new(KeysInHand {
+impl HeldKeys {
+    pub(crate) fn new(max: usize) -> Arc<HeldKeys> {
+        Arc::new(HeldKeys {
             keys: Mutex::new(HashSet::new()),
-            most,
+            max,
         })
     }
 
@@ -37,17 +37,17 @@
         self.lock().is_empty()
     }
 
-    pub(super) fn take(self: &Arc<Self>, key: &str) -> Result<InHand, Refused> {
+    pub(super) fn acquire(self: &Arc<Self>, key: &str) -> Result<HeldKey, AcquireError> {
         let mut keys = self.lock();
         if keys.contains(key) {
-            return Err(Refused::Held);
+            return Err(AcquireError::InUse);
         }
-        if keys.len() >= self.most {
-            return Err(Refused::Full);
+        if keys.len() >= self.max {
+            return Err(AcquireError::Full);
         }
         keys.insert(key.into());
-        Ok(InHand {
-            all: Arc::clone(self),
+        Ok(HeldKey {
+            held_keys: Arc::clone(self),
             key: key.into(),
         })
     }
@@ -59,13 +59,13 @@
 
 /// One key, let go when dropped.
 #[derive(Debug)]
-pub(super) struct InHand {
-    all: Arc<KeysInHand>,
+pub(super) struct HeldKey {
+    held_keys: Arc<HeldKeys>,
     key: Box<str>,
 }
 
-impl Drop for InHand {
+impl Drop for HeldKey {
     fn drop(&mut self) {
-        self.all.lock().remove(&self.key);
+        self.held_keys.lock().remove(&self.key);
     }
 }
--- a/crates/cleat-entry/src/tries/keyed.rs
+++ b/crates/cleat-entry/src/attempts/keyed.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 use tracing::Instrument;
 
-use super::claim::{Claim, Claimer};
-use super::{Answer, Job, Refused};
+use super::claim::{Claim, ClaimRequest};
+use super::{PendingRequest, RejectedRequest, TargetResponse};
 use crate::control::Control;
 use crate::headers::Outcome;
 use crate::problem::{Problem, ProblemKind};
@@ -17,47 +17,50 @@
 /// A claim is held this much longer than its request may take.
 const HOLD_MARGIN: Duration = Duration::from_secs(2);
 
-impl<C: Control> Job<C> {
+impl<C: Control> PendingRequest<C> {
     /// Claims, runs and settles.
-    pub(super) async fn run_keyed(&self, key: &str) -> Result<Answer, Problem> {
+    pub(super) async fn run_keyed(&self, key: &str) -> Result<TargetResponse, Problem> {
         if !self.in_service {
-            return self.refuse(key, ProblemKind::NotInService).await;
+            return self.reject(key, ProblemKind::NotInService).await;
         }
         self.commitment.commit();
         self.shared.counters.claims.incr();
-        let claim = self.claimer(key).run().instrument(self.trace.claimed());
-        let mut claimed = match claim.await? {
-            Claim::Granted(claimed) => claimed,
-            Claim::Undecided(kind) => return self.refuse(key, kind).await,
+        let claim = self
+            .claim_request(key)
+            .run()
+            .instrument(self.trace.claim_span());
+        let mut guard = match claim.await? {
+            Claim::Granted(guard) => guard,
+            Claim::Undecided(kind) => return self.reject(key, kind).await,
             Claim::Ran(stored) => {
                 self.shared.counters.replayed.incr();
-                return Ok(Answer::Replayed(stored));
+                return Ok(TargetResponse::Replayed(stored));
             }
         };
         // A refusal drops the claim, which settles it as not run.
         let slot = self.admit().await?;
-        claimed.set_sent();
+        guard.mark_sent();
         let result = self.send(slot).await;
-        claimed.settle(self.settlement(&result)).await;
+        guard.settle(self.settlement(&result)).await;
         result
     }
 
     /// The final answer to a request whose claim was not decided.
-    async fn refuse(&self, key: &str, kind: ProblemKind) -> Result<Answer, Problem> {
-        let refused = Refused {
+    async fn reject(&self, key: &str, kind: ProblemKind) -> Result<TargetResponse, Problem> {
+        let rejected = RejectedRequest {
             key: &self.scoped(key),
             digest: Some(self.digest()),
             deadline: self.deadline,
         };
-        refused.answer(&self.shared, Problem::new(kind)).await
+        rejected.respond(&self.shared, Problem::new(kind)).await
     }
 
-    fn claimer(&self, key: &str) -> Claimer<C> {
-        Claimer {
+    fn claim_request(&self, key: &str) -> ClaimRequest<C> {
+        ClaimRequest {
             control: Arc::clone(&self.shared.control),
-            keys: Arc::clone(&self.shared.keys_in_hand),
+            keys: Arc::clone(&self.shared.held_keys),
             claim: self.claim(key),
-            keep: Duration::from_secs(self.shared.key_terms().keep_s),
+            retention: Duration::from_secs(self.shared.key_terms().keep_s),
             deadline: self.deadline,
         }
     }
@@ -70,7 +73,7 @@
             digest: self.digest(),
             entry: self.shared.cfg.name.clone(),
             life: self.shared.cfg.incarnation,
-            number: self.shared.claim_number(),
+            number: self.shared.next_claim_number(),
             hold_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
         }
     }
@@ -87,7 +90,7 @@
         digest(&[method, path, query, &outgoing.body])
     }
 
-    fn settlement(&self, result: &Result<Answer, Problem>) -> Settlement {
+    fn settlement(&self, result: &Result<TargetResponse, Problem>) -> Settlement {
         let limit = self.shared.key_terms().answer_bytes;
         match result {
             Ok(answer) => match answer.stored(limit) {
--- a/crates/cleat-entry/src/tries/job.rs
+++ b/crates/cleat-entry/src/attempts/pending_request.rs
@@ -6,26 +6,26 @@
 use tokio::time::Instant;
 use tracing::Instrument;
 
-use super::Answer;
+use super::TargetResponse;
+use super::attempt_loop::AttemptLoop;
 use super::detached::{Commitment, Detached};
-use super::exchange::Terms;
-use super::run::Tries;
+use super::exchange::AttemptOptions;
 use crate::control::Control;
-use crate::entry::{Shared, WorkToken};
+use crate::entry::{SharedState, WorkToken};
 use crate::problem::{Problem, ProblemKind};
-use crate::request::{Intake, Outgoing};
+use crate::request::{OutgoingRequest, ValidatedRequest};
 use crate::route::Route;
 use crate::service::Slot;
 use crate::trace::Trace;
 
 /// A request that was read whole.
-pub(crate) struct Job<C: Control> {
-    pub(super) shared: Arc<Shared<C>>,
+pub(crate) struct PendingRequest<C: Control> {
+    pub(super) shared: Arc<SharedState<C>>,
     pub(super) service: Box<str>,
     pub(super) route: Route,
     pub(super) caller: Box<str>,
     pub(super) key: Option<Box<str>>,
-    pub(super) outgoing: Outgoing,
+    pub(super) outgoing: OutgoingRequest,
     pub(super) deadline: Instant,
     pub(super) idempotent: bool,
     pub(super) commitment: Commitment,
@@ -38,27 +38,28 @@
     _work: WorkToken,
 }
 
-impl<C: Control> Job<C> {
+impl<C: Control> PendingRequest<C> {
     pub(crate) fn new(
-        shared: Arc<Shared<C>>,
-        intake: Intake,
+        shared: Arc<SharedState<C>>,
+        validated: ValidatedRequest,
         body: bytes::Bytes,
         in_service: bool,
         trace: Trace,
-    ) -> Job<C> {
-        let outgoing = Outgoing::new(intake.method, intake.uri, intake.headers, body);
-        Job {
+    ) -> PendingRequest<C> {
+        let outgoing =
+            OutgoingRequest::new(validated.method, validated.uri, validated.headers, body);
+        PendingRequest {
             _work: shared.work_token(),
             shared,
-            service: intake.service,
-            route: intake.route,
-            caller: intake.caller,
-            key: intake.key,
+            service: validated.service,
+            route: validated.route,
+            caller: validated.caller,
+            key: validated.key,
             outgoing,
-            deadline: intake.deadline,
-            idempotent: intake.idempotent,
+            deadline: validated.deadline,
+            idempotent: validated.idempotent,
             commitment: Commitment::default(),
-            version: intake.version,
+            version: validated.version,
             in_service,
             trace,
         }
@@ -66,7 +67,7 @@
 
     /// As [`Job::run`], but what has to run to its end does so without its
     /// caller. Not `async`, so that the future is only ever in its box.
-    pub(crate) fn detached(self) -> Detached<Result<Answer, Problem>> {
+    pub(crate) fn detached(self) -> Detached<Result<TargetResponse, Problem>> {
         let commitment = self.commitment.clone();
         Detached::new(Box::pin(self.run()), commitment)
     }
@@ -80,7 +81,7 @@
     ///
     /// # Errors
     /// The final answer to the caller, if it is not a target's.
-    pub(crate) async fn run(self) -> Result<Answer, Problem> {
+    pub(crate) async fn run(self) -> Result<TargetResponse, Problem> {
         match &self.key {
             // Boxed, because it is large and seldom needed.
             Some(key) if !self.idempotent => Box::pin(self.run_keyed(key)).await,
@@ -93,9 +94,9 @@
 
     /// Waits for a slot.
     pub(super) async fn admit(&self) -> Result<Slot, Problem> {
-        let waited = || self.shared.note_wait();
+        let waited = || self.shared.record_wait();
         let admission = self.route.state.admit(&self.caller, self.deadline, waited);
-        let slot = admission.instrument(self.trace.admitted()).await?;
+        let slot = admission.instrument(self.trace.admission_span()).await?;
         // The lease may have lapsed meanwhile.
         if !self.shared.control.in_service() {
             return Err(Problem::new(ProblemKind::NotInService));
@@ -104,26 +105,26 @@
     }
 
     /// Tries, beginning with `slot`.
-    pub(super) async fn send(&self, slot: Slot) -> Result<Answer, Problem> {
+    pub(super) async fn send(&self, slot: Slot) -> Result<TargetResponse, Problem> {
         if !self.idempotent {
             self.commitment.commit();
         }
-        let terms = &self.route.terms;
-        let tries = Tries {
-            terms: Terms {
+        let config = &self.route.config;
+        let attempt_loop = AttemptLoop {
+            options: AttemptOptions {
                 outgoing: &self.outgoing,
-                connect: self.shared.connect_terms(),
-                answer_limit: terms.answer_buffer_bytes,
-                memory: &self.shared.answer_memory,
+                connect: self.shared.connect_options(),
+                response_limit: config.answer_buffer_bytes,
+                memory: &self.shared.response_memory,
                 deadline: self.deadline,
                 trace: &self.trace,
             },
             idempotent: self.idempotent,
-            tries_max: u32::try_from(terms.retry.tries).unwrap_or(u32::MAX),
+            max_attempts: u32::try_from(config.retry.tries).unwrap_or(u32::MAX),
             version: self.version,
             counters: &self.shared.counters,
-            ticker: &self.shared.waiting,
+            waiter_added: &self.shared.waiter_added,
         };
-        tries.run(slot).await
+        attempt_loop.run(slot).await
     }
 }
--- a/crates/cleat-entry/src/tries/answer.rs
+++ b/crates/cleat-entry/src/attempts/target_response.rs
@@ -4,68 +4,68 @@
 use http::response::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 
-use crate::answer::{AnswerBody, Chunks, Stream};
-use crate::headers::{OUTCOME, Outcome, REPLAYED, remove_for_caller};
+use crate::headers::{OUTCOME, Outcome, REPLAYED, strip_response_headers};
+use crate::response::{Chunks, ResponseBody, StreamedBody};
 
 const TRUE: HeaderValue = HeaderValue::from_static("true");
 
 /// A target's own answer.
-pub(crate) enum Answer {
+pub(crate) enum TargetResponse {
     /// It is here.
-    Whole(Parts, Chunks),
+    Complete(Parts, Chunks),
     /// It still comes.
-    Streamed(Parts, Box<Stream>),
+    Streamed(Parts, Box<StreamedBody>),
     /// It was kept with an idempotency key.
     Replayed(StoredAnswer),
 }
 
-impl Answer {
-    pub(crate) fn into_response(self) -> Response<AnswerBody> {
+impl TargetResponse {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let (parts, body) = match self {
-            Answer::Whole(parts, chunks) => (parts, AnswerBody::Whole(chunks)),
-            Answer::Streamed(parts, stream) => (parts, AnswerBody::Streamed(stream)),
-            Answer::Replayed(stored) => return replay(stored),
+            TargetResponse::Complete(parts, chunks) => (parts, ResponseBody::Buffered(chunks)),
+            TargetResponse::Streamed(parts, stream) => (parts, ResponseBody::Streamed(stream)),
+            TargetResponse::Replayed(stored) => return replayed_response(stored),
         };
         let mut response = Response::new(body);
         *response.status_mut() = parts.status;
         *response.headers_mut() = parts.headers;
         let headers = response.headers_mut();
-        remove_for_caller(headers);
-        headers.insert(OUTCOME, Outcome::Answered.value());
+        strip_response_headers(headers);
+        headers.insert(OUTCOME, Outcome::Answered.header_value());
         response
     }
 
     /// What to keep with a key, unless it is larger than `limit` bytes.
     pub(super) fn stored(&self, limit: u64) -> Option<StoredAnswer> {
-        let Answer::Whole(parts, chunks) = self else {
+        let TargetResponse::Complete(parts, chunks) = self else {
             return None;
         };
         if chunks.len() as u64 > limit {
             return None;
         }
         let mut headers = parts.headers.clone();
-        remove_for_caller(&mut headers);
+        strip_response_headers(&mut headers);
         let stored = StoredAnswer {
             status: parts.status.as_u16(),
-            headers: lines(&headers),
+            headers: header_lines(&headers),
             body: chunks.concat(),
         };
         Some(stored).filter(|stored| stored.size() as u64 <= limit)
     }
 }
 
-fn lines(headers: &HeaderMap) -> Vec<(Box<str>, Box<[u8]>)> {
+fn header_lines(headers: &HeaderMap) -> Vec<(Box<str>, Box<[u8]>)> {
     let line = |(name, value): (&HeaderName, &HeaderValue)| {
         (Box::from(name.as_str()), Box::from(value.as_bytes()))
     };
     headers.iter().map(line).collect()
 }
 
-fn replay(stored: StoredAnswer) -> Response<AnswerBody> {
+fn replayed_response(stored: StoredAnswer) -> Response<ResponseBody> {
     let body = if stored.body.is_empty() {
-        AnswerBody::empty()
+        ResponseBody::empty()
     } else {
-        AnswerBody::whole_bytes(stored.body.into())
+        ResponseBody::from_bytes(stored.body.into())
     };
     let mut response = Response::new(body);
     // Kept from an answer, so each part is valid.
@@ -79,6 +79,6 @@
         }
     }
     headers.insert(REPLAYED, TRUE);
-    headers.insert(OUTCOME, Outcome::Answered.value());
+    headers.insert(OUTCOME, Outcome::Answered.header_value());
     response
 }
--- a/crates/cleat-entry/src/counters.rs
+++ b/crates/cleat-entry/src/counters.rs
@@ -18,7 +18,7 @@
     /// Requests that had to wait for a slot.
     pub(crate) waited: Counter,
     /// Tries in all.
-    pub(crate) tries: Counter,
+    pub(crate) attempts: Counter,
     /// Tries after the first.
     pub(crate) retries: Counter,
     /// Answers too large to hold, passed on as they came.
@@ -28,7 +28,7 @@
     /// Stored answers given again for a key.
     pub(crate) replayed: Counter,
     /// Bytes that answers in flight hold.
-    pub(crate) answer_bytes: Gauge,
+    pub(crate) response_bytes: Gauge,
 }
 
 impl Counters {
@@ -39,16 +39,16 @@
             not_run: registry.counter("entry.not_run"),
             unknown: registry.counter("entry.unknown"),
             waited: registry.counter("entry.waited"),
-            tries: registry.counter("entry.tries"),
+            attempts: registry.counter("entry.tries"),
             retries: registry.counter("entry.retries"),
             streamed: registry.counter("entry.streamed"),
             claims: registry.counter("entry.claims"),
             replayed: registry.counter("entry.replayed"),
-            answer_bytes: registry.gauge("entry.answer_bytes_held"),
+            response_bytes: registry.gauge("entry.answer_bytes_held"),
         }
     }
 
-    pub(crate) fn count(&self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Answered => self.answered.incr(),
             Outcome::NotRun => self.not_run.incr(),
--- a/crates/cleat-entry/src/entry/accept.rs
+++ b/crates/cleat-entry/src/entry/accept.rs
@@ -14,22 +14,22 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::sleep;
 
+use super::caller_connection::CallerConnection;
 use super::caller_io::CallerIo;
-use super::connection::Connection;
 use super::handle::handle;
-use super::shared::{Phase, Shared};
+use super::shared::{Phase, SharedState};
 use crate::control::Control;
 
 /// After a failed accept, as when no file descriptor is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// When the entry closes, what a new connection has sent may still be unread;
 /// hyper would close it without a look.
-const FIRST_REQUEST: Duration = Duration::from_millis(100);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Header blocks up to this factor of the limit get an answer of ours; beyond
 /// it hyper refuses them with a bare 431.
-const HEADER_FACTOR: usize = 4;
+const HYPER_HEADER_LIMIT_FACTOR: usize = 4;
 
-pub(super) fn spawn<C: Control>(shared: &Arc<Shared<C>>, listener: TcpListener) {
+pub(super) fn spawn<C: Control>(shared: &Arc<SharedState<C>>, listener: TcpListener) {
     let work = shared.work_token();
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
@@ -39,80 +39,80 @@
 }
 
 /// Accepts until the entry closes, and then what has already connected.
-async fn accept_all<C: Control>(shared: &Arc<Shared<C>>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(shared.cfg.limits.max_connections));
+async fn accept_all<C: Control>(shared: &Arc<SharedState<C>>, listener: TcpListener) {
+    let permits = Arc::new(Semaphore::new(shared.cfg.limits.max_connections));
     let mut phase = shared.phase.subscribe();
     loop {
         let accepted = tokio::select! {
             biased;
-            () = is_closing(&mut phase) => break,
-            accepted = accept(&listener, &places) => accepted,
+            () = wait_for_closing_phase(&mut phase) => break,
+            accepted = accept(&listener, &permits) => accepted,
         };
         match accepted {
-            Ok((stream, place)) => serve(shared, stream, Some(place)),
+            Ok((stream, permit)) => spawn_connection(shared, stream, Some(permit)),
             Err(error) => {
                 log::warn!("a connection could not be accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
     while let Some(Ok((stream, _))) = now_or_never(listener.accept()).await {
-        serve(shared, stream, None);
+        spawn_connection(shared, stream, None);
     }
 }
 
 async fn accept(
     listener: &TcpListener,
-    places: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, OwnedSemaphorePermit)> {
-    let place = Arc::clone(places).acquire_owned().await;
-    let place = place.map_err(io::Error::other)?;
+    let permit = Arc::clone(permits).acquire_owned().await;
+    let permit = permit.map_err(io::Error::other)?;
     let (stream, _) = listener.accept().await?;
-    Ok((stream, place))
+    Ok((stream, permit))
 }
 
 /// Ends when the connection should close after its present request.
-async fn is_to_close(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
-    is_closing(phase).await;
-    if !connection.has_begun() {
-        sleep(FIRST_REQUEST).await;
+async fn wait_for_close(phase: &mut watch::Receiver<Phase>, connection: &CallerConnection) {
+    wait_for_closing_phase(phase).await;
+    if !connection.has_received_request() {
+        sleep(FIRST_REQUEST_TIMEOUT).await;
     }
 }
 
-async fn is_closing(phase: &mut watch::Receiver<Phase>) {
+async fn wait_for_closing_phase(phase: &mut watch::Receiver<Phase>) {
     // An error means that the sender is gone, which ends the entry as well.
     let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
 }
 
-fn serve<C: Control>(
-    shared: &Arc<Shared<C>>,
+fn spawn_connection<C: Control>(
+    shared: &Arc<SharedState<C>>,
     stream: TcpStream,
-    place: Option<OwnedSemaphorePermit>,
+    permit: Option<OwnedSemaphorePermit>,
 ) {
     let work = shared.work_token();
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        let _held = (work, place);
+        let _held = (work, permit);
         serve_connection(shared, stream).await;
     });
 }
 
-async fn serve_connection<C: Control>(shared: Arc<Shared<C>>, stream: TcpStream) {
+async fn serve_connection<C: Control>(shared: Arc<SharedState<C>>, stream: TcpStream) {
     // A socket without it is slower, not wrong.
     let _ = stream.set_nodelay(true);
     let limits = &shared.cfg.limits;
-    let connection = Connection::default();
+    let connection = CallerConnection::default();
     let io = CallerIo::new(stream, limits, connection.clone());
     let mut phase = shared.phase.subscribe();
     let service = service_fn(|req| handle(Arc::clone(&shared), connection.clone(), req));
     let conn = http1::Builder::new()
-        .max_header_size(limits.max_header_bytes * HEADER_FACTOR)
+        .max_header_size(limits.max_header_bytes * HYPER_HEADER_LIMIT_FACTOR)
         .serve_connection(TokioIo::new(io), service);
     let mut conn = pin!(conn);
     tokio::select! {
         biased;
         _ = conn.as_mut() => return,
-        () = is_to_close(&mut phase, &connection) => {}
+        () = wait_for_close(&mut phase, &connection) => {}
     }
     conn.as_mut().graceful_shutdown();
     // A broken connection is the caller's end of it.
--- a/crates/cleat-entry/src/entry/caller_io.rs
+++ b/crates/cleat-entry/src/entry/caller_io.rs
@@ -12,47 +12,53 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-use super::connection::Connection;
-use super::refusal;
+use super::automatic_response;
+use super::caller_connection::CallerConnection;
 use crate::config::Limits;
 
 /// Without the bound, a caller that stops reading would hold its answer, and a
 /// draining entry, for ever.
 pub(super) struct CallerIo {
     stream: TcpStream,
-    limit: Duration,
+    timeout: Duration,
     /// Runs while the caller takes nothing.
-    stall: Option<Pin<Box<Sleep>>>,
-    connection: Connection,
-    head: HeadTimer,
+    write_timer: Option<Pin<Box<Sleep>>>,
+    connection: CallerConnection,
+    head_timer: HeadReadTimer,
     /// What is left to write in place of an automatic answer of hyper.
     replacement: Option<Bytes>,
 }
 
 impl CallerIo {
-    pub(super) fn new(stream: TcpStream, limits: &Limits, connection: Connection) -> CallerIo {
+    pub(super) fn new(
+        stream: TcpStream,
+        limits: &Limits,
+        connection: CallerConnection,
+    ) -> CallerIo {
         CallerIo {
             stream,
-            limit: limits.caller_write_timeout,
-            head: HeadTimer::new(limits.header_read_timeout),
-            stall: None,
+            timeout: limits.caller_write_timeout,
+            head_timer: HeadReadTimer::new(limits.header_read_timeout),
+            write_timer: None,
             connection,
             replacement: None,
         }
     }
 
-    fn watch(
+    fn check_write_timeout(
         &mut self,
         written: Poll<io::Result<usize>>,
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.stall = None;
+            self.write_timer = None;
             return written;
         }
-        let limit = self.limit;
-        let stall = self.stall.get_or_insert_with(|| Box::pin(sleep(limit)));
-        match stall.as_mut().poll(cx) {
+        let timeout = self.timeout;
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(sleep(timeout)));
+        match write_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -60,20 +66,20 @@
 
     /// Writes the replacement of `buf`, if it has one, and then claims that
     /// `buf` was written.
-    fn poll_replace(
+    fn poll_write_replaced(
         &mut self,
         buf: &[u8],
         cx: &mut Context<'_>,
     ) -> Option<Poll<io::Result<usize>>> {
         if self.replacement.is_none() && !self.connection.is_busy() {
-            self.replacement = refusal::replacement(buf);
+            self.replacement = automatic_response::replacement(buf);
         }
         self.replacement.as_ref()?;
-        let written = self.poll_replacement(cx);
+        let written = self.poll_write_replacement(cx);
         Some(written.map_ok(|()| buf.len()))
     }
 
-    fn poll_replacement(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_write_replacement(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while let Some(rest) = &mut self.replacement {
             let written = Pin::new(&mut self.stream).poll_write(cx, rest);
             rest.advance(ready!(written)?);
@@ -87,27 +93,27 @@
 
 /// Bounds how long a caller may take for the head of a request. One timer for
 /// all heads: to set it later takes no lock, to make and drop one does.
-struct HeadTimer {
-    limit: Duration,
+struct HeadReadTimer {
+    timeout: Duration,
     sleep: Pin<Box<Sleep>>,
     /// How many requests had come when it was set.
-    requests: Option<u64>,
+    request_count: Option<u64>,
 }
 
-impl HeadTimer {
-    fn new(limit: Duration) -> HeadTimer {
-        HeadTimer {
-            limit,
-            sleep: Box::pin(sleep(limit)),
-            requests: None,
+impl HeadReadTimer {
+    fn new(timeout: Duration) -> HeadReadTimer {
+        HeadReadTimer {
+            timeout,
+            sleep: Box::pin(sleep(timeout)),
+            request_count: None,
         }
     }
 
     /// Ready when the limit has passed since `requests` requests had come.
-    fn poll(&mut self, requests: u64, cx: &mut Context<'_>) -> Poll<()> {
-        if self.requests != Some(requests) {
-            self.requests = Some(requests);
-            self.sleep.as_mut().reset(Instant::now() + self.limit);
+    fn poll(&mut self, request_count: u64, cx: &mut Context<'_>) -> Poll<()> {
+        if self.request_count != Some(request_count) {
+            self.request_count = Some(request_count);
+            self.sleep.as_mut().reset(Instant::now() + self.timeout);
         }
         self.sleep.as_mut().poll(cx)
     }
@@ -122,12 +128,12 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if read.is_pending() && !self.connection.is_busy() {
-            let requests = self.connection.requests();
-            ready!(self.head.poll(requests, cx));
+            let request_count = self.connection.request_count();
+            ready!(self.head_timer.poll(request_count, cx));
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         ready!(read)?;
-        self.connection.note_read(&buf.filled()[before..]);
+        self.connection.record_read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -138,9 +144,9 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let replaced = self.poll_replace(buf, cx);
+        let replaced = self.poll_write_replaced(buf, cx);
         let written = replaced.unwrap_or_else(|| Pin::new(&mut self.stream).poll_write(cx, buf));
-        self.watch(written, cx)
+        self.check_write_timeout(written, cx)
     }
 
     fn poll_write_vectored(
@@ -149,12 +155,12 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let replaced = match bufs {
-            [only] => self.poll_replace(only, cx),
+            [only] => self.poll_write_replaced(only, cx),
             _ => None,
         };
         let written =
             replaced.unwrap_or_else(|| Pin::new(&mut self.stream).poll_write_vectored(cx, bufs));
-        self.watch(written, cx)
+        self.check_write_timeout(written, cx)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/cleat-entry/src/entry/entry.rs
+++ b/crates/cleat-entry/src/entry/entry.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use super::shared::{Phase, Shared};
+use super::shared::{Phase, SharedState};
 use super::{accept, drain, tick};
 use crate::config::EntryConfig;
 use crate::control::Control;
@@ -21,7 +21,7 @@
 /// A running entry. Dropping it closes its listener and lets requests in
 /// progress finish; [`Entry::drain`] also waits for them.
 pub struct Entry<C: Control> {
-    shared: Arc<Shared<C>>,
+    shared: Arc<SharedState<C>>,
     local_addr: SocketAddr,
     counters: Counters,
 }
@@ -66,7 +66,7 @@
         let listening = TcpListener::bind(address).await;
         let listener = listening.context(ListenSnafu { address })?;
         let local_addr = listener.local_addr().context(ListenSnafu { address })?;
-        let shared = Arc::new(Shared::new(cfg, control, counters));
+        let shared = Arc::new(SharedState::new(cfg, control, counters));
         accept::spawn(&shared, listener);
         tick::spawn(&shared);
         let counters = counters.clone();
@@ -85,7 +85,7 @@
     /// Brings the services and targets of `world` into force. When it returns,
     /// no request begins by what was before. Cheap if neither changed.
     pub fn update_routes(&self, world: &World) {
-        self.shared.publish(world);
+        self.shared.update_routes(world);
     }
 
     /// What this entry has to say to others about slots; `None` if it was taken
@@ -98,7 +98,7 @@
     /// Handles what the entry `from` says about the slots of `service`.
     pub fn handle_slot_message(&self, from: &str, service: &str, message: Message) {
         if let Some(route) = self.shared.routes().find(service) {
-            route.state.receive_slots(from, message);
+            route.state.handle_slot_message(from, message);
         }
     }
 
@@ -108,14 +108,14 @@
         let routes = self.shared.routes();
         let mut borrowed = false;
         for route in routes.services.values() {
-            borrowed |= route.state.tick_slots();
+            borrowed |= route.state.return_idle_slots();
         }
         borrowed
     }
 
     /// Every number of the registry it counts in, by name.
     pub fn counters(&self) -> IndexMap<Box<str>, u64> {
-        self.shared.measure();
+        self.shared.update_gauges();
         self.counters.snapshot()
     }
 
--- a/crates/cleat-entry/src/entry/guarded.rs
+++ b/crates/cleat-entry/src/entry/guarded.rs
@@ -6,35 +6,35 @@
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 
-use super::connection::Busy;
-use crate::answer::{AnswerBody, BrokenOff};
+use super::caller_connection::BusyGuard;
+use crate::response::{ResponseBody, ResponseTruncated};
 
 /// The body of an answer on a caller's connection.
 pub(super) struct GuardedBody {
-    body: AnswerBody,
-    busy: Busy,
+    body: ResponseBody,
+    busy: BusyGuard,
 }
 
 /// A piece of a body. hyper drops it once it is written.
-struct GuardedBytes {
+struct GuardedChunk {
     bytes: Bytes,
-    _busy: Busy,
+    _busy: BusyGuard,
 }
 
 impl GuardedBody {
-    pub(super) fn new(body: AnswerBody, busy: Busy) -> GuardedBody {
+    pub(super) fn new(body: ResponseBody, busy: BusyGuard) -> GuardedBody {
         GuardedBody { body, busy }
     }
 
     fn guard(&self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(GuardedBytes {
+        Bytes::from_owner(GuardedChunk {
             bytes,
             _busy: self.busy.clone(),
         })
     }
 }
 
-impl AsRef<[u8]> for GuardedBytes {
+impl AsRef<[u8]> for GuardedChunk {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -42,12 +42,12 @@
 
 impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = ResponseTruncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         let guard = |frame: Frame<Bytes>| frame.map_data(|bytes| self.guard(bytes));
         Poll::Ready(frame.map(|frame| frame.map(guard)))
--- a/crates/cleat-entry/src/entry/handle.rs
+++ b/crates/cleat-entry/src/entry/handle.rs
@@ -10,32 +10,32 @@
 use tokio::time::Instant;
 use tracing::Instrument;
 
-use super::connection::Connection;
+use super::caller_connection::CallerConnection;
 use super::guarded::GuardedBody;
 use super::health;
-use super::shared::{Phase, Shared};
-use crate::answer::AnswerBody;
+use super::shared::{Phase, SharedState};
+use crate::attempts::{PendingRequest, RejectedRequest, TargetResponse};
 use crate::control::Control;
 use crate::headers::Outcome;
 use crate::problem::{Problem, ProblemKind};
-use crate::request::{Intake, KeyedHead, read_body};
+use crate::request::{KeyedHead, ValidatedRequest, read_body};
+use crate::response::ResponseBody;
 use crate::trace::Trace;
-use crate::tries::{Answer, Job, Refused};
 
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
 /// Answers one request.
 pub(super) async fn handle<C: Control>(
-    shared: Arc<Shared<C>>,
-    connection: Connection,
+    shared: Arc<SharedState<C>>,
+    connection: CallerConnection,
     req: Request<Incoming>,
 ) -> Result<Response<GuardedBody>, Infallible> {
     let received = Instant::now();
-    let busy = connection.begin();
+    let busy = connection.begin_request();
     let (parts, body) = req.into_parts();
     let mut response = if parts.uri.path().starts_with(health::PREFIX) {
-        let answer = health::answer(&shared, &parts.method, parts.uri.path());
-        answer.unwrap_or_else(|problem| problem.into_response(shared.later()))
+        let response = health::respond(&shared, &parts.method, parts.uri.path());
+        response.unwrap_or_else(|problem| problem.into_response(shared.default_retry_after()))
     } else {
         forward(&shared, &connection, parts, body, received).await
     };
@@ -46,89 +46,99 @@
 }
 
 async fn forward<C: Control>(
-    shared: &Arc<Shared<C>>,
-    connection: &Connection,
+    shared: &Arc<SharedState<C>>,
+    connection: &CallerConnection,
     parts: Parts,
     body: Incoming,
     received: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     shared.counters.requests.incr();
     let trace = Trace::begin(&parts.headers);
     let chunked = parts.headers.contains_key(TRANSFER_ENCODING);
-    let result = if chunked && connection.had_length() {
+    let result = if chunked && connection.had_content_length() {
         Err(Problem::closing(ProblemKind::MalformedRequest))
     } else {
-        run(shared, parts, body, received, &trace).await
+        process(shared, parts, body, received, &trace).await
     };
     let (outcome, response) = match result {
-        Ok(answer) => (Outcome::Answered, answer.into_response()),
+        Ok(response) => (Outcome::Answered, response.into_response()),
         Err(problem) => (
             problem.kind.outcome(),
-            problem.into_response(shared.later()),
+            problem.into_response(shared.default_retry_after()),
         ),
     };
-    shared.counters.count(outcome);
-    trace.note_answer(outcome.name(), response.status().as_u16());
+    shared.counters.record_outcome(outcome);
+    trace.record_response(outcome.name(), response.status().as_u16());
     response
 }
 
-async fn run<C: Control>(
-    shared: &Arc<Shared<C>>,
+async fn process<C: Control>(
+    shared: &Arc<SharedState<C>>,
     parts: Parts,
     body: Incoming,
     received: Instant,
     trace: &Trace,
-) -> Result<Answer, Problem> {
-    let keyed = KeyedHead::of(&parts, received);
+) -> Result<TargetResponse, Problem> {
+    let keyed = KeyedHead::parse(&parts, received);
     let in_service = shared.control.in_service();
     if !in_service && keyed.is_none() {
         return Err(Problem::new(ProblemKind::NotInService));
     }
-    let job = take(shared, parts, body, received, in_service, trace).await;
-    match (job, keyed) {
-        (Ok(job), _) if job.is_idempotent() => job.run().await,
-        (Ok(job), _) => job.detached().await,
+    let pending = read_request(shared, parts, body, received, in_service, trace).await;
+    match (pending, keyed) {
+        (Ok(pending), _) if pending.is_idempotent() => pending.run().await,
+        (Ok(pending), _) => pending.detached().await,
         (Err(problem), None) => Err(problem),
-        (Err(problem), Some(head)) => refuse(shared, &head, in_service, problem).await,
+        (Err(problem), Some(head)) => reject_keyed(shared, &head, in_service, problem).await,
     }
 }
 
 /// Checks the head and reads the rest.
-async fn take<C: Control>(
-    shared: &Arc<Shared<C>>,
+async fn read_request<C: Control>(
+    shared: &Arc<SharedState<C>>,
     parts: Parts,
     body: Incoming,
     received: Instant,
     in_service: bool,
     trace: &Trace,
-) -> Result<Job<C>, Problem> {
+) -> Result<PendingRequest<C>, Problem> {
     let header_bytes = shared.cfg.limits.max_header_bytes;
-    let intake = Intake::check(parts, &shared.routes(), header_bytes, received)?;
-    let limit = intake.terms().body_limit_bytes;
-    trace.note_request(intake.method.as_str(), &intake.service, &intake.caller);
-    let reading = read_body(body, limit, &shared.request_memory, intake.deadline);
-    let body = reading.instrument(trace.received()).await?;
+    let validated = ValidatedRequest::check(parts, &shared.routes(), header_bytes, received)?;
+    let limit = validated.config().body_limit_bytes;
+    trace.record_request(
+        validated.method.as_str(),
+        &validated.service,
+        &validated.caller,
+    );
+    let reading = read_body(body, limit, &shared.request_memory, validated.deadline);
+    let body = reading.instrument(trace.receive_span()).await?;
     let shared = Arc::clone(shared);
-    Ok(Job::new(shared, intake, body, in_service, trace.clone()))
+    Ok(PendingRequest::new(
+        shared,
+        validated,
+        body,
+        in_service,
+        trace.clone(),
+    ))
 }
 
 /// The final answer to a request with a key that was not read whole.
-async fn refuse<C: Control>(
-    shared: &Shared<C>,
+async fn reject_keyed<C: Control>(
+    shared: &SharedState<C>,
     head: &KeyedHead,
     in_service: bool,
     problem: Problem,
-) -> Result<Answer, Problem> {
+) -> Result<TargetResponse, Problem> {
     // Routes that are not in force prove no mistake of the caller.
     let problem = if in_service {
         problem
     } else {
-        problem.because(ProblemKind::NotInService)
+        problem.with_kind(ProblemKind::NotInService)
     };
-    let refused = Refused {
+    let rejected = RejectedRequest {
         key: &head.key,
         digest: None,
         deadline: head.deadline,
     };
-    refused.answer(shared, problem).await
+    rejected.respond(shared, problem).await
 }
--- a/crates/cleat-entry/src/entry/health.rs
+++ b/crates/cleat-entry/src/entry/health.rs
@@ -4,10 +4,10 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Response};
 
-use super::shared::{Phase, Shared};
-use crate::answer::AnswerBody;
+use super::shared::{Phase, SharedState};
 use crate::control::Control;
 use crate::problem::{Problem, ProblemKind};
+use crate::response::ResponseBody;
 
 /// Paths of the entry's own begin with this; no service can have the name.
 pub(super) const PREFIX: &str = "/-/";
@@ -16,27 +16,27 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
 /// Answers a request for one of the entry's own paths.
-pub(super) fn answer<C: Control>(
-    shared: &Shared<C>,
+pub(super) fn respond<C: Control>(
+    shared: &SharedState<C>,
     method: &Method,
     path: &str,
-) -> Result<Response<AnswerBody>, Problem> {
-    let asked = path.strip_prefix(PREFIX).unwrap_or_default();
+) -> Result<Response<ResponseBody>, Problem> {
+    let endpoint = path.strip_prefix(PREFIX).unwrap_or_default();
     let reads = method == Method::GET || method == Method::HEAD;
-    match asked {
-        READY if reads && is_ready(shared) => Ok(yes(br#"{"ready":true}"#)),
+    match endpoint {
+        READY if reads && is_ready(shared) => Ok(ok_json(br#"{"ready":true}"#)),
         READY if reads => Err(Problem::new(ProblemKind::NotInService)),
-        LIVE if reads => Ok(yes(br#"{"live":true}"#)),
+        LIVE if reads => Ok(ok_json(br#"{"live":true}"#)),
         _ => Err(Problem::new(ProblemKind::UnknownService)),
     }
 }
 
-fn is_ready<C: Control>(shared: &Shared<C>) -> bool {
+fn is_ready<C: Control>(shared: &SharedState<C>) -> bool {
     shared.phase() == Phase::Running && shared.control.in_service()
 }
 
-fn yes(body: &'static [u8]) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole_bytes(Bytes::from_static(body)));
+fn ok_json(body: &'static [u8]) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(Bytes::from_static(body)));
     response.headers_mut().insert(CONTENT_TYPE, JSON);
     response
 }
--- a/crates/cleat-entry/src/entry/tick.rs
+++ b/crates/cleat-entry/src/entry/tick.rs
@@ -5,49 +5,51 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Shared;
+use super::SharedState;
 use crate::control::Control;
 
 /// How late a waiting request that can't finish in time may be told so.
-const WHILE_WAITING: Duration = Duration::from_millis(10);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How often unused connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-pub(super) fn spawn<C: Control>(shared: &Arc<Shared<C>>) {
+pub(super) fn spawn<C: Control>(shared: &Arc<SharedState<C>>) {
     tokio::spawn(run(Arc::downgrade(shared)));
 }
 
 /// Runs until the entry and its requests are gone.
-async fn run<C: Control>(shared: Weak<Shared<C>>) {
-    let mut swept = Instant::now();
+async fn run<C: Control>(shared: Weak<SharedState<C>>) {
+    let mut last_sweep = Instant::now();
     while let Some(shared) = shared.upgrade() {
-        let waiting = tick(&shared);
-        if swept.elapsed() >= SWEEP {
-            sweep(&shared);
-            shared.measure();
-            swept = Instant::now();
+        let waiting = check_queues(&shared);
+        if last_sweep.elapsed() >= SWEEP_INTERVAL {
+            close_expired_connections(&shared);
+            shared.update_gauges();
+            last_sweep = Instant::now();
         }
         if waiting {
             drop(shared);
-            sleep(WHILE_WAITING).await;
+            sleep(QUEUE_CHECK_INTERVAL).await;
         } else {
             // Woken by a request that begins to wait.
-            let _ = timeout(SWEEP, shared.waiting.notified()).await;
+            let _ = timeout(SWEEP_INTERVAL, shared.waiter_added.notified()).await;
         }
     }
 }
 
-fn tick<C: Control>(shared: &Shared<C>) -> bool {
+fn check_queues<C: Control>(shared: &SharedState<C>) -> bool {
     let routes = shared.routes();
     let mut waiting = false;
     for route in routes.services.values() {
-        waiting |= route.state.tick();
+        waiting |= route.state.check_queue();
     }
     waiting
 }
 
-fn sweep<C: Control>(shared: &Shared<C>) {
+fn close_expired_connections<C: Control>(shared: &SharedState<C>) {
     for route in shared.routes().services.values() {
-        route.state.sweep(shared.cfg.limits.idle_timeout);
+        route
+            .state
+            .close_expired_connections(shared.cfg.limits.idle_timeout);
     }
 }
--- a/crates/cleat-entry/src/entry/work.rs
+++ b/crates/cleat-entry/src/entry/work.rs
@@ -7,19 +7,19 @@
 
 /// The work in progress.
 #[derive(Debug, Default)]
-pub(super) struct Work {
+pub(super) struct WorkTracker {
     count: AtomicUsize,
     ended: Notify,
 }
 
-impl Work {
+impl WorkTracker {
     pub(super) fn begin(self: &Arc<Self>) -> WorkToken {
         self.count.fetch_add(1, Ordering::AcqRel);
         WorkToken(Arc::clone(self))
     }
 
     /// Waits until there is none.
-    pub(super) async fn end(&self) {
+    pub(super) async fn wait_until_idle(&self) {
         loop {
             let ended = self.ended.notified();
             if self.count.load(Ordering::Acquire) == 0 {
@@ -32,7 +32,7 @@
 
 /// Work in progress until dropped.
 #[derive(Debug)]
-pub(crate) struct WorkToken(Arc<Work>);
+pub(crate) struct WorkToken(Arc<WorkTracker>);
 
 impl Drop for WorkToken {
     fn drop(&mut self) {
--- a/crates/cleat-entry/src/headers.rs
+++ b/crates/cleat-entry/src/headers.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(crate) fn value(self) -> HeaderValue {
+    pub(crate) fn header_value(self) -> HeaderValue {
         HeaderValue::from_static(self.name())
     }
 
@@ -65,25 +65,25 @@
 ];
 /// A target must not see these as the caller's word, or they do not fit a
 /// request that was read whole.
-static NOT_FOR_TARGETS: [HeaderName; 3] = [EXPECT, OUTCOME, REPLAYED];
+static STRIPPED_FROM_REQUESTS: [HeaderName; 3] = [EXPECT, OUTCOME, REPLAYED];
 /// A caller must not see these as a target's word.
-static NOT_FOR_CALLERS: [HeaderName; 2] = [OUTCOME, REPLAYED];
+static STRIPPED_FROM_RESPONSES: [HeaderName; 2] = [OUTCOME, REPLAYED];
 
-pub(crate) fn remove_for_target(headers: &mut HeaderMap) {
-    remove_named_by_connection(headers);
-    remove_all(headers, &HOP_BY_HOP);
-    remove_all(headers, &NOT_FOR_TARGETS);
+pub(crate) fn strip_request_headers(headers: &mut HeaderMap) {
+    remove_connection_options(headers);
+    remove_headers(headers, &HOP_BY_HOP);
+    remove_headers(headers, &STRIPPED_FROM_REQUESTS);
 }
 
-pub(crate) fn remove_for_caller(headers: &mut HeaderMap) {
-    remove_named_by_connection(headers);
-    remove_all(headers, &HOP_BY_HOP);
-    remove_all(headers, &NOT_FOR_CALLERS);
+pub(crate) fn strip_response_headers(headers: &mut HeaderMap) {
+    remove_connection_options(headers);
+    remove_headers(headers, &HOP_BY_HOP);
+    remove_headers(headers, &STRIPPED_FROM_RESPONSES);
 }
 
 /// Most messages have none of these, and comparing names costs less than
 /// hashing them.
-fn remove_all(headers: &mut HeaderMap, names: &[HeaderName]) {
+fn remove_headers(headers: &mut HeaderMap, names: &[HeaderName]) {
     if !headers.keys().any(|name| names.contains(name)) {
         return;
     }
@@ -92,7 +92,7 @@
     }
 }
 
-fn remove_named_by_connection(headers: &mut HeaderMap) {
+fn remove_connection_options(headers: &mut HeaderMap) {
     if !headers.contains_key(CONNECTION) {
         return;
     }
--- a/crates/cleat-entry/src/lib.rs
+++ b/crates/cleat-entry/src/lib.rs
@@ -4,7 +4,7 @@
 //! or with one of ours that says whether the request may have run. The
 //! decisions are in `cleat-decide`; here are the sockets around them.
 
-mod answer;
+mod attempts;
 mod config;
 mod control;
 mod counters;
@@ -12,11 +12,11 @@
 mod headers;
 mod problem;
 mod request;
+mod response;
 mod route;
 mod service;
 mod target;
 mod trace;
-mod tries;
 mod upstream;
 
 pub use config::{EntryConfig, Limits};
--- a/crates/cleat-entry/src/problem/problem.rs
+++ b/crates/cleat-entry/src/problem/problem.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use super::ProblemKind;
-use crate::answer::AnswerBody;
 use crate::headers::{OUTCOME, Outcome};
+use crate::response::ResponseBody;
 
 const MEDIA_TYPE: &str = "application/problem+json";
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
@@ -60,7 +60,7 @@
     }
 
     /// The same answer for another cause.
-    pub(crate) fn because(self, kind: ProblemKind) -> Problem {
+    pub(crate) fn with_kind(self, kind: ProblemKind) -> Problem {
         Problem {
             kind,
             retry_after: None,
@@ -69,15 +69,18 @@
     }
 
     /// The answer. `later` is when to come back if that was not decided.
-    pub(crate) fn into_response(self, later: Duration) -> Response<AnswerBody> {
+    pub(crate) fn into_response(self, default_retry_after: Duration) -> Response<ResponseBody> {
         let outcome = self.kind.outcome();
-        let mut response = Response::new(AnswerBody::whole_bytes(self.body(outcome)));
+        let mut response = Response::new(ResponseBody::from_bytes(self.body(outcome)));
         *response.status_mut() = self.kind.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
-        headers.insert(OUTCOME, outcome.value());
+        headers.insert(OUTCOME, outcome.header_value());
         if self.kind.has_retry_after() {
-            headers.insert(RETRY_AFTER, HeaderValue::from(self.retry_seconds(later)));
+            headers.insert(
+                RETRY_AFTER,
+                HeaderValue::from(self.retry_seconds(default_retry_after)),
+            );
         }
         if self.closes {
             headers.insert(CONNECTION, CLOSE);
@@ -87,7 +90,7 @@
 
     /// The whole answer as bytes, for a connection whose request no handler
     /// saw.
-    pub(crate) fn to_bytes(&self, later: Duration) -> Bytes {
+    pub(crate) fn to_bytes(&self, default_retry_after: Duration) -> Bytes {
         let status = self.kind.status();
         let outcome = self.kind.outcome();
         let body = self.body(outcome);
@@ -101,7 +104,10 @@
         line(CONNECTION.as_str(), "close");
         line(CONTENT_TYPE.as_str(), MEDIA_TYPE);
         line(OUTCOME.as_str(), outcome.name());
-        line(RETRY_AFTER.as_str(), &self.retry_seconds(later).to_string());
+        line(
+            RETRY_AFTER.as_str(),
+            &self.retry_seconds(default_retry_after).to_string(),
+        );
         line(CONTENT_LENGTH.as_str(), &body.len().to_string());
         text.push_str("\r\n");
         let mut bytes = Vec::from(text);
@@ -110,8 +116,8 @@
     }
 
     /// `Retry-After` knows only whole seconds; never earlier than was decided.
-    fn retry_seconds(&self, later: Duration) -> u64 {
-        let wait = self.retry_after.unwrap_or(later);
+    fn retry_seconds(&self, default_retry_after: Duration) -> u64 {
+        let wait = self.retry_after.unwrap_or(default_retry_after);
         let up = u64::from(wait.subsec_nanos() > 0);
         (wait.as_secs() + up).max(1)
     }
--- a/crates/cleat-entry/src/request/body.rs
+++ b/crates/cleat-entry/src/request/body.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::Memory;
 use crate::problem::{Problem, ProblemKind};
+use crate::response::MemoryBudget;
 
 /// Reads at most `limit` bytes until `deadline`.
 ///
@@ -19,7 +19,7 @@
 pub(crate) async fn read_body(
     body: Incoming,
     limit: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryBudget>,
     deadline: Instant,
 ) -> Result<Bytes, Problem> {
     if body.is_end_stream() {
@@ -32,7 +32,11 @@
     read.unwrap_or_else(|_| Err(Problem::closing(ProblemKind::CannotFinishInTime)))
 }
 
-async fn collect(mut body: Incoming, limit: u64, memory: &Arc<Memory>) -> Result<Bytes, Problem> {
+async fn collect(
+    mut body: Incoming,
+    limit: u64,
+    memory: &Arc<MemoryBudget>,
+) -> Result<Bytes, Problem> {
     let mut first = Bytes::new();
     let mut all = BytesMut::new();
     let mut reservations = Vec::new();
@@ -54,7 +58,7 @@
     }
     let bytes = join(first, &all);
     // Each reservation lives as long as the bytes do.
-    Ok(reservations.into_iter().fold(bytes, |b, r| r.hold(b)))
+    Ok(reservations.into_iter().fold(bytes, |b, r| r.attach_to(b)))
 }
 
 /// Most bodies come in one piece, which then needs no copy.
--- a/crates/cleat-entry/src/request/fields.rs
+++ b/crates/cleat-entry/src/request/fields.rs
@@ -8,7 +8,7 @@
 use crate::problem::{Problem, ProblemKind};
 
 /// The longest caller's name or idempotency key, in bytes.
-const NAME_MAX: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// The values that steer a request, as they came.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 
 impl<'a> Fields<'a> {
     /// Finds them in one pass, which costs less than a look-up of each.
-    pub(super) fn of(headers: &'a HeaderMap) -> Fields<'a> {
+    pub(super) fn parse(headers: &'a HeaderMap) -> Fields<'a> {
         let mut fields = Fields::default();
         for (name, value) in headers {
             if let Some(field) = fields.field(name) {
@@ -54,7 +54,7 @@
     pub(super) fn caller(&self) -> Result<Box<str>, Problem> {
         let caller = self.caller.text(ProblemKind::BadCaller)?;
         let caller = caller.unwrap_or_default();
-        if caller.len() > NAME_MAX {
+        if caller.len() > MAX_NAME_BYTES {
             return Err(Problem::new(ProblemKind::BadCaller));
         }
         Ok(caller.into())
@@ -92,7 +92,7 @@
         let Some(key) = self.key.text(ProblemKind::BadIdempotencyKey)? else {
             return Ok(None);
         };
-        if key.is_empty() || key.len() > NAME_MAX {
+        if key.is_empty() || key.len() > MAX_NAME_BYTES {
             return Err(Problem::new(ProblemKind::BadIdempotencyKey));
         }
         Ok(Some(key.into()))
--- a/crates/cleat-entry/src/request/keyed_head.rs
+++ b/crates/cleat-entry/src/request/keyed_head.rs
@@ -10,7 +10,7 @@
 use super::path;
 
 /// A service's deadline is not known before the head is checked.
-const DEADLINE: Duration = Duration::from_secs(1);
+const MAX_LOOKUP_TIME: Duration = Duration::from_secs(1);
 
 /// The head of a request that a key keeps from running twice.
 pub(crate) struct KeyedHead {
@@ -21,20 +21,21 @@
 
 impl KeyedHead {
     /// `None` if the request needs no key, has none, or its key can't be told.
-    pub(crate) fn of(parts: &Parts, received: Instant) -> Option<KeyedHead> {
-        let fields = Fields::of(&parts.headers);
+    pub(crate) fn parse(parts: &Parts, received: Instant) -> Option<KeyedHead> {
+        let fields = Fields::parse(&parts.headers);
         let key = fields.key().ok()??;
         let method = &parts.method;
         let idempotent = fields.idempotent(method);
         if idempotent.unwrap_or(method.is_idempotent()) {
             return None;
         }
-        let service = path::service(parts.uri.path())?;
+        let service = path::service_name(parts.uri.path())?;
         let caller = fields.caller().ok()?;
-        let stated = fields.deadline().ok().flatten();
+        let requested = fields.deadline().ok().flatten();
         Some(KeyedHead {
             key: KeyTable::scoped(service, &caller, &key),
-            deadline: received + stated.map_or(DEADLINE, |stated| stated.min(DEADLINE)),
+            deadline: received
+                + requested.map_or(MAX_LOOKUP_TIME, |requested| requested.min(MAX_LOOKUP_TIME)),
         })
     }
 }
--- a/crates/cleat-entry/src/request/outgoing.rs
+++ b/crates/cleat-entry/src/request/outgoing.rs
@@ -6,21 +6,26 @@
 use http_body_util::Full;
 use tokio::time::Instant;
 
-use crate::headers::{DEADLINE_MS, remove_for_target};
+use crate::headers::{DEADLINE_MS, strip_request_headers};
 use crate::trace::Trace;
 
 /// What every try of a request sends.
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Outgoing {
-    pub(crate) fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> Outgoing {
-        remove_for_target(&mut headers);
-        Outgoing {
+impl OutgoingRequest {
+    pub(crate) fn new(
+        method: Method,
+        uri: Uri,
+        mut headers: HeaderMap,
+        body: Bytes,
+    ) -> OutgoingRequest {
+        strip_request_headers(&mut headers);
+        OutgoingRequest {
             method,
             uri,
             headers,
--- a/crates/cleat-entry/src/request/path.rs
+++ b/crates/cleat-entry/src/request/path.rs
@@ -4,14 +4,14 @@
 use http::uri::PathAndQuery;
 
 /// The service of `/SERVICE/REST…`, where `/REST…` may be empty.
-pub(super) fn service(path: &str) -> Option<&str> {
+pub(super) fn service_name(path: &str) -> Option<&str> {
     path.strip_prefix('/')?.split('/').next()
 }
 
 /// What the target is asked for: what follows `service` in `uri`.
-pub(super) fn rest_uri(uri: &Uri, service: &str) -> Option<Uri> {
-    let begin = "/".len() + service.len();
-    let rest = uri.path_and_query()?.as_str().get(begin..)?;
+pub(super) fn target_uri(uri: &Uri, service_name: &str) -> Option<Uri> {
+    let start = "/".len() + service_name.len();
+    let rest = uri.path_and_query()?.as_str().get(start..)?;
     let target: PathAndQuery = if rest.starts_with('/') {
         rest.parse().ok()?
     } else {
--- a/crates/cleat-entry/src/request/intake.rs
+++ b/crates/cleat-entry/src/request/validated.rs
@@ -16,7 +16,7 @@
 const LINE_OVERHEAD: usize = 4;
 
 /// A request whose head is in order.
-pub(crate) struct Intake {
+pub(crate) struct ValidatedRequest {
     pub(crate) service: Box<str>,
     pub(crate) route: Route,
     pub(crate) method: Method,
@@ -33,7 +33,7 @@
     pub(crate) key: Option<Box<str>>,
 }
 
-impl Intake {
+impl ValidatedRequest {
     /// Checks the head of a request that came at `received`.
     ///
     /// # Errors
@@ -43,24 +43,24 @@
         routes: &Routes,
         header_bytes: usize,
         received: Instant,
-    ) -> Result<Intake, Problem> {
+    ) -> Result<ValidatedRequest, Problem> {
         let headers = parts.headers;
-        if size(&parts.uri, &headers) > header_bytes {
+        if head_size(&parts.uri, &headers) > header_bytes {
             return Err(Problem::closing(ProblemKind::HeadersTooLarge));
         }
         let unsupported = || Problem::new(ProblemKind::UnsupportedTarget);
         if parts.method == Method::CONNECT {
             return Err(Problem::closing(ProblemKind::UnsupportedTarget));
         }
-        let service = path::service(parts.uri.path()).ok_or_else(unsupported)?;
+        let service = path::service_name(parts.uri.path()).ok_or_else(unsupported)?;
         let route = routes.find(service);
         let route = route.ok_or(Problem::new(ProblemKind::UnknownService))?;
-        let uri = path::rest_uri(&parts.uri, service).ok_or_else(unsupported)?;
-        let most = Duration::from_millis(route.terms.deadline_ms);
-        let fields = Fields::of(&headers);
-        let stated = fields.deadline()?;
-        let time = stated.map_or(most, |stated| stated.min(most));
-        Ok(Intake {
+        let uri = path::target_uri(&parts.uri, service).ok_or_else(unsupported)?;
+        let max = Duration::from_millis(route.config.deadline_ms);
+        let fields = Fields::parse(&headers);
+        let requested = fields.deadline()?;
+        let time = requested.map_or(max, |requested| requested.min(max));
+        Ok(ValidatedRequest {
             service: service.into(),
             route: Route::clone(route),
             uri,
@@ -75,13 +75,13 @@
     }
 
     /// The terms of the service.
-    pub(crate) fn terms(&self) -> &Arc<cleat_world::Service> {
-        &self.route.terms
+    pub(crate) fn config(&self) -> &Arc<cleat_world::Service> {
+        &self.route.config
     }
 }
 
 /// The size of the header block, near enough.
-fn size(uri: &Uri, headers: &HeaderMap) -> usize {
+fn head_size(uri: &Uri, headers: &HeaderMap) -> usize {
     let line = |(name, value): (&http::HeaderName, &http::HeaderValue)| {
         name.as_str().len() + value.len() + LINE_OVERHEAD
     };
--- a/crates/cleat-entry/src/answer/memory.rs
+++ b/crates/cleat-entry/src/response/memory.rs
@@ -7,15 +7,15 @@
 
 /// Bytes that may be held at once, shared by all requests of an entry.
 #[derive(Debug)]
-pub(crate) struct Memory {
+pub(crate) struct MemoryBudget {
     /// Invariant: at most `limit`.
     held: AtomicUsize,
     limit: usize,
 }
 
-impl Memory {
-    pub(crate) fn new(limit: usize) -> Arc<Memory> {
-        Arc::new(Memory {
+impl MemoryBudget {
+    pub(crate) fn new(limit: usize) -> Arc<MemoryBudget> {
+        Arc::new(MemoryBudget {
             held: AtomicUsize::new(0),
             limit,
         })
@@ -23,11 +23,11 @@
 
     /// Sets `bytes` aside until the reservation is dropped, if they are free.
     pub(crate) fn reserve(self: &Arc<Self>, bytes: usize) -> Option<Reservation> {
-        let more = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.limit);
-        let taken = self
+        let add = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.limit);
+        let reserved = self
             .held
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
-        taken.ok()?;
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, add);
+        reserved.ok()?;
         Some(Reservation {
             memory: Arc::clone(self),
             bytes,
@@ -43,14 +43,14 @@
 /// Bytes set aside.
 #[derive(Debug)]
 pub(crate) struct Reservation {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryBudget>,
     bytes: usize,
 }
 
 impl Reservation {
     /// Ties the reservation to `bytes`, until their last clone is dropped.
-    pub(crate) fn hold(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(Held {
+    pub(crate) fn attach_to(self, bytes: Bytes) -> Bytes {
+        Bytes::from_owner(ReservedBytes {
             bytes,
             _reservation: self,
         })
@@ -63,12 +63,12 @@
     }
 }
 
-struct Held {
+struct ReservedBytes {
     bytes: Bytes,
     _reservation: Reservation,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/cleat-entry/src/answer/receive.rs
+++ b/crates/cleat-entry/src/response/receive.rs
@@ -9,15 +9,15 @@
 use http_body::Body;
 use hyper::body::Incoming;
 
-use super::{Chunks, Memory};
+use super::{Chunks, MemoryBudget};
 use crate::upstream::{Failure, Upstream};
 
 /// How much of an answer is here.
 pub(crate) enum Received {
     /// All of it, proved by its framing.
-    Whole(Parts, Chunks),
+    Complete(Parts, Chunks),
     /// Its beginning; it is larger than may be held.
-    Begun(Parts, Chunks, Incoming),
+    Partial(Parts, Chunks, Incoming),
 }
 
 /// Reads the body of `answer` until it is whole or more than `limit` bytes or
@@ -28,15 +28,15 @@
 pub(crate) async fn receive(
     upstream: &mut Upstream,
     method: &Method,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     limit: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryBudget>,
 ) -> Result<Received, Failure> {
-    let (parts, mut body) = answer.into_parts();
+    let (parts, mut body) = response.into_parts();
     check_framing(method, parts.status, &parts.headers)?;
     let mut chunks = Chunks::default();
     if body.size_hint().lower() > limit {
-        return Ok(Received::Begun(parts, chunks, body));
+        return Ok(Received::Partial(parts, chunks, body));
     }
     while let Some(frame) = poll_fn(|cx| upstream.poll_frame(&mut body, cx)).await {
         // Trailers may be discarded (RFC 9110, 6.5).
@@ -45,15 +45,15 @@
         };
         let Some(reservation) = memory.reserve(data.len()) else {
             chunks.push(data);
-            return Ok(Received::Begun(parts, chunks, body));
+            return Ok(Received::Partial(parts, chunks, body));
         };
-        chunks.push(reservation.hold(data));
+        chunks.push(reservation.attach_to(data));
         if chunks.len() as u64 > limit {
-            return Ok(Received::Begun(parts, chunks, body));
+            return Ok(Received::Partial(parts, chunks, body));
         }
     }
-    upstream.settle()?;
-    Ok(Received::Whole(parts, chunks))
+    upstream.check_trailing_bytes()?;
+    Ok(Received::Complete(parts, chunks))
 }
 
 /// Whether the end of the answer can be told from a cut.
@@ -66,8 +66,8 @@
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     let has_length = headers.contains_key(CONTENT_LENGTH);
-    let has_coding = headers.contains_key(TRANSFER_ENCODING);
-    if has_length && has_coding {
+    let has_transfer_encoding = headers.contains_key(TRANSFER_ENCODING);
+    if has_length && has_transfer_encoding {
         return Err(Failure::Malformed);
     }
     if has_no_body || has_length || is_chunked(headers) {
--- a/crates/cleat-entry/src/answer/stream.rs
+++ b/crates/cleat-entry/src/response/stream.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::Chunks;
-use super::body::BrokenOff;
+use super::body::ResponseTruncated;
 use crate::service::Slot;
 use crate::upstream::Failure;
 
@@ -21,12 +21,12 @@
 /// It holds its slot until the target's last byte, but not beyond the deadline,
 /// however slowly the caller reads. Whatever goes wrong ends it with an error,
 /// which breaks the caller's connection.
-pub(crate) struct Stream {
-    begun: Chunks,
+pub(crate) struct StreamedBody {
+    buffered: Chunks,
     rest: Incoming,
     slot: SharedSlot,
     /// All of the target's bytes were passed on.
-    whole: bool,
+    is_complete: bool,
     status: u16,
     watchdog: AbortHandle,
 }
@@ -35,26 +35,26 @@
 #[derive(Clone)]
 struct SharedSlot(Arc<Mutex<Option<Slot>>>);
 
-impl Stream {
+impl StreamedBody {
     pub(crate) fn new(
-        begun: Chunks,
+        buffered: Chunks,
         rest: Incoming,
         slot: Slot,
         deadline: Instant,
         status: u16,
-    ) -> Stream {
+    ) -> StreamedBody {
         let slot = SharedSlot(Arc::new(Mutex::new(Some(slot))));
-        let watched = slot.clone();
+        let watched_slot = slot.clone();
         // hyper does not ask for more while the caller takes nothing.
         let watchdog = tokio::spawn(async move {
             sleep_until(deadline).await;
-            watched.conclude(Failure::Late.outcome());
+            watched_slot.finish_attempt(Failure::TimedOut.outcome());
         });
-        Stream {
-            begun,
+        StreamedBody {
+            buffered,
             rest,
             slot,
-            whole: false,
+            is_complete: false,
             status,
             watchdog: watchdog.abort_handle(),
         }
@@ -63,11 +63,11 @@
     pub(super) fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
-        if let Some(chunk) = self.begun.pop() {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
+        if let Some(chunk) = self.buffered.pop() {
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
-        if self.whole {
+        if self.is_complete {
             return Poll::Ready(None);
         }
         loop {
@@ -75,10 +75,10 @@
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers may be discarded (RFC 9110, 6.5).
                     if let Ok(data) = frame.into_data() {
-                        return Poll::Ready(Some(self.pass_on(data)));
+                        return Poll::Ready(Some(self.forward(data)));
                     }
                 }
-                Poll::Ready(Some(Err(failure))) => return self.break_off(failure),
+                Poll::Ready(Some(Err(failure))) => return self.fail(failure),
                 Poll::Ready(None) => return self.finish(),
                 Poll::Pending => return Poll::Pending,
             }
@@ -86,12 +86,12 @@
     }
 
     pub(super) fn size_hint(&self) -> SizeHint {
-        let begun = self.begun.len() as u64;
+        let buffered = self.buffered.len() as u64;
         let rest = self.rest.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(begun + rest.lower());
+        hint.set_lower(buffered + rest.lower());
         if let Some(upper) = rest.upper() {
-            hint.set_upper(begun + upper);
+            hint.set_upper(buffered + upper);
         }
         hint
     }
@@ -100,43 +100,44 @@
         let mut slot = self.slot.lock();
         match slot.as_mut().and_then(Slot::upstream) {
             Some(upstream) => upstream.poll_frame(&mut self.rest, cx),
-            None => Poll::Ready(Some(Err(Failure::Late))),
+            None => Poll::Ready(Some(Err(Failure::TimedOut))),
         }
     }
 
-    fn pass_on(&mut self, data: Bytes) -> Result<Frame<Bytes>, BrokenOff> {
+    fn forward(&mut self, data: Bytes) -> Result<Frame<Bytes>, ResponseTruncated> {
         // hyper does not ask again after the last byte of a stated length.
         if self.rest.is_end_stream() {
-            self.end_whole()?;
+            self.complete()?;
         }
         Ok(Frame::data(data))
     }
 
-    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
-        match self.end_whole() {
+    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
+        match self.complete() {
             Ok(()) => Poll::Ready(None),
             Err(broken) => Poll::Ready(Some(Err(broken))),
         }
     }
 
-    fn end_whole(&mut self) -> Result<(), BrokenOff> {
-        if let Err(failure) = self.slot.settle() {
-            self.slot.conclude(failure.outcome());
+    fn complete(&mut self) -> Result<(), ResponseTruncated> {
+        if let Err(failure) = self.slot.mark_reusable() {
+            self.slot.finish_attempt(failure.outcome());
             return Err(failure.into());
         }
-        self.whole = true;
+        self.is_complete = true;
         let status = self.status;
-        self.slot.conclude(AttemptOutcome::Answered { status });
+        self.slot
+            .finish_attempt(AttemptOutcome::Answered { status });
         Ok(())
     }
 
-    fn break_off(&mut self, failure: Failure) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
-        self.slot.conclude(failure.outcome());
+    fn fail(&mut self, failure: Failure) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
+        self.slot.finish_attempt(failure.outcome());
         Poll::Ready(Some(Err(failure.into())))
     }
 }
 
-impl Drop for Stream {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         self.watchdog.abort();
         // What is left of the slot is given back without an outcome.
@@ -147,21 +148,21 @@
 
 impl SharedSlot {
     /// Makes the connection ready for another exchange.
-    fn settle(&self) -> Result<(), Failure> {
+    fn mark_reusable(&self) -> Result<(), Failure> {
         let mut slot = self.lock();
-        let slot = slot.as_mut().ok_or(Failure::Late)?;
+        let slot = slot.as_mut().ok_or(Failure::TimedOut)?;
         if let Some(upstream) = slot.upstream() {
-            upstream.settle()?;
+            upstream.check_trailing_bytes()?;
         }
-        slot.set_reusable();
+        slot.mark_reusable();
         Ok(())
     }
 
-    fn conclude(&self, outcome: AttemptOutcome) {
+    fn finish_attempt(&self, outcome: AttemptOutcome) {
         let slot = self.lock().take();
         if let Some(slot) = slot {
             let service = Arc::clone(slot.service());
-            service.conclude(slot, outcome, FINAL);
+            service.finish_attempt(slot, outcome, FINAL_ATTEMPT);
         }
     }
 
@@ -171,7 +172,7 @@
 }
 
 /// The answer was begun: nothing but its end can follow.
-const FINAL: AttemptContext = AttemptContext {
+const FINAL_ATTEMPT: AttemptContext = AttemptContext {
     idempotent: false,
     attempts: 1,
     max_attempts: 1,
--- a/crates/cleat-entry/src/route/mod.rs
+++ b/crates/cleat-entry/src/route/mod.rs
@@ -1,7 +1,7 @@
 //! The services and targets in force on this entry.
 
-mod publisher;
 mod routes;
+mod updater;
 
-pub(crate) use publisher::Publisher;
 pub(crate) use routes::{Route, Routes};
+pub(crate) use updater::RouteUpdater;
--- a/crates/cleat-entry/src/route/routes.rs
+++ b/crates/cleat-entry/src/route/routes.rs
@@ -17,7 +17,7 @@
 /// One service.
 #[derive(Clone)]
 pub(crate) struct Route {
-    pub(crate) terms: Arc<Service>,
+    pub(crate) config: Arc<Service>,
     pub(crate) state: Arc<ServiceState>,
 }
 
--- a/crates/cleat-entry/src/route/publisher.rs
+++ b/crates/cleat-entry/src/route/updater.rs
@@ -13,41 +13,41 @@
 use super::{Route, Routes};
 use crate::config::EntryConfig;
 use crate::service::{CLOSE_GRACE, ServiceState};
-use crate::target::{ServiceSlots, SlotMessage, Slots, Target};
+use crate::target::{ServiceSlots, SlotMessage, Target, TargetSlots};
 
 /// What of the state the routes are made from: the version of the
 /// configuration and the announcements, each named by its log index.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Source {
+struct SourceVersion {
     version: u64,
     incarnations: Vec<u64>,
 }
 
 /// Makes each version of the routes from the one before.
-pub(crate) struct Publisher {
+pub(crate) struct RouteUpdater {
     epoch: Instant,
-    source: Source,
+    source: SourceVersion,
     services: IndexMap<Box<str>, Arc<ServiceState>>,
     /// Invariant: exactly the targets of the latest routes.
     targets: IndexMap<(Box<str>, SocketAddr), Arc<Target>>,
     /// By name of the target; kept until its last request has finished.
-    slots: IndexMap<Box<str>, Arc<Slots>>,
+    slots: IndexMap<Box<str>, Arc<TargetSlots>>,
     /// By service. Kept for good: what was lent is known here only.
-    sharing: IndexMap<Box<str>, Arc<ServiceSlots>>,
+    service_slots: IndexMap<Box<str>, Arc<ServiceSlots>>,
     outbox: mpsc::Sender<SlotMessage>,
 }
 
-type Grouped = IndexMap<Box<str>, Vec<Arc<Target>>>;
+type TargetsByService = IndexMap<Box<str>, Vec<Arc<Target>>>;
 
-impl Publisher {
-    pub(crate) fn new(epoch: Instant, outbox: mpsc::Sender<SlotMessage>) -> Publisher {
-        Publisher {
+impl RouteUpdater {
+    pub(crate) fn new(epoch: Instant, outbox: mpsc::Sender<SlotMessage>) -> RouteUpdater {
+        RouteUpdater {
             epoch,
-            source: Source::default(),
+            source: SourceVersion::default(),
             services: IndexMap::new(),
             targets: IndexMap::new(),
             slots: IndexMap::new(),
-            sharing: IndexMap::new(),
+            service_slots: IndexMap::new(),
             outbox,
         }
     }
@@ -60,43 +60,44 @@
         cfg: &EntryConfig,
         incarnation_start_index: Option<u64>,
     ) -> Option<Routes> {
-        if !self.source.take_over(world) {
+        if !self.source.update_from(world) {
             return None;
         }
         let fleet = world.fleet();
-        for (_, name, terms) in fleet.services.iter() {
-            self.update_sharing(name, terms, cfg);
+        for (_, name, config) in fleet.services.iter() {
+            self.update_service_slots(name, config, cfg);
         }
-        let mut grouped = self.update_targets(world, cfg, incarnation_start_index);
+        let mut by_service = self.update_targets(world, cfg, incarnation_start_index);
         let mut routes = Routes {
             services: IndexMap::with_capacity(fleet.services.len()),
             keys: fleet.keys,
         };
-        for (_, name, terms) in fleet.services.iter() {
-            let targets = grouped.swap_remove(name).unwrap_or_default();
-            let state = self.update_service(name, terms, targets, cfg.seed);
-            let terms = Arc::new(terms.clone());
-            routes.services.insert(name.into(), Route { terms, state });
+        for (_, name, config) in fleet.services.iter() {
+            let targets = by_service.swap_remove(name).unwrap_or_default();
+            let state = self.update_service(name, config, targets, cfg.seed);
+            let config = Arc::new(config.clone());
+            routes.services.insert(name.into(), Route { config, state });
         }
         self.close_removed(&routes);
         Some(routes)
     }
 
-    fn update_sharing(&mut self, name: &str, terms: &Service, cfg: &EntryConfig) {
-        let longest = Duration::from_millis(terms.deadline_ms) + CLOSE_GRACE;
-        if let Some(sharing) = self.sharing.get(name) {
-            sharing.set_longest_request(longest);
+    fn update_service_slots(&mut self, name: &str, config: &Service, cfg: &EntryConfig) {
+        let max_request_duration = Duration::from_millis(config.deadline_ms) + CLOSE_GRACE;
+        if let Some(service_slots) = self.service_slots.get(name) {
+            service_slots.set_max_request_duration(max_request_duration);
             return;
         }
         let outbox = self.outbox.clone();
-        let sharing = ServiceSlots::new(name, cfg, longest, self.epoch, outbox);
-        self.sharing.insert(name.into(), Arc::new(sharing));
+        let service_slots = ServiceSlots::new(name, cfg, max_request_duration, self.epoch, outbox);
+        self.service_slots
+            .insert(name.into(), Arc::new(service_slots));
     }
 
     fn update_service(
         &mut self,
         name: &str,
-        terms: &Service,
+        config: &Service,
         targets: Vec<Arc<Target>>,
         seed: u64,
     ) -> Arc<ServiceState> {
@@ -105,13 +106,13 @@
         let state = match self.services.get(name) {
             Some(state) => Arc::clone(state),
             None => {
-                let slots = Arc::clone(&self.sharing[name]);
+                let slots = Arc::clone(&self.service_slots[name]);
                 let seed = seed.wrapping_add(count);
-                Arc::new(ServiceState::new(terms, slots, seed, epoch))
+                Arc::new(ServiceState::new(config, slots, seed, epoch))
             }
         };
         self.services.insert(name.into(), Arc::clone(&state));
-        state.update(terms, targets);
+        state.update(config, targets);
         state
     }
 
@@ -121,21 +122,22 @@
         world: &World,
         cfg: &EntryConfig,
         incarnation_start_index: Option<u64>,
-    ) -> Grouped {
+    ) -> TargetsByService {
         let now = self.epoch.elapsed();
-        let mut before = std::mem::take(&mut self.targets);
-        let mut grouped = Grouped::new();
+        let mut previous = std::mem::take(&mut self.targets);
+        let mut by_service = TargetsByService::new();
         for (name, announced) in world.serving_targets() {
             // Alone, an entry has lent nothing, and its end cut off its requests.
-            let alone = cfg.entries.len() == 1;
-            let fresh =
-                alone || incarnation_start_index.is_some_and(|began| announced.incarnation > began);
-            let slots = self.slots_of(name, announced, cfg, fresh);
-            let target = self.target(name, announced, slots, &mut before, cfg, now);
+            let is_only_entry = cfg.entries.len() == 1;
+            let fresh = is_only_entry
+                || incarnation_start_index
+                    .is_some_and(|start_index| announced.incarnation > start_index);
+            let slots = self.update_slots(name, announced, cfg, fresh);
+            let target = self.update_target(name, announced, slots, &mut previous, cfg, now);
             let service = announced.announcement.service.clone();
-            grouped.entry(service).or_default().push(target);
+            by_service.entry(service).or_default().push(target);
         }
-        for target in before.values() {
+        for target in previous.values() {
             target.withdraw();
         }
         for (name, slots) in &self.slots {
@@ -143,23 +145,23 @@
                 slots.service().remove_target(name);
             }
         }
-        let shared = |slots: &Arc<Slots>| Arc::strong_count(slots) > 1;
+        let shared = |slots: &Arc<TargetSlots>| Arc::strong_count(slots) > 1;
         self.slots
             .retain(|_, slots| shared(slots) || slots.in_flight() > 0);
-        grouped
+        by_service
     }
 
     /// The slots of a target as it announced itself.
-    fn slots_of(
+    fn update_slots(
         &mut self,
         name: &str,
         announced: &Announced,
         cfg: &EntryConfig,
         fresh: bool,
-    ) -> Arc<Slots> {
-        let said = &announced.announcement;
-        let cap = said.slots.min(said.connections);
-        let service = &self.sharing[&said.service];
+    ) -> Arc<TargetSlots> {
+        let announcement = &announced.announcement;
+        let cap = announcement.slots.min(announcement.connections);
+        let service = &self.service_slots[&announcement.service];
         let known = self.slots.get(name).cloned();
         let slots = match known {
             Some(slots) if Arc::ptr_eq(slots.service(), service) => {
@@ -167,36 +169,47 @@
                 slots
             }
             moved => {
-                let slots = Arc::new(service.target(name, cap, fresh));
-                if let Some(before) = moved {
-                    before.service().remove_target(name);
-                    service.hold_back(slots.key());
+                let slots = Arc::new(service.add_target(name, cap, fresh));
+                if let Some(previous) = moved {
+                    previous.service().remove_target(name);
+                    service.withhold_home_slots(slots.key());
                 }
                 slots
             }
         };
-        slots.set_connections(slot_share(name, said.connections, &cfg.entries, &cfg.name));
+        slots.set_connection_share(slot_share(
+            name,
+            announcement.connections,
+            &cfg.entries,
+            &cfg.name,
+        ));
         self.slots.insert(name.into(), Arc::clone(&slots));
         slots
     }
 
-    fn target(
+    fn update_target(
         &mut self,
         name: &str,
         announced: &Announced,
-        slots: Arc<Slots>,
-        before: &mut IndexMap<(Box<str>, SocketAddr), Arc<Target>>,
+        slots: Arc<TargetSlots>,
+        previous: &mut IndexMap<(Box<str>, SocketAddr), Arc<Target>>,
         cfg: &EntryConfig,
         now: Duration,
     ) -> Arc<Target> {
-        let said = &announced.announcement;
-        let id = (Box::from(name), said.address);
-        let same = |target: &Arc<Target>| Arc::ptr_eq(&target.slots, &slots);
-        let known = before.get(&id).is_some_and(same);
-        let known = known.then(|| before.swap_remove(&id)).flatten();
+        let announcement = &announced.announcement;
+        let id = (Box::from(name), announcement.address);
+        let is_unchanged = |target: &Arc<Target>| Arc::ptr_eq(&target.slots, &slots);
+        let known = previous.get(&id).is_some_and(is_unchanged);
+        let known = known.then(|| previous.swap_remove(&id)).flatten();
         let target = known.unwrap_or_else(|| {
-            let local = said.data_centre == cfg.data_centre;
-            Arc::new(Target::new(name.into(), said.address, local, slots, now))
+            let local = announcement.data_centre == cfg.data_centre;
+            Arc::new(Target::new(
+                name.into(),
+                announcement.address,
+                local,
+                slots,
+                now,
+            ))
         });
         self.targets.insert(id, Arc::clone(&target));
         target
@@ -214,21 +227,21 @@
     }
 }
 
-impl Source {
+impl SourceVersion {
     /// Whether `world` differs. Cheap: it is asked after every change of the
     /// state, and most concern only idempotency keys.
-    fn take_over(&mut self, world: &World) -> bool {
+    fn update_from(&mut self, world: &World) -> bool {
         let incarnations = || {
             world
                 .serving_targets()
                 .map(|(_, target)| target.incarnation)
         };
-        let same =
+        let is_unchanged =
             self.version == world.version() && self.incarnations.iter().copied().eq(incarnations());
-        if !same {
+        if !is_unchanged {
             self.version = world.version();
             self.incarnations = incarnations().collect();
         }
-        !same
+        !is_unchanged
     }
 }
--- a/crates/cleat-entry/src/service/admission.rs
+++ b/crates/cleat-entry/src/service/admission.rs
@@ -6,13 +6,13 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::waiting::Waiting;
+use super::queued::QueuedRequest;
 use super::{ServiceState, Slot};
 
 /// What an arrival leads to at once.
 enum Admission {
     Started(Slot),
-    Waits(Waiting),
+    Waiting(QueuedRequest),
 }
 
 impl ServiceState {
@@ -27,39 +27,43 @@
         deadline: Instant,
         on_wait: impl FnOnce(),
     ) -> Result<Slot, Refusal> {
-        match self.arrive(caller, deadline)? {
+        match self.request_slot(caller, deadline)? {
             Admission::Started(slot) => Ok(slot),
-            Admission::Waits(waiting) => {
+            Admission::Waiting(waiting) => {
                 on_wait();
-                waiting.end(deadline).await
+                waiting.wait(deadline).await
             }
         }
     }
 
-    fn arrive(self: &Arc<Self>, caller: &str, deadline: Instant) -> Result<Admission, Refusal> {
+    fn request_slot(
+        self: &Arc<Self>,
+        caller: &str,
+        deadline: Instant,
+    ) -> Result<Admission, Refusal> {
         let now = self.now();
         let ticket = self.next_ticket();
         let arrival = Arrival {
             ticket,
             caller,
-            deadline: self.at(deadline),
+            deadline: self.to_clock(deadline),
         };
         let mut inner = self.lock();
-        let (arrived, placed) = inner.arrive(arrival, now);
-        if let (AdmissionDecision::Start, Some(placed)) = (arrived, placed) {
-            let slot = Slot::new(Arc::clone(self), placed, now);
+        let (decision, acquired) = inner.admit(arrival, now);
+        if let (AdmissionDecision::Start, Some(acquired)) = (decision, acquired) {
+            let slot = Slot::new(Arc::clone(self), acquired, now);
             return Ok(Admission::Started(slot));
         }
-        match arrived {
+        match decision {
             AdmissionDecision::Refuse(refusal) => Err(refusal),
             // The gate starts nothing while nothing is free.
             AdmissionDecision::Start => Err(inner.refuse(RefusalReason::NoTarget, now)),
             AdmissionDecision::Wait | AdmissionDecision::Displace { .. } => {
                 let (tx, rx) = oneshot::channel();
-                inner.wait(ticket, tx);
-                self.slots().want(inner.missing());
-                let waiting = Waiting::new(Arc::clone(self), ticket, rx);
-                Ok(Admission::Waits(waiting))
+                inner.add_waiting(ticket, tx);
+                self.slots().request_slots(inner.slots_needed());
+                let waiting = QueuedRequest::new(Arc::clone(self), ticket, rx);
+                Ok(Admission::Waiting(waiting))
             }
         }
     }
--- a/crates/cleat-entry/src/service/mod.rs
+++ b/crates/cleat-entry/src/service/mod.rs
@@ -2,10 +2,10 @@
 
 mod admission;
 mod inner;
+mod queued;
 mod retry;
 mod slot;
 mod state;
-mod waiting;
 
-pub(crate) use slot::{ConnectTerms, Slot};
+pub(crate) use slot::{ConnectOptions, Slot};
 pub(crate) use state::{CLOSE_GRACE, ServiceState};
--- a/crates/cleat-entry/src/service/waiting.rs
+++ b/crates/cleat-entry/src/service/queued.rs
@@ -9,25 +9,25 @@
 use super::{ServiceState, Slot};
 
 /// How a wait ends.
-pub(super) enum Wake {
+pub(super) enum WaitResult {
     Start(Slot),
     Refused(Refusal),
 }
 
 /// A place in the queue, given up when dropped.
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     service: Arc<ServiceState>,
     ticket: Ticket,
-    rx: oneshot::Receiver<Wake>,
+    rx: oneshot::Receiver<WaitResult>,
 }
 
-impl Waiting {
+impl QueuedRequest {
     pub(super) fn new(
         service: Arc<ServiceState>,
         ticket: Ticket,
-        rx: oneshot::Receiver<Wake>,
-    ) -> Waiting {
-        Waiting {
+        rx: oneshot::Receiver<WaitResult>,
+    ) -> QueuedRequest {
+        QueuedRequest {
             service,
             ticket,
             rx,
@@ -38,10 +38,10 @@
     ///
     /// # Errors
     /// The refusal; at the deadline there always is one.
-    pub(super) async fn end(mut self, deadline: Instant) -> Result<Slot, Refusal> {
+    pub(super) async fn wait(mut self, deadline: Instant) -> Result<Slot, Refusal> {
         match timeout_at(deadline, &mut self.rx).await {
-            Ok(Ok(Wake::Start(slot))) => Ok(slot),
-            Ok(Ok(Wake::Refused(refusal))) => Err(refusal),
+            Ok(Ok(WaitResult::Start(slot))) => Ok(slot),
+            Ok(Ok(WaitResult::Refused(refusal))) => Err(refusal),
             Ok(Err(_)) | Err(_) => {
                 let now = self.service.now();
                 let mut inner = self.service.lock();
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         self.service.lock().cancel(self.ticket);
     }
--- a/crates/cleat-entry/src/service/retry.rs
+++ b/crates/cleat-entry/src/service/retry.rs
@@ -7,29 +7,29 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::waiting::Wake;
+use super::queued::WaitResult;
 use super::{ServiceState, Slot};
 use crate::target::Target;
 
 /// Less time than this is never enough for a try.
-const TRY_TIME_MIN: Duration = Duration::from_millis(1);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
 /// Retries in order. They go before what waits in the gate: they were admitted
 /// before. The retry budget bounds their number.
 #[derive(Default)]
-pub(super) struct Retries {
-    waiting: VecDeque<Retry>,
+pub(super) struct RetryQueue {
+    waiting: VecDeque<WaitingRetry>,
 }
 
-struct Retry {
+struct WaitingRetry {
     /// The target tried before, unless the service has no other.
     exclude: Option<Arc<Target>>,
     /// A try begun later could not end in time.
-    latest: Duration,
-    tx: oneshot::Sender<Wake>,
+    latest_start: Duration,
+    tx: oneshot::Sender<WaitResult>,
 }
 
-impl Retries {
+impl RetryQueue {
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -39,7 +39,7 @@
     }
 
     /// The target that the first retry must not go to, if there is a retry.
-    pub(super) fn first(&mut self, now: Duration) -> Option<Option<Arc<Target>>> {
+    pub(super) fn next_excluded_target(&mut self, now: Duration) -> Option<Option<Arc<Target>>> {
         self.expire(now);
         self.waiting.retain(|retry| !retry.tx.is_closed());
         let first = self.waiting.front()?;
@@ -48,24 +48,24 @@
 
     /// Gives up what could no longer end in time.
     pub(super) fn expire(&mut self, now: Duration) {
-        self.waiting.retain(|retry| now < retry.latest);
+        self.waiting.retain(|retry| now < retry.latest_start);
     }
 
-    pub(super) fn take_first(&mut self) -> Option<oneshot::Sender<Wake>> {
+    pub(super) fn pop_first(&mut self) -> Option<oneshot::Sender<WaitResult>> {
         self.waiting.pop_front().map(|retry| retry.tx)
     }
 
     /// Gives up all.
-    pub(super) fn close(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.waiting.clear();
     }
 }
 
 /// What a retry leads to at once.
-enum Begun {
+enum RetryStart {
     Started(Slot),
-    Waits(oneshot::Receiver<Wake>),
-    Hopeless,
+    Waiting(oneshot::Receiver<WaitResult>),
+    OutOfTime,
 }
 
 impl ServiceState {
@@ -74,17 +74,17 @@
     /// answer before `deadline`. `on_wait` is called if there is none at once.
     pub(crate) async fn retry(
         self: &Arc<Self>,
-        before: &Arc<Target>,
+        previous: &Arc<Target>,
         deadline: Instant,
         on_wait: impl FnOnce(),
     ) -> Option<Slot> {
-        match self.begin_retry(before, deadline) {
-            Begun::Started(slot) => Some(slot),
-            Begun::Hopeless => None,
-            Begun::Waits(rx) => {
+        match self.begin_retry(previous, deadline) {
+            RetryStart::Started(slot) => Some(slot),
+            RetryStart::OutOfTime => None,
+            RetryStart::Waiting(rx) => {
                 on_wait();
                 match rx.await {
-                    Ok(Wake::Start(slot)) => Some(slot),
+                    Ok(WaitResult::Start(slot)) => Some(slot),
                     // Given up, the sender is dropped.
                     _ => None,
                 }
@@ -92,27 +92,27 @@
         }
     }
 
-    fn begin_retry(self: &Arc<Self>, before: &Arc<Target>, deadline: Instant) -> Begun {
+    fn begin_retry(self: &Arc<Self>, previous: &Arc<Target>, deadline: Instant) -> RetryStart {
         let now = self.now();
         let mut inner = self.lock();
-        let expected = inner.service_time_p10().max(TRY_TIME_MIN);
-        let latest = self.at(deadline).saturating_sub(expected);
-        if !inner.has_capacity() || now >= latest {
-            return Begun::Hopeless;
+        let expected = inner.service_time_p10().max(MIN_ATTEMPT_TIME);
+        let latest_start = self.to_clock(deadline).saturating_sub(expected);
+        if !inner.has_capacity() || now >= latest_start {
+            return RetryStart::OutOfTime;
         }
-        inner.look(now);
-        let exclude = inner.has_other(before).then_some(before);
-        if let Some(target) = inner.place(exclude) {
-            return Begun::Started(Slot::new(Arc::clone(self), target, now));
+        inner.refresh_candidates(now);
+        let exclude = inner.has_alternative(previous).then_some(previous);
+        if let Some(target) = inner.acquire_slot(exclude) {
+            return RetryStart::Started(Slot::new(Arc::clone(self), target, now));
         }
         let (tx, rx) = oneshot::channel();
-        let retry = Retry {
+        let retry = WaitingRetry {
             exclude: exclude.cloned(),
-            latest,
+            latest_start,
             tx,
         };
         inner.retries().waiting.push_back(retry);
-        self.slots().want(inner.missing());
-        Begun::Waits(rx)
+        self.slots().request_slots(inner.slots_needed());
+        RetryStart::Waiting(rx)
     }
 }
--- a/crates/cleat-entry/src/service/slot.rs
+++ b/crates/cleat-entry/src/service/slot.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::ServiceState;
-use crate::target::{Taken, Target};
+use crate::target::{SlotToken, Target};
 use crate::upstream::{Failure, Upstream};
 
 /// A slot of a target, with the connection that uses it.
@@ -17,23 +17,23 @@
     service: Arc<ServiceState>,
     /// `None` once given back.
     target: Option<Arc<Target>>,
-    taken: Taken,
+    token: SlotToken,
     upstream: Option<Box<Upstream>>,
     /// Whether the exchange ended so that the connection can serve another.
     reusable: bool,
-    since: Duration,
+    acquired_at: Duration,
 }
 
 impl Slot {
     /// Wraps a slot that was taken of `target`.
-    pub(super) fn new(service: Arc<ServiceState>, placed: Placed, now: Duration) -> Slot {
+    pub(super) fn new(service: Arc<ServiceState>, acquired: AcquiredSlot, now: Duration) -> Slot {
         Slot {
             service,
-            target: Some(placed.target),
-            taken: placed.taken,
+            target: Some(acquired.target),
+            token: acquired.token,
             upstream: None,
             reusable: false,
-            since: now,
+            acquired_at: now,
         }
     }
 
@@ -53,20 +53,20 @@
     /// [`Failure::NotSent`].
     pub(crate) async fn connect(
         &mut self,
-        terms: &ConnectTerms,
+        options: &ConnectOptions,
         deadline: Instant,
     ) -> Result<(), Failure> {
         let target = self.target.as_ref().ok_or(Failure::NotSent)?;
-        let idle = target.take_idle(self.service.now(), terms.idle);
+        let idle = target.take_idle(self.service.now(), options.idle_timeout);
         let upstream = match idle {
             Some(upstream) => upstream,
             None => {
                 let left = deadline.saturating_duration_since(Instant::now());
-                let limit = terms.connect.min(left);
+                let limit = options.connect_timeout.min(left);
                 Upstream::open(target.address, limit).await?
             }
         };
-        upstream.set_begin_until(self.taken.begin_until);
+        upstream.set_start_deadline(self.token.start_deadline);
         self.upstream = Some(upstream);
         Ok(())
     }
@@ -77,30 +77,30 @@
     }
 
     /// Says that the exchange ended by its framing.
-    pub(crate) fn set_reusable(&mut self) {
+    pub(crate) fn mark_reusable(&mut self) {
         self.reusable = true;
     }
 
-    pub(super) fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.since)
+    pub(super) fn held_for(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.acquired_at)
     }
 
     /// Takes care of the connection and hands over the duty to give back the
     /// slot.
-    pub(super) fn disarm(&mut self, now: Duration) -> Released {
+    pub(super) fn detach(&mut self, now: Duration) -> PendingRelease {
         let target = self.target.take();
         let upstream = self.upstream.take();
         let unfinished = upstream.as_ref().is_some_and(|u| u.is_unfinished());
-        let lingers = unfinished && !self.reusable;
+        let awaits_close = unfinished && !self.reusable;
         if let Some(upstream) = upstream
             && self.reusable
             && let Some(target) = &target
         {
-            target.keep_idle(upstream, now);
+            target.put_idle(upstream, now);
         }
-        Released {
-            held: target.map(|target| (target, self.taken)),
-            lingers,
+        PendingRelease {
+            slot: target.map(|target| (target, self.token)),
+            awaits_close,
         }
     }
 }
@@ -109,57 +109,57 @@
     fn drop(&mut self) {
         if self.target.is_some() {
             let now = self.service.now();
-            let released = self.disarm(now);
-            self.service.freed(released);
+            let released = self.detach(now);
+            self.service.release_without_outcome(released);
         }
     }
 }
 
 /// A target with a slot of it.
-pub(super) struct Placed {
+pub(super) struct AcquiredSlot {
     pub(super) target: Arc<Target>,
-    pub(super) taken: Taken,
+    pub(super) token: SlotToken,
 }
 
 /// How connections to targets are opened and kept.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct ConnectTerms {
+pub(crate) struct ConnectOptions {
     /// The longest that opening may take.
-    pub(crate) connect: Duration,
+    pub(crate) connect_timeout: Duration,
     /// How long an unused connection stays usable.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
 }
 
 /// A slot still to be given back, without its connection.
 #[must_use]
-pub(super) struct Released {
-    held: Option<(Arc<Target>, Taken)>,
+pub(super) struct PendingRelease {
+    slot: Option<(Arc<Target>, SlotToken)>,
     /// Its connection was closed in mid-exchange: the target works on until it
     /// notices.
-    lingers: bool,
+    awaits_close: bool,
 }
 
-impl Released {
+impl PendingRelease {
     pub(super) fn record(
         &self,
         outcome: cleat_decide::AttemptOutcome,
         latency: Duration,
         now: Duration,
     ) {
-        if let Some((target, _)) = &self.held {
+        if let Some((target, _)) = &self.slot {
             target.record(outcome, latency, now);
         }
     }
 
     /// Whether the target needs time to notice that it is to stop. Asked once:
     /// the time is over when it is asked again.
-    pub(super) fn take_lingering(&mut self) -> bool {
-        std::mem::take(&mut self.lingers)
+    pub(super) fn take_awaits_close(&mut self) -> bool {
+        std::mem::take(&mut self.awaits_close)
     }
 
     pub(super) fn release(self) {
-        if let Some((target, taken)) = self.held {
-            target.release(taken);
+        if let Some((target, token)) = self.slot {
+            target.release(token);
         }
     }
 }
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -11,7 +11,7 @@
 
 use super::Slot;
 use super::inner::Inner;
-use super::slot::Released;
+use super::slot::PendingRelease;
 use crate::target::{ServiceSlots, Target};
 
 /// How long a target may take to notice that a connection was closed or its
@@ -31,7 +31,7 @@
 
 impl ServiceState {
     pub(crate) fn new(
-        terms: &Service,
+        config: &Service,
         slots: Arc<ServiceSlots>,
         seed: u64,
         epoch: Instant,
@@ -40,7 +40,7 @@
             epoch,
             tickets: AtomicU64::new(0),
             slots,
-            inner: Mutex::new(Inner::new(terms, seed)),
+            inner: Mutex::new(Inner::new(config, seed)),
         }
     }
 
@@ -50,17 +50,17 @@
     }
 
     /// Handles a message about slots of the entry `from`.
-    pub(crate) fn receive_slots(self: &Arc<Self>, from: &str, message: Message) {
-        self.slots.receive(from, message);
+    pub(crate) fn handle_slot_message(self: &Arc<Self>, from: &str, message: Message) {
+        self.slots.handle_message(from, message);
         let now = self.now();
         let mut inner = self.lock();
-        inner.fill(self, None, now);
-        self.slots.want(inner.missing());
+        inner.assign_slots(self, None, now);
+        self.slots.request_slots(inner.slots_needed());
     }
 
     /// Gives back slots on loan that are not used. Says whether any is left.
-    pub(crate) fn tick_slots(&self) -> bool {
-        self.slots.tick()
+    pub(crate) fn return_idle_slots(&self) -> bool {
+        self.slots.return_idle()
     }
 
     /// The time on the decisions' clock.
@@ -69,7 +69,7 @@
     }
 
     /// A moment on the decisions' clock.
-    pub(super) fn at(&self, instant: Instant) -> Duration {
+    pub(super) fn to_clock(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.epoch)
     }
 
@@ -79,15 +79,15 @@
 
     /// Takes over new terms and targets. When this returns, nothing new goes
     /// by the old ones.
-    pub(crate) fn update(self: &Arc<Self>, terms: &Service, targets: Vec<Arc<Target>>) {
+    pub(crate) fn update(self: &Arc<Self>, config: &Service, targets: Vec<Arc<Target>>) {
         let now = self.now();
         let mut inner = self.lock();
-        inner.set_terms(terms);
+        inner.set_config(config);
         inner.set_targets(targets);
         if !inner.has_capacity() {
             inner.refuse_waiting(now);
         }
-        inner.fill(self, None, now);
+        inner.assign_slots(self, None, now);
     }
 
     /// Refuses what waits, now and from now on.
@@ -99,66 +99,66 @@
     }
 
     /// Closes connections to targets that were unused for too long.
-    pub(crate) fn sweep(&self, age_max: Duration) {
+    pub(crate) fn close_expired_connections(&self, max_age: Duration) {
         let now = self.now();
         let targets = self.lock().targets();
         for target in targets {
-            target.sweep(now, age_max);
+            target.close_expired_connections(now, max_age);
         }
     }
 
     /// Refuses what can no longer finish in time and fills slots that became
     /// usable, as when an ejection ended. Says whether anything still waits.
-    pub(crate) fn tick(self: &Arc<Self>) -> bool {
+    pub(crate) fn check_queue(self: &Arc<Self>) -> bool {
         let now = self.now();
         let mut inner = self.lock();
-        if !inner.is_waiting() {
+        if !inner.has_waiting() {
             return false;
         }
         inner.expire(now);
-        inner.fill(self, None, now);
-        self.slots.want(inner.missing());
-        inner.is_waiting()
+        inner.assign_slots(self, None, now);
+        self.slots.request_slots(inner.slots_needed());
+        inner.has_waiting()
     }
 
     /// Accounts a try, gives back its slot, and says what follows.
-    pub(crate) fn conclude(
+    pub(crate) fn finish_attempt(
         self: &Arc<Self>,
         mut slot: Slot,
         outcome: AttemptOutcome,
-        mut facts: AttemptContext,
+        mut context: AttemptContext,
     ) -> RetryDecision {
         let now = self.now();
-        let latency = slot.age(now);
-        let target = slot.disarm(now);
+        let latency = slot.held_for(now);
+        let target = slot.detach(now);
         target.record(outcome, latency, now);
         let sample = outcome.is_success().then_some(latency);
-        let target = self.linger(target);
+        let target = self.defer_release(target);
         let mut inner = self.lock();
         if let Some(target) = target {
             target.release();
         }
-        facts.expected_duration = inner.service_time_p10();
-        let verdict = decide_retry(&outcome, facts, inner.budget());
-        inner.fill(self, sample, now);
-        verdict
+        context.expected_duration = inner.service_time_p10();
+        let decision = decide_retry(&outcome, context, inner.budget());
+        inner.assign_slots(self, sample, now);
+        decision
     }
 
     /// A slot was given back without an outcome.
-    pub(super) fn freed(self: &Arc<Self>, target: Released) {
-        let Some(target) = self.linger(target) else {
+    pub(super) fn release_without_outcome(self: &Arc<Self>, target: PendingRelease) {
+        let Some(target) = self.defer_release(target) else {
             return;
         };
         let now = self.now();
         let mut inner = self.lock();
         target.release();
-        inner.fill(self, None, now);
+        inner.assign_slots(self, None, now);
     }
 
     /// Keeps a slot whose target may still work until it must have noticed
     /// that it is to stop; gives any other slot back to the caller.
-    fn linger(self: &Arc<Self>, mut target: Released) -> Option<Released> {
-        if !target.take_lingering() {
+    fn defer_release(self: &Arc<Self>, mut target: PendingRelease) -> Option<PendingRelease> {
+        if !target.take_awaits_close() {
             return Some(target);
         }
         let Ok(runtime) = Handle::try_current() else {
@@ -167,7 +167,7 @@
         let service = Arc::clone(self);
         runtime.spawn(async move {
             sleep(CLOSE_GRACE).await;
-            service.freed(target);
+            service.release_without_outcome(target);
         });
         None
     }
--- a/crates/cleat-entry/src/target/mod.rs
+++ b/crates/cleat-entry/src/target/mod.rs
@@ -1,6 +1,6 @@
 //! A target as this entry uses it.
 
-mod idle;
+mod idle_connections;
 mod service_slots;
 mod slots;
 #[expect(clippy::module_inception)]
@@ -9,5 +9,5 @@
 pub use service_slots::SlotMessage;
 
 pub(crate) use service_slots::ServiceSlots;
-pub(crate) use slots::{Slots, Taken};
+pub(crate) use slots::{SlotToken, TargetSlots};
 pub(crate) use target::Target;
--- a/crates/cleat-entry/src/target/service_slots.rs
+++ b/crates/cleat-entry/src/target/service_slots.rs
@@ -8,13 +8,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::{Slots, Taken};
+use super::{SlotToken, TargetSlots};
 use crate::config::EntryConfig;
 
 /// For how long a borrower may begin requests on a slot.
-const LEASE: Duration = Duration::from_secs(2);
+const SLOT_LEASE: Duration = Duration::from_secs(2);
 /// For how long a borrower keeps a slot that it does not use.
-const KEEP_IDLE: Duration = Duration::from_millis(20);
+const IDLE_SLOT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A message about slots to another entry. It may be lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,11 +38,11 @@
     outbox: mpsc::Sender<SlotMessage>,
     /// Held for decisions only. Taken under the service's lock, never around
     /// it.
-    machine: Mutex<Machine>,
+    state: Mutex<SlotState>,
 }
 
 #[derive(Debug)]
-struct Machine {
+struct SlotState {
     slots: cleat_decide::Slots,
     /// By key of the target.
     usable: Vec<Arc<AtomicU32>>,
@@ -52,27 +52,32 @@
     pub(crate) fn new(
         service: &str,
         cfg: &EntryConfig,
-        longest_request: Duration,
+        max_request_duration: Duration,
         epoch: Instant,
         outbox: mpsc::Sender<SlotMessage>,
     ) -> ServiceSlots {
         let terms = LeaseTerms {
-            lease: LEASE,
-            max_request_duration: longest_request,
-            idle_timeout: KEEP_IDLE,
+            lease: SLOT_LEASE,
+            max_request_duration,
+            idle_timeout: IDLE_SLOT_TIMEOUT,
         };
-        let me = cfg.entries.iter().position(|name| *name == cfg.name);
-        let me = EntryIndex(index(me.unwrap_or(usize::MAX)));
+        let own_index = cfg.entries.iter().position(|name| *name == cfg.name);
+        let own_index = EntryIndex(index(own_index.unwrap_or(usize::MAX)));
         // What ran before this life began is over later than that by the time
         // that the decisions count from the epoch.
-        let slots =
-            cleat_decide::Slots::new(me, cfg.incarnation, &cfg.entries, terms, Duration::ZERO);
+        let slots = cleat_decide::Slots::new(
+            own_index,
+            cfg.incarnation,
+            &cfg.entries,
+            terms,
+            Duration::ZERO,
+        );
         ServiceSlots {
             service: service.into(),
             entries: cfg.entries.clone().into(),
             epoch,
             outbox,
-            machine: Mutex::new(Machine {
+            state: Mutex::new(SlotState {
                 slots,
                 usable: Vec::new(),
             }),
@@ -80,59 +85,64 @@
     }
 
     /// See [`cleat_decide::Slots::set_max_request_duration`].
-    pub(crate) fn set_longest_request(&self, longest: Duration) {
-        self.lock().slots.set_max_request_duration(longest);
+    pub(crate) fn set_max_request_duration(&self, max_request_duration: Duration) {
+        self.lock()
+            .slots
+            .set_max_request_duration(max_request_duration);
     }
 
     /// A handle on the slots of a target that was not known or left.
-    pub(crate) fn target(self: &Arc<Self>, name: &str, cap: u32, fresh: bool) -> Slots {
-        let mut machine = self.lock();
-        let key = machine.slots.set_target(name, cap, fresh);
+    pub(crate) fn add_target(self: &Arc<Self>, name: &str, cap: u32, fresh: bool) -> TargetSlots {
+        let mut state = self.lock();
+        let key = state.slots.set_target(name, cap, fresh);
         let position = key.0 as usize;
-        while machine.usable.len() <= position {
-            machine.usable.push(Arc::default());
+        while state.usable.len() <= position {
+            state.usable.push(Arc::default());
         }
-        let usable = Arc::clone(&machine.usable[position]);
-        machine.refresh(self.now());
-        Slots::new(Arc::clone(self), key, usable)
+        let usable = Arc::clone(&state.usable[position]);
+        state.refresh_usable(self.now());
+        TargetSlots::new(Arc::clone(self), key, usable)
     }
 
     /// The target has this cap, the lesser of its slots and connections.
     pub(crate) fn set_cap(&self, name: &str, cap: u32, fresh: bool) {
-        let mut machine = self.lock();
-        machine.slots.set_target(name, cap, fresh);
-        machine.refresh(self.now());
+        let mut state = self.lock();
+        state.slots.set_target(name, cap, fresh);
+        state.refresh_usable(self.now());
     }
 
     /// See [`cleat_decide::Slots::withhold_home_slots`].
-    pub(crate) fn hold_back(&self, key: TargetKey) {
-        let mut machine = self.lock();
-        machine.slots.withhold_home_slots(key, self.now());
-        machine.refresh(self.now());
+    pub(crate) fn withhold_home_slots(&self, key: TargetKey) {
+        let mut state = self.lock();
+        state.slots.withhold_home_slots(key, self.now());
+        state.refresh_usable(self.now());
     }
 
     /// The target takes no new work.
     pub(crate) fn remove_target(&self, name: &str) {
-        let mut machine = self.lock();
-        machine.slots.remove_target(name);
-        machine.refresh(self.now());
+        let mut state = self.lock();
+        state.slots.remove_target(name);
+        state.refresh_usable(self.now());
     }
 
-    pub(super) fn begin(&self, key: TargetKey) -> Option<Taken> {
-        let mut machine = self.lock();
-        let slot = machine.slots.acquire(key, self.now())?;
-        let until = machine.slots.start_deadline(slot);
-        let begin_until = until.map(|until| self.epoch + until);
-        Some(Taken { slot, begin_until })
+    pub(super) fn acquire(&self, key: TargetKey) -> Option<SlotToken> {
+        let mut state = self.lock();
+        let slot = state.slots.acquire(key, self.now())?;
+        let start_deadline = state.slots.start_deadline(slot);
+        let start_deadline = start_deadline.map(|start_deadline| self.epoch + start_deadline);
+        Some(SlotToken {
+            slot,
+            start_deadline,
+        })
     }
 
-    pub(super) fn end(&self, taken: Taken) {
+    pub(super) fn release(&self, token: SlotToken) {
         let now = self.now();
-        self.lock().slots.release(taken.slot, now);
+        self.lock().slots.release(token.slot, now);
     }
 
     /// Asks the others for slots for `count` waiting requests.
-    pub(crate) fn want(&self, count: u32) {
+    pub(crate) fn request_slots(&self, count: u32) {
         if count == 0 {
             return;
         }
@@ -142,28 +152,28 @@
     }
 
     /// Handles a message of the entry `from`.
-    pub(crate) fn receive(&self, from: &str, message: Message) {
+    pub(crate) fn handle_message(&self, from: &str, message: Message) {
         let Some(from) = self.entries.iter().position(|name| **name == *from) else {
             return;
         };
         let now = self.now();
-        let mut machine = self.lock();
-        let out = machine
+        let mut state = self.lock();
+        let out = state
             .slots
             .handle_message(EntryIndex(index(from)), message, now);
-        machine.refresh(now);
-        drop(machine);
+        state.refresh_usable(now);
+        drop(state);
         self.send(out);
     }
 
     /// Gives back what is not used. Says whether anything is still on loan.
-    pub(crate) fn tick(&self) -> bool {
+    pub(crate) fn return_idle(&self) -> bool {
         let now = self.now();
-        let mut machine = self.lock();
-        let out = machine.slots.tick(now);
-        machine.refresh(now);
-        let borrowed = machine.slots.has_borrowed();
-        drop(machine);
+        let mut state = self.lock();
+        let out = state.slots.tick(now);
+        state.refresh_usable(now);
+        let borrowed = state.slots.has_borrowed();
+        drop(state);
         self.send(out);
         borrowed
     }
@@ -187,13 +197,13 @@
         self.epoch.elapsed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Machine> {
-        self.machine.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SlotState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Machine {
-    fn refresh(&self, now: Duration) {
+impl SlotState {
+    fn refresh_usable(&self, now: Duration) {
         for (position, usable) in self.usable.iter().enumerate() {
             let count = self.slots.usable(TargetKey(index(position)), now);
             usable.store(count, Ordering::Release);
--- a/crates/cleat-entry/src/target/target.rs
+++ b/crates/cleat-entry/src/target/target.rs
@@ -7,8 +7,8 @@
 
 use cleat_decide::{AttemptOutcome, Candidate, Health};
 
-use super::idle::Idle;
-use super::{Slots, Taken};
+use super::idle_connections::IdleConnections;
+use super::{SlotToken, TargetSlots};
 use crate::upstream::Upstream;
 
 /// What this entry knows of a target, kept from one version of the routes to
@@ -18,11 +18,11 @@
     pub(crate) address: SocketAddr,
     /// Whether it stands in the entry's own data centre.
     pub(crate) local: bool,
-    pub(crate) slots: Arc<Slots>,
+    pub(crate) slots: Arc<TargetSlots>,
     /// Once set, nothing new is begun here.
     withdrawn: AtomicBool,
     health: Mutex<Health>,
-    idle: Idle,
+    idle: IdleConnections,
 }
 
 impl Target {
@@ -30,7 +30,7 @@
         name: Box<str>,
         address: SocketAddr,
         local: bool,
-        slots: Arc<Slots>,
+        slots: Arc<TargetSlots>,
         now: Duration,
     ) -> Target {
         Target {
@@ -40,7 +40,7 @@
             slots,
             withdrawn: AtomicBool::new(false),
             health: Mutex::new(Health::new(now)),
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
         }
     }
 
@@ -49,7 +49,7 @@
         let health = self.health();
         Candidate {
             in_flight: self.slots.in_flight(),
-            max_in_flight: self.slots.share(),
+            max_in_flight: self.slots.max_in_flight(),
             latency_us: health.latency_us(now),
             ejected: health.is_ejected(now),
             warm_up_percent: health.warm_up_percent(now),
@@ -58,7 +58,7 @@
     }
 
     /// Takes a slot, unless the target is withdrawn or none is free.
-    pub(crate) fn acquire(&self) -> Option<Taken> {
+    pub(crate) fn acquire(&self) -> Option<SlotToken> {
         if self.withdrawn.load(Ordering::Acquire) {
             return None;
         }
@@ -66,8 +66,8 @@
     }
 
     /// Gives back a slot.
-    pub(crate) fn release(&self, taken: Taken) {
-        self.slots.release(taken);
+    pub(crate) fn release(&self, token: SlotToken) {
+        self.slots.release(token);
     }
 
     /// Accounts a try that took `latency`.
@@ -77,16 +77,17 @@
 
     /// An unused connection. Whoever holds a slot takes one before opening
     /// another, so connections never outnumber this entry's part of them.
-    pub(crate) fn take_idle(&self, now: Duration, age_max: Duration) -> Option<Box<Upstream>> {
-        self.idle.take(now, age_max)
+    pub(crate) fn take_idle(&self, now: Duration, max_age: Duration) -> Option<Box<Upstream>> {
+        self.idle.take(now, max_age)
     }
 
-    pub(crate) fn keep_idle(&self, upstream: Box<Upstream>, now: Duration) {
-        self.idle.keep(upstream, now, self.slots.connections());
+    pub(crate) fn put_idle(&self, upstream: Box<Upstream>, now: Duration) {
+        self.idle.put(upstream, now, self.slots.connection_share());
     }
 
-    pub(crate) fn sweep(&self, now: Duration, age_max: Duration) {
-        self.idle.sweep(now, age_max, self.slots.connections());
+    pub(crate) fn close_expired_connections(&self, now: Duration, max_age: Duration) {
+        self.idle
+            .remove_expired(now, max_age, self.slots.connection_share());
     }
 
     /// Begins nothing new here and closes unused connections; requests in
--- a/crates/cleat-entry/src/trace.rs
+++ b/crates/cleat-entry/src/trace.rs
@@ -20,44 +20,44 @@
     }
 
     /// From the head of a request to the end of its body.
-    pub(crate) fn received(&self) -> Span {
-        self.hop(|| info_span!("received"))
+    pub(crate) fn receive_span(&self) -> Span {
+        self.child_span(|| info_span!("received"))
     }
 
     /// From a key's claim asked to its answer.
-    pub(crate) fn claimed(&self) -> Span {
-        self.hop(|| info_span!("claimed"))
+    pub(crate) fn claim_span(&self) -> Span {
+        self.child_span(|| info_span!("claimed"))
     }
 
     /// From admission asked to admission given.
-    pub(crate) fn admitted(&self) -> Span {
-        self.hop(|| info_span!("admitted"))
+    pub(crate) fn admission_span(&self) -> Span {
+        self.child_span(|| info_span!("admitted"))
     }
 
     /// From a slot to a connection.
-    pub(crate) fn chosen(&self, target: &str) -> Span {
-        self.hop(|| info_span!("chosen", target))
+    pub(crate) fn connect_span(&self, target: &str) -> Span {
+        self.child_span(|| info_span!("chosen", target))
     }
 
     /// From the first byte of a try to the head of its answer.
-    pub(crate) fn sent(&self) -> Span {
-        self.hop(|| info_span!("sent"))
+    pub(crate) fn send_span(&self) -> Span {
+        self.child_span(|| info_span!("sent"))
     }
 
     /// From the head of an answer to its end, or to its streaming.
-    pub(crate) fn answered(&self, status: u16) -> Span {
-        self.hop(|| info_span!("answered", status))
+    pub(crate) fn response_span(&self, status: u16) -> Span {
+        self.child_span(|| info_span!("answered", status))
     }
 
     /// Notes what the request asks for.
-    pub(crate) fn note_request(&self, method: &str, service: &str, caller: &str) {
+    pub(crate) fn record_request(&self, method: &str, service: &str, caller: &str) {
         self.root.record("method", method);
         self.root.record("service", service);
         self.root.record("caller", caller);
     }
 
     /// Notes what the caller is told.
-    pub(crate) fn note_answer(&self, outcome: &str, status: u16) {
+    pub(crate) fn record_response(&self, outcome: &str, status: u16) {
         self.root.record("outcome", outcome);
         self.root.record("status", status);
     }
@@ -73,7 +73,7 @@
         });
     }
 
-    fn hop(&self, span: impl FnOnce() -> Span) -> Span {
+    fn child_span(&self, span: impl FnOnce() -> Span) -> Span {
         if self.root.is_disabled() {
             return Span::none();
         }
--- a/crates/cleat-entry/src/upstream/connection.rs
+++ b/crates/cleat-entry/src/upstream/connection.rs
@@ -19,11 +19,11 @@
 use tokio::time::{Instant, Sleep, sleep_until, timeout};
 
 use super::Failure;
-use super::drive::Drive;
-use super::watched::{Sent, Watched};
+use super::driver::Driver;
+use super::tracked_stream::{SendState, TrackedStream};
 
 /// The most bytes of an answer's header block.
-const ANSWER_HEAD_BYTES: usize = 64 * 1_024;
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1_024;
 
 /// An open connection.
 ///
@@ -31,21 +31,21 @@
 /// the drop returns, and no other task has to be woken for an exchange.
 pub(crate) struct Upstream {
     sender: SendRequest<Full<Bytes>>,
-    life: Life,
-    sent: Sent,
-    drive: Drive,
+    polled: PolledConnection,
+    send_state: SendState,
+    driver: Driver,
     /// `None` while an exchange has it. Kept with the connection: to set a
     /// timer later takes no lock, to make and drop one does.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 /// The part of a connection that has to be polled.
-struct Life {
-    conn: Connection<TokioIo<Watched>, Full<Bytes>>,
+struct PolledConnection {
+    conn: Connection<TokioIo<TrackedStream>, Full<Bytes>>,
     /// Invariant: once true, `conn` is never polled again.
     ended: bool,
     /// More came than was asked for.
-    surplus: bool,
+    has_trailing_bytes: bool,
 }
 
 impl Upstream {
@@ -60,22 +60,22 @@
         let connecting = timeout(limit, connect(address));
         let stream = connecting.await.map_err(|_| Failure::NotSent)?;
         let stream = stream.map_err(|_| Failure::NotSent)?;
-        let sent = Sent::default();
-        let io = TokioIo::new(Watched::new(stream, sent.clone()));
+        let send_state = SendState::default();
+        let io = TokioIo::new(TrackedStream::new(stream, send_state.clone()));
         let handshake = http1::Builder::new()
-            .max_header_size(ANSWER_HEAD_BYTES)
+            .max_header_size(MAX_RESPONSE_HEAD_BYTES)
             .handshake(io)
             .await;
         let (sender, conn) = handshake.map_err(|_| Failure::NotSent)?;
         Ok(Box::new(Upstream {
             sender,
-            life: Life {
+            polled: PolledConnection {
                 conn,
                 ended: false,
-                surplus: false,
+                has_trailing_bytes: false,
             },
-            sent,
-            drive: Drive::new(),
+            send_state,
+            driver: Driver::new(),
             timer: None,
         }))
     }
@@ -84,8 +84,8 @@
     /// bytes that came without a request.
     pub(crate) fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
-        self.life.poll(&mut cx);
-        !self.life.ended && self.sender.is_ready()
+        self.polled.poll(&mut cx);
+        !self.polled.ended && self.sender.is_ready()
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -94,19 +94,24 @@
     /// What provably happened. The connection is useless then.
     pub(crate) async fn send(
         &mut self,
-        req: Request<Full<Bytes>>,
+        request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Failure> {
-        self.sent.reset();
-        let mut answer = pin!(self.sender.try_send_request(req));
-        let (life, drive) = (&mut self.life, &self.drive);
-        let answer = poll_fn(|cx| {
-            drive.poll(cx, |cx| {
-                life.poll(cx);
-                answer.as_mut().poll(cx)
+        self.send_state.reset();
+        let mut response = pin!(self.sender.try_send_request(request));
+        let (polled, driver) = (&mut self.polled, &self.driver);
+        let response = poll_fn(|cx| {
+            driver.poll(cx, |cx| {
+                polled.poll(cx);
+                response.as_mut().poll(cx)
             })
         });
-        let answer = answer.await;
-        answer.map_err(|e| Failure::of(e.error(), e.message().is_none() && self.sent.get()))
+        let response = response.await;
+        response.map_err(|e| {
+            Failure::from_hyper(
+                e.error(),
+                e.message().is_none() && self.send_state.may_have_sent(),
+            )
+        })
     }
 
     /// Takes the connection's timer, set to `deadline`.
@@ -128,17 +133,17 @@
     /// Whether the target may work on an exchange: a byte of it may have left,
     /// and the target did not end the connection.
     pub(crate) fn is_unfinished(&self) -> bool {
-        self.sent.get() && !self.life.ended
+        self.send_state.may_have_sent() && !self.polled.ended
     }
 
     /// The next exchange may not begin from `until` on.
-    pub(crate) fn set_begin_until(&self, until: Option<Instant>) {
-        self.sent.set_begin_until(until);
+    pub(crate) fn set_start_deadline(&self, until: Option<Instant>) {
+        self.send_state.set_start_deadline(until);
     }
 
     /// Whether a byte of the current exchange may have left.
     pub(crate) fn may_have_sent(&self) -> bool {
-        self.sent.get()
+        self.send_state.may_have_sent()
     }
 
     /// The next frame of the answer's body.
@@ -147,49 +152,49 @@
         body: &mut Incoming,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
-        let (life, drive) = (&mut self.life, &self.drive);
-        let frame = drive.poll(cx, |cx| {
+        let (polled, driver) = (&mut self.polled, &self.driver);
+        let frame = driver.poll(cx, |cx| {
             let frame = Pin::new(&mut *body).poll_frame(cx);
             if frame.is_ready() {
                 return frame;
             }
-            life.poll(cx);
+            polled.poll(cx);
             Pin::new(&mut *body).poll_frame(cx)
         });
-        frame.map(|frame| frame.map(|frame| frame.map_err(|e| Failure::of(&e, true))))
+        frame.map(|frame| frame.map(|frame| frame.map_err(|e| Failure::from_hyper(&e, true))))
     }
 
     /// Looks, after the end of an answer, whether more came than its framing
     /// states.
     ///
     /// # Errors
-    /// [`Failure::Surplus`]. Bytes that come later are met by
+    /// [`Failure::TrailingBytes`]. Bytes that come later are met by
     /// [`Upstream::is_ready`].
-    pub(crate) fn settle(&mut self) -> Result<(), Failure> {
-        self.life.poll(&mut Context::from_waker(Waker::noop()));
-        if self.life.surplus {
-            Err(Failure::Surplus)
+    pub(crate) fn check_trailing_bytes(&mut self) -> Result<(), Failure> {
+        self.polled.poll(&mut Context::from_waker(Waker::noop()));
+        if self.polled.has_trailing_bytes {
+            Err(Failure::TrailingBytes)
         } else {
             Ok(())
         }
     }
 }
 
-impl Life {
+impl PolledConnection {
     fn poll(&mut self, cx: &mut Context<'_>) {
         if self.ended {
             return;
         }
         if let Poll::Ready(end) = Pin::new(&mut self.conn).poll(cx) {
             self.ended = true;
-            self.surplus = end.is_err_and(|error| is_surplus(&error));
+            self.has_trailing_bytes = end.is_err_and(|error| is_trailing_bytes(&error));
         }
     }
 }
 
 /// hyper hands an error to the exchange it concerns; here come the others. It
 /// has no name for bytes that nobody asked for: they are what is left.
-fn is_surplus(error: &hyper::Error) -> bool {
+fn is_trailing_bytes(error: &hyper::Error) -> bool {
     let is_end = error.is_incomplete_message() || error.is_closed() || error.is_canceled();
     error.source().is_none() && !is_end
 }
--- a/crates/cleat-entry/src/upstream/drive.rs
+++ b/crates/cleat-entry/src/upstream/driver.rs
@@ -13,7 +13,7 @@
 /// the task polls them anyway, such a wake would only have it scheduled once
 /// more, often with a system call to wake another thread. Here it makes the
 /// task poll again before it returns.
-pub(super) struct Drive {
+pub(super) struct Driver {
     state: Arc<State>,
     waker: Waker,
 }
@@ -26,11 +26,11 @@
     task: Mutex<Option<Waker>>,
 }
 
-impl Drive {
-    pub(super) fn new() -> Drive {
+impl Driver {
+    pub(super) fn new() -> Driver {
         let state = Arc::<State>::default();
         let waker = Waker::from(Arc::clone(&state));
-        Drive { state, waker }
+        Driver { state, waker }
     }
 
     /// Polls `work` until it is ready or nothing in it was woken.
--- a/crates/cleat-entry/src/upstream/failure.rs
+++ b/crates/cleat-entry/src/upstream/failure.rs
@@ -8,16 +8,16 @@
     /// No byte of the request left.
     NotSent,
     /// The connection broke after a byte may have left.
-    Cut,
+    ConnectionLost,
     /// The deadline came after a byte may have left.
-    Late,
+    TimedOut,
     /// What came is no answer of HTTP/1.1.
     Malformed,
     /// The end of the answer was marked by nothing but the connection's end,
     /// so a cut looks the same as a whole answer.
     Unframed,
     /// More bytes came than the answer's framing states.
-    Surplus,
+    TrailingBytes,
 }
 
 impl Failure {
@@ -25,20 +25,22 @@
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match self {
             Failure::NotSent => AttemptOutcome::NotSent,
-            Failure::Cut => AttemptOutcome::ConnectionLost,
-            Failure::Late => AttemptOutcome::TimedOut,
-            Failure::Malformed | Failure::Unframed | Failure::Surplus => AttemptOutcome::Malformed,
+            Failure::ConnectionLost => AttemptOutcome::ConnectionLost,
+            Failure::TimedOut => AttemptOutcome::TimedOut,
+            Failure::Malformed | Failure::Unframed | Failure::TrailingBytes => {
+                AttemptOutcome::Malformed
+            }
         }
     }
 
     /// Reads an error of hyper. `sent` says whether a byte left.
-    pub(crate) fn of(error: &hyper::Error, sent: bool) -> Failure {
+    pub(crate) fn from_hyper(error: &hyper::Error, sent: bool) -> Failure {
         if !sent {
             Failure::NotSent
         } else if error.is_parse() {
             Failure::Malformed
         } else {
-            Failure::Cut
+            Failure::ConnectionLost
         }
     }
 }
--- a/crates/cleat-entry/src/upstream/mod.rs
+++ b/crates/cleat-entry/src/upstream/mod.rs
@@ -1,11 +1,11 @@
 //! One connection to a target, driven by the task that uses it.
 
 mod connection;
-mod drive;
+mod driver;
 mod failure;
 #[cfg(test)]
 mod tests;
-mod watched;
+mod tracked_stream;
 
 pub(crate) use connection::Upstream;
 pub(crate) use failure::Failure;
--- a/crates/cleat-entry/src/upstream/tests.rs
+++ b/crates/cleat-entry/src/upstream/tests.rs
@@ -21,7 +21,7 @@
     let (mut upstream, mut target) = (upstream.unwrap(), accepted.unwrap().0);
 
     // The lease ends between the choice of the connection and the write.
-    upstream.set_begin_until(Some(Instant::now()));
+    upstream.set_start_deadline(Some(Instant::now()));
     let req = Request::get("/").header("host", "t1");
     let sent = upstream.send(req.body(Full::<Bytes>::default()).unwrap());
     // Only a test that fails waits: the target never answers.
--- a/crates/cleat-entry/src/upstream/watched.rs
+++ b/crates/cleat-entry/src/upstream/tracked_stream.rs
@@ -13,17 +13,17 @@
 
 /// Whether a byte was sent since the last reset.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Sent(Arc<State>);
+pub(super) struct SendState(Arc<State>);
 
 #[derive(Debug, Default)]
 struct State {
     sent: AtomicBool,
     /// No exchange begins from then on.
-    begin_until: Mutex<Option<Instant>>,
+    start_deadline: Mutex<Option<Instant>>,
 }
 
-impl Sent {
-    pub(super) fn get(&self) -> bool {
+impl SendState {
+    pub(super) fn may_have_sent(&self) -> bool {
         self.0.sent.load(Ordering::Relaxed)
     }
 
@@ -31,29 +31,31 @@
         self.0.sent.store(false, Ordering::Relaxed);
     }
 
-    pub(super) fn set_begin_until(&self, until: Option<Instant>) {
-        *self.until() = until;
+    pub(super) fn set_start_deadline(&self, locked_start_deadline: Option<Instant>) {
+        *self.locked_start_deadline() = locked_start_deadline;
     }
 
     /// Whether the first byte of an exchange may leave. This is the last look
     /// before it does: the process may have been frozen since it took the slot.
-    fn may_begin(&self) -> io::Result<()> {
-        if self.get() {
+    fn check_start_deadline(&self) -> io::Result<()> {
+        if self.may_have_sent() {
             return Ok(());
         }
-        let until = *self.until();
-        match until {
-            Some(until) if Instant::now() >= until => Err(io::ErrorKind::TimedOut.into()),
+        let locked_start_deadline = *self.locked_start_deadline();
+        match locked_start_deadline {
+            Some(locked_start_deadline) if Instant::now() >= locked_start_deadline => {
+                Err(io::ErrorKind::TimedOut.into())
+            }
             _ => Ok(()),
         }
     }
 
-    fn until(&self) -> MutexGuard<'_, Option<Instant>> {
-        let until = self.0.begin_until.lock();
-        until.unwrap_or_else(PoisonError::into_inner)
+    fn locked_start_deadline(&self) -> MutexGuard<'_, Option<Instant>> {
+        let locked_start_deadline = self.0.start_deadline.lock();
+        locked_start_deadline.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, count: usize) {
+    fn record_written(&self, count: usize) {
         if count > 0 {
             self.0.sent.store(true, Ordering::Relaxed);
         }
@@ -63,18 +65,18 @@
 /// The proof of "not sent" rests on this: hyper's errors don't tell a write
 /// that took nothing from one that took something.
 #[derive(Debug)]
-pub(super) struct Watched {
+pub(super) struct TrackedStream {
     stream: TcpStream,
-    sent: Sent,
+    sent: SendState,
 }
 
-impl Watched {
-    pub(super) fn new(stream: TcpStream, sent: Sent) -> Watched {
-        Watched { stream, sent }
+impl TrackedStream {
+    pub(super) fn new(stream: TcpStream, sent: SendState) -> TrackedStream {
+        TrackedStream { stream, sent }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -84,15 +86,15 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.sent.may_begin()?;
+        self.sent.check_start_deadline()?;
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.sent.note(count);
+        self.sent.record_written(count);
         Poll::Ready(Ok(count))
     }
 
@@ -101,9 +103,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.sent.may_begin()?;
+        self.sent.check_start_deadline()?;
         let count = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))?;
-        self.sent.note(count);
+        self.sent.record_written(count);
         Poll::Ready(Ok(count))
     }
 
