--- a/crates/cleat-entry/src/config.rs
+++ b/crates/cleat-entry/src/config.rs
@@ -1,55 +1,58 @@
-//! What an entry is told when it is bound.
+//! The configuration of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The identity, address and bounds of one entry.
+/// The identity, addresses and limits of one entry.
 #[derive(Debug, Clone)]
 pub struct EntryConfig {
-    /// The name of this instance, one of `entries`.
+    /// The name of this instance, which must be in `entries`.
     pub name: Box<str>,
-    /// The data centre it stands in.
+    /// The data centre of this instance.
     pub data_centre: Box<str>,
-    /// This life of the instance, never used before.
+    /// The incarnation of this entry, a number that no earlier run of the
+    /// instance had.
     pub incarnation: u64,
-    /// Where callers connect.
+    /// The address to accept connections of callers on.
     pub listen: SocketAddr,
-    /// All instances of the system's own, sorted, the same list on each: they
-    /// divide the slots of every target among them.
+    /// The names of all entries, sorted. The list must be the same on each
+    /// entry, because the slots of every target are divided among its members.
     pub entries: Vec<Box<str>>,
-    /// The seed of every random choice.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The bounds.
+    /// Limits that are not part of the fleet configuration.
     pub limits: Limits,
 }
 
-/// Bounds of one entry that no configuration of the fleet states.
+/// Limits of one entry that are not part of the fleet configuration.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// The largest header block of a request, in bytes.
+    /// The maximum size of the header block of a request, in bytes.
     pub max_header_bytes: usize,
-    /// The most bytes that buffered answers hold at once; beyond it answers
-    /// are passed on as they come.
+    /// The maximum number of bytes that buffered responses occupy at a time.
+    /// Beyond it, responses are streamed.
     pub response_memory_bytes: usize,
-    /// The most bytes that request bodies hold at once; beyond it requests
-    /// are refused.
+    /// The maximum number of bytes that request bodies occupy at a time. Beyond
+    /// it, requests are rejected.
     pub request_memory_bytes: usize,
-    /// The most connections of callers; beyond it new ones wait unaccepted.
+    /// The maximum number of open connections of callers. Beyond it, new
+    /// connections stay in the accept backlog.
     pub max_connections: usize,
-    /// The most idempotency keys in hand at once, from before the claim until
-    /// its settlement stands.
+    /// The maximum number of idempotency keys held at a time. A key is held
+    /// from before its claim until its settlement is committed.
     pub max_claims: usize,
-    /// The longest that opening a connection to a target may take.
+    /// The timeout for opening a connection to a target.
     pub connect_timeout: Duration,
-    /// How long an unused connection to a target is kept.
+    /// How long an idle connection to a target is kept open.
     pub idle_timeout: Duration,
-    /// The longest a caller may take for the header block of a request; also
-    /// how long an idle connection of a caller is kept.
+    /// The timeout for receiving the header block of a request. It also limits
+    /// how long an idle connection of a caller is kept open.
     pub header_read_timeout: Duration,
-    /// The longest a caller may take no byte of an answer.
+    /// How long a write to a caller may make no progress.
     pub caller_write_timeout: Duration,
-    /// How long a draining entry still takes requests, answering each with
-    /// `Connection: close`, so that no request is lost on its way.
+    /// How long a draining entry still accepts requests. It adds `Connection:
+    /// close` to each response, so that no request that is already on its way
+    /// is lost.
     pub drain_delay: Duration,
 }
 
@@ -65,8 +68,9 @@
             max_connections: 4_096,
             max_claims: 4_096,
             connect_timeout: Duration::from_millis(300),
-            // Below the 5 s after which common servers close unused
-            // connections, so that a request seldom meets a closing one.
+            // Less than the 5 s after which common servers close idle
+            // connections, so that a request is rarely sent on a connection
+            // that the target is closing.
             idle_timeout: Duration::from_secs(4),
             header_read_timeout: Duration::from_secs(30),
             caller_write_timeout: Duration::from_secs(30),
--- a/crates/cleat-entry/src/counters.rs
+++ b/crates/cleat-entry/src/counters.rs
@@ -1,15 +1,15 @@
-//! What the request path counts.
+//! The metrics of the request path.
 
 use cleat_telemetry::{Counter, Counters as Registry, Gauge};
 
 use crate::headers::Outcome;
 
-/// Handles on the numbers of one entry.
+/// Handles to the metrics of one entry.
 #[derive(Debug)]
 pub(crate) struct Counters {
     /// Requests whose head was read.
     pub(crate) requests: Counter,
-    /// Answers of targets passed on.
+    /// Responses of targets that were forwarded.
     pub(crate) answered: Counter,
     /// Requests that did not run.
     pub(crate) not_run: Counter,
@@ -17,17 +17,17 @@
     pub(crate) unknown: Counter,
     /// Requests that had to wait for a slot.
     pub(crate) waited: Counter,
-    /// Tries in all.
+    /// All attempts.
     pub(crate) attempts: Counter,
-    /// Tries after the first.
+    /// Attempts after the first one of a request.
     pub(crate) retries: Counter,
-    /// Answers too large to hold, passed on as they came.
+    /// Responses that were streamed, because they were too large to buffer.
     pub(crate) streamed: Counter,
     /// Claims of idempotency keys.
     pub(crate) claims: Counter,
-    /// Stored answers given again for a key.
+    /// Stored responses replayed for an idempotency key.
     pub(crate) replayed: Counter,
-    /// Bytes that answers in flight hold.
+    /// Bytes occupied by buffered responses.
     pub(crate) response_bytes: Gauge,
 }
 
--- a/crates/cleat-entry/src/entry/accept.rs
+++ b/crates/cleat-entry/src/entry/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts and serves connections of callers.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -20,13 +20,15 @@
 use super::shared::{Phase, SharedState};
 use crate::control::Control;
 
-/// After a failed accept, as when no file descriptor is free.
+/// The delay after a failed accept, for example when no file descriptor is
+/// free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// When the entry closes, what a new connection has sent may still be unread;
-/// hyper would close it without a look.
+/// How long a new connection is kept open for its first request when the entry
+/// closes. The request may already have been sent, but hyper would close the
+/// connection without reading it.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Header blocks up to this factor of the limit get an answer of ours; beyond
-/// it hyper refuses them with a bare 431.
+/// A header block of up to this multiple of the limit gets a problem response.
+/// hyper rejects larger ones with a bare 431.
 const HYPER_HEADER_LIMIT_FACTOR: usize = 4;
 
 pub(super) fn spawn<C: Control>(shared: &Arc<SharedState<C>>, listener: TcpListener) {
@@ -38,7 +40,8 @@
     });
 }
 
-/// Accepts until the entry closes, and then what has already connected.
+/// Accepts connections until the entry closes, then also accepts those that are
+/// already in the backlog.
 async fn accept_all<C: Control>(shared: &Arc<SharedState<C>>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(shared.cfg.limits.max_connections));
     let mut phase = shared.phase.subscribe();
@@ -51,7 +54,7 @@
         match accepted {
             Ok((stream, permit)) => spawn_connection(shared, stream, Some(permit)),
             Err(error) => {
-                log::warn!("a connection could not be accepted: {error}");
+                log::warn!("failed to accept a connection: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -71,7 +74,7 @@
     Ok((stream, permit))
 }
 
-/// Ends when the connection should close after its present request.
+/// Waits until the connection should close after the current request.
 async fn wait_for_close(phase: &mut watch::Receiver<Phase>, connection: &CallerConnection) {
     wait_for_closing_phase(phase).await;
     if !connection.has_received_request() {
@@ -80,7 +83,7 @@
 }
 
 async fn wait_for_closing_phase(phase: &mut watch::Receiver<Phase>) {
-    // An error means that the sender is gone, which ends the entry as well.
+    // An error means that the sender was dropped, which also stops the entry.
     let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
 }
 
@@ -98,7 +101,7 @@
 }
 
 async fn serve_connection<C: Control>(shared: Arc<SharedState<C>>, stream: TcpStream) {
-    // A socket without it is slower, not wrong.
+    // A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let limits = &shared.cfg.limits;
     let connection = CallerConnection::default();
@@ -115,11 +118,12 @@
         () = wait_for_close(&mut phase, &connection) => {}
     }
     conn.as_mut().graceful_shutdown();
-    // A broken connection is the caller's end of it.
+    // An error means that the connection to the caller failed; there is nobody
+    // to report it to.
     let _ = conn.await;
 }
 
-/// The output of `work` if it is there without waiting.
+/// Polls `work` once and returns its output if it is ready.
 async fn now_or_never<F: Future>(work: F) -> Option<F::Output> {
     let mut work = pin!(work);
     poll_fn(|cx| match work.as_mut().poll(cx) {
--- a/crates/cleat-entry/src/entry/automatic_response.rs
+++ b/crates/cleat-entry/src/entry/automatic_response.rs
@@ -1,4 +1,5 @@
-//! hyper's own answers to heads that it can't read, made into ours.
+//! Replaces the automatic responses of hyper to unreadable request heads with
+//! problem responses.
 
 use std::time::Duration;
 
@@ -6,19 +7,22 @@
 
 use crate::problem::{Problem, ProblemKind};
 
-/// A malformed head stays malformed; there is nothing to spread.
+/// Fixed, without jitter: a malformed head stays malformed when it is sent
+/// again.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_AUTOMATIC_RESPONSE_BYTES: usize = 256;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const EMPTY_BODY: &[u8] = b"content-length: 0\r\n";
-/// Every answer that a handler gave carries it.
+/// Contained in every response of a handler.
 const OUTCOME_HEADER: &[u8] = b"celerycleat-outcome";
 
-/// The answer to write in place of `written`, if that is an automatic answer
-/// of hyper: one whole head without a body and without an outcome.
+/// The problem response to write instead of `written`, if `written` is an
+/// automatic response of hyper: a single complete head without a body and
+/// without an outcome.
 ///
-/// hyper offers no hook for these. Only asked while no answer of a handler is
-/// under way, so the bytes of a target's answer are never looked at.
+/// hyper offers no hook for these responses. This must only be called while no
+/// response of a handler is being written, so that the bytes of a target's
+/// response are never inspected.
 pub(super) fn replacement(written: &[u8]) -> Option<Bytes> {
     let is_complete_head =
         written.len() <= MAX_AUTOMATIC_RESPONSE_BYTES && written.ends_with(HEAD_END);
--- a/crates/cleat-entry/src/entry/caller_connection.rs
+++ b/crates/cleat-entry/src/entry/caller_connection.rs
@@ -1,25 +1,26 @@
-//! What a caller's socket and the handler of its requests tell each other.
+//! State shared by the socket of a caller and the handler of its requests.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The most bytes of a head that are kept.
+/// The maximum number of bytes of a request head that are recorded.
 const MAX_HEAD_BYTES: usize = 16 * 1_024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const CONTENT_LENGTH_LINE: &[u8] = b"\r\ncontent-length:";
 
-/// One connection of a caller.
+/// The state of one connection of a caller.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CallerConnection(Arc<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// How many guards there are: a handler has a request of this connection,
-    /// or a byte of its answer's body is still to be written.
+    /// The number of guards. It is above zero while a handler processes a
+    /// request of this connection or part of a response body has yet to be
+    /// written.
     busy: AtomicUsize,
-    /// How many requests of this connection handlers have had.
+    /// The number of requests passed to handlers.
     request_count: AtomicU64,
-    /// What was read since the last request was handed to a handler.
+    /// The bytes received since the last request was passed to a handler.
     head: Mutex<Vec<u8>>,
 }
 
@@ -32,7 +33,7 @@
         self.request_count() > 0
     }
 
-    /// How many requests of this connection handlers have had.
+    /// The number of requests passed to handlers.
     pub(super) fn request_count(&self) -> u64 {
         self.0.request_count.load(Ordering::Relaxed)
     }
@@ -44,7 +45,7 @@
         BusyGuard::new(self.clone())
     }
 
-    /// Takes note of bytes that were read.
+    /// Records received bytes, unless the connection is busy.
     pub(super) fn record_read(&self, bytes: &[u8]) {
         if self.is_busy() {
             return;
@@ -54,11 +55,11 @@
         head.extend_from_slice(&bytes[..bytes.len().min(free)]);
     }
 
-    /// Whether the head of the present request had a line `Content-Length`.
+    /// Whether the head of the current request had a `Content-Length` field.
     ///
-    /// hyper drops that line if there is a `Transfer-Encoding`, so the handler
-    /// can't see it. A pipelined head, read before its turn, is not kept; then
-    /// the answer is no.
+    /// hyper removes the field if there is a `Transfer-Encoding`, so the
+    /// handler can't see it. The head of a pipelined request, received while
+    /// the connection is busy, is not recorded; the result is `false` then.
     pub(super) fn had_content_length(&self) -> bool {
         let head = self.head();
         let end = head.windows(HEAD_END.len()).position(|w| w == HEAD_END);
@@ -72,8 +73,8 @@
     }
 }
 
-/// A busy connection. A count in it, since a mark of its own for each request
-/// would have to be allocated.
+/// Marks a connection as busy. The guards are counted in the connection,
+/// because a separate flag for each request would need an allocation.
 #[derive(Debug)]
 pub(super) struct BusyGuard(CallerConnection);
 
@@ -94,7 +95,8 @@
     fn drop(&mut self) {
         let CallerConnection(state) = &self.0;
         if state.busy.load(Ordering::Relaxed) == 1 {
-            // First, or what is read next would be lost.
+            // The head is cleared before the count drops, or bytes received in
+            // between would be lost.
             self.0.head().clear();
         }
         state.busy.fetch_sub(1, Ordering::Relaxed);
--- a/crates/cleat-entry/src/entry/caller_io.rs
+++ b/crates/cleat-entry/src/entry/caller_io.rs
@@ -1,5 +1,5 @@
-//! A caller's socket: bounds how long the caller may take nothing, keeps the
-//! head that came last, and gives hyper's own answers the form of ours.
+//! The socket of a caller. It limits how long a write may stall, records the
+//! latest request head and replaces the automatic responses of hyper.
 
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -16,16 +16,17 @@
 use super::caller_connection::CallerConnection;
 use crate::config::Limits;
 
-/// Without the bound, a caller that stops reading would hold its answer, and a
-/// draining entry, for ever.
+/// Without the write timeout, a caller that stops reading would occupy the
+/// memory of its response forever and prevent a draining entry from finishing.
 pub(super) struct CallerIo {
     stream: TcpStream,
     timeout: Duration,
-    /// Runs while the caller takes nothing.
+    /// Runs while a write makes no progress.
     write_timer: Option<Pin<Box<Sleep>>>,
     connection: CallerConnection,
     head_timer: HeadReadTimer,
-    /// What is left to write in place of an automatic answer of hyper.
+    /// The unwritten rest of the replacement for an automatic response of
+    /// hyper.
     replacement: Option<Bytes>,
 }
 
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Writes the replacement of `buf`, if it has one, and then claims that
-    /// `buf` was written.
+    /// If `buf` has a replacement, writes the replacement and reports `buf` as
+    /// written.
     fn poll_write_replaced(
         &mut self,
         buf: &[u8],
@@ -91,12 +92,13 @@
     }
 }
 
-/// Bounds how long a caller may take for the head of a request. One timer for
-/// all heads: to set it later takes no lock, to make and drop one does.
+/// Limits how long a caller may take to send the head of a request. One timer
+/// is reused for all heads, because resetting a timer takes no lock, while
+/// creating and dropping one does.
 struct HeadReadTimer {
     timeout: Duration,
     sleep: Pin<Box<Sleep>>,
-    /// How many requests had come when it was set.
+    /// The request count when the timer was last reset.
     request_count: Option<u64>,
 }
 
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Ready when the limit has passed since `requests` requests had come.
+    /// Ready once `timeout` has passed since `request_count` was first seen.
     fn poll(&mut self, request_count: u64, cx: &mut Context<'_>) -> Poll<()> {
         if self.request_count != Some(request_count) {
             self.request_count = Some(request_count);
--- a/crates/cleat-entry/src/entry/drain.rs
+++ b/crates/cleat-entry/src/entry/drain.rs
@@ -1,4 +1,4 @@
-//! The graceful end of an entry.
+//! Graceful shutdown of an entry.
 
 use std::time::Duration;
 
@@ -7,8 +7,9 @@
 use super::shared::{Phase, SharedState};
 use crate::control::Control;
 
-/// The longest to wait for settlements of idempotency keys. One that is lost
-/// counts as unknown later; its caller has its answer.
+/// The maximum time to wait for settlements of idempotency keys. The outcome of
+/// a key whose settlement is lost is unknown afterwards, but its caller already
+/// has a response.
 const SETTLEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -21,7 +22,9 @@
         .await
         .is_err()
     {
-        log::warn!("idempotency keys are left unsettled; they will count as unknown");
+        log::warn!(
+            "timed out waiting for settlements of idempotency keys; their outcome will be unknown"
+        );
     }
 }
 
--- a/crates/cleat-entry/src/entry/entry.rs
+++ b/crates/cleat-entry/src/entry/entry.rs
@@ -18,7 +18,7 @@
 use crate::control::Control;
 use crate::target::SlotMessage;
 
-/// A running entry. Dropping it closes its listener and lets requests in
+/// A running entry. Dropping it closes the listener and lets requests in
 /// progress finish; [`Entry::drain`] also waits for them.
 pub struct Entry<C: Control> {
     shared: Arc<SharedState<C>>,
@@ -26,37 +26,38 @@
     counters: Counters,
 }
 
-/// An entry that could not start.
+/// Why an entry could not start.
 #[derive(Debug, Snafu)]
 pub enum BindError {
-    /// The address can't be listened on: another process has it, or it is not
-    /// of this machine. Change `listen.callers` in the settings.
+    /// The listener could not be bound: another process uses the address, or it
+    /// is not an address of this machine. Change `listen.callers` in the
+    /// settings.
     #[snafu(display(
         "cannot listen for callers on {address}; free the address or correct listen.callers"
     ))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl<C: Control> Entry<C> {
-    /// Listens and serves. Every service is unknown until the first
-    /// [`Entry::update_routes`].
+    /// Binds the listener and starts to serve requests. All services are
+    /// unknown until the first call of [`Entry::update_routes`].
     ///
     /// # Errors
-    /// [`BindError`] if the address can't be listened on.
+    /// [`BindError`] if the listener can't be bound.
     pub async fn bind(cfg: EntryConfig, control: Arc<C>) -> Result<Entry<C>, BindError> {
         Entry::bind_with_counters(cfg, control, &Counters::default()).await
     }
 
-    /// As [`Entry::bind`], counting in `counters` under names that begin with
-    /// `entry.`.
+    /// Like [`Entry::bind`], but registers the metrics in `counters`, with
+    /// names that start with `entry.`.
     ///
     /// # Errors
-    /// [`BindError`] if the address can't be listened on.
+    /// [`BindError`] if the listener can't be bound.
     pub async fn bind_with_counters(
         cfg: EntryConfig,
         control: Arc<C>,
@@ -77,33 +78,35 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Brings the services and targets of `world` into force. When it returns,
-    /// no request begins by what was before. Cheap if neither changed.
+    /// Replaces the services and targets by those of `world`. After the call,
+    /// no request starts by the previous ones. Cheap if neither has changed.
     pub fn update_routes(&self, world: &World) {
         self.shared.update_routes(world);
     }
 
-    /// What this entry has to say to others about slots; `None` if it was taken
-    /// before. While nobody sends it, the entry has its own part of the slots.
+    /// The queue of messages about slots to be sent to other entries, or `None`
+    /// if it was already taken. While the messages are not sent, the entry only
+    /// uses its own share of the slots.
     pub fn take_slot_messages(&self) -> Option<mpsc::Receiver<SlotMessage>> {
         let messages = self.shared.slot_messages.lock();
         messages.unwrap_or_else(PoisonError::into_inner).take()
     }
 
-    /// Handles what the entry `from` says about the slots of `service`.
+    /// Handles a message from the entry `from` about the slots of `service`.
     pub fn handle_slot_message(&self, from: &str, service: &str, message: Message) {
         if let Some(route) = self.shared.routes().find(service) {
             route.state.handle_slot_message(from, message);
         }
     }
 
-    /// Gives back borrowed slots that are idle. Says whether any is left; then
-    /// it has to be called again within a few tens of milliseconds.
+    /// Returns borrowed slots that are idle. If the result is `true`, the entry
+    /// still has borrowed slots and the call must be repeated within a few tens
+    /// of milliseconds.
     pub fn return_idle_slots(&self) -> bool {
         let routes = self.shared.routes();
         let mut borrowed = false;
@@ -113,15 +116,16 @@
         borrowed
     }
 
-    /// Every number of the registry it counts in, by name.
+    /// The values of all metrics in the registry of this entry, by name.
     pub fn counters(&self) -> IndexMap<Box<str>, u64> {
         self.shared.update_gauges();
         self.counters.snapshot()
     }
 
-    /// Stops gracefully: not ready at once, lets what is on its way arrive
-    /// ([`Limits::drain_delay`](crate::Limits::drain_delay)), then takes no more and
-    /// returns when every request in progress has its answer.
+    /// Shuts down gracefully. The entry reports that it is not ready, accepts
+    /// requests that are already on their way for
+    /// [`Limits::drain_delay`](crate::Limits::drain_delay), then stops
+    /// accepting and waits until every request in progress has its response.
     pub async fn drain(&self) {
         drain::drain(&self.shared).await;
     }
--- a/crates/cleat-entry/src/entry/guarded.rs
+++ b/crates/cleat-entry/src/entry/guarded.rs
@@ -1,4 +1,4 @@
-//! An answer's body that keeps its connection marked as busy.
+//! A response body that marks its connection as busy.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -9,13 +9,13 @@
 use super::caller_connection::BusyGuard;
 use crate::response::{ResponseBody, ResponseTruncated};
 
-/// The body of an answer on a caller's connection.
+/// The response body on a connection of a caller.
 pub(super) struct GuardedBody {
     body: ResponseBody,
     busy: BusyGuard,
 }
 
-/// A piece of a body. hyper drops it once it is written.
+/// A chunk of a body. hyper drops it once it is written.
 struct GuardedChunk {
     bytes: Bytes,
     _busy: BusyGuard,
--- a/crates/cleat-entry/src/entry/handle.rs
+++ b/crates/cleat-entry/src/entry/handle.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Processes one request, from its head to its response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,7 +24,6 @@
 
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// Answers one request.
 pub(super) async fn handle<C: Control>(
     shared: Arc<SharedState<C>>,
     connection: CallerConnection,
@@ -93,7 +92,7 @@
     }
 }
 
-/// Checks the head and reads the rest.
+/// Validates the head and reads the body.
 async fn read_request<C: Control>(
     shared: &Arc<SharedState<C>>,
     parts: Parts,
@@ -122,14 +121,16 @@
     ))
 }
 
-/// The final answer to a request with a key that was not read whole.
+/// The final response to a request with an idempotency key that could not be
+/// read completely.
 async fn reject_keyed<C: Control>(
     shared: &SharedState<C>,
     head: &KeyedHead,
     in_service: bool,
     problem: Problem,
 ) -> Result<TargetResponse, Problem> {
-    // Routes that are not in force prove no mistake of the caller.
+    // While the routes may be outdated, they don't prove a mistake of the
+    // caller.
     let problem = if in_service {
         problem
     } else {
--- a/crates/cleat-entry/src/entry/health.rs
+++ b/crates/cleat-entry/src/entry/health.rs
@@ -1,4 +1,4 @@
-//! What the balancer asks.
+//! Health checks for load balancers.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -9,13 +9,13 @@
 use crate::problem::{Problem, ProblemKind};
 use crate::response::ResponseBody;
 
-/// Paths of the entry's own begin with this; no service can have the name.
+/// The prefix of the entry's own paths. No service can have this name.
 pub(super) const PREFIX: &str = "/-/";
 const READY: &str = "ready";
 const LIVE: &str = "live";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// Answers a request for one of the entry's own paths.
+/// Handles a request for one of the entry's own paths.
 pub(super) fn respond<C: Control>(
     shared: &SharedState<C>,
     method: &Method,
--- a/crates/cleat-entry/src/entry/mod.rs
+++ b/crates/cleat-entry/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The running entry: its listener, its connections and its end.
+//! The running entry: listener, connections and shutdown.
 
 mod accept;
 mod automatic_response;
--- a/crates/cleat-entry/src/entry/shared.rs
+++ b/crates/cleat-entry/src/entry/shared.rs
@@ -1,4 +1,4 @@
-//! What every request of an entry shares.
+//! State shared by all requests of an entry.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,29 +23,29 @@
 use crate::service::ConnectOptions;
 use crate::target::SlotMessage;
 
-/// Messages about slots that wait to be sent; more are lost, which only costs
-/// time.
+/// The maximum number of queued messages about slots. Further messages are
+/// dropped, which only delays the transfer of slots.
 const SLOT_MESSAGE_QUEUE: usize = 1_024;
 
-/// Times to come back, in seconds.
+/// The range of the default `Retry-After`, in seconds.
 const RETRY_AFTER_SECS: Range<u64> = 1..4;
 
-/// More look-ups of keys at once would only burden the leader.
+/// The maximum number of concurrent lookups of keys. More would only load the
+/// leader.
 const MAX_CONCURRENT_LOOKUPS: usize = 64;
 
-/// Where an entry stands on its way to its end.
+/// The phases of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// It takes requests.
+    /// The entry accepts requests.
     Running,
-    /// It is not ready any more, but still answers what comes, and closes each
-    /// connection after its answer.
+    /// The entry reports that it is not ready. It still accepts requests, but
+    /// closes each connection after its response.
     Draining,
-    /// It takes no connection and closes unused ones.
+    /// The entry accepts no connections and closes idle ones.
     Closing,
 }
 
-/// The state of an entry.
 pub(crate) struct SharedState<C> {
     pub(crate) cfg: EntryConfig,
     pub(crate) control: Arc<C>,
@@ -53,18 +53,18 @@
     pub(crate) response_memory: Arc<MemoryBudget>,
     pub(crate) request_memory: Arc<MemoryBudget>,
     pub(crate) held_keys: Arc<HeldKeys>,
-    /// One permit for each look-up of a key under way.
+    /// One permit per concurrent lookup of a key.
     pub(crate) lookup_permits: Semaphore,
     pub(super) phase: watch::Sender<Phase>,
     pub(super) work: Arc<WorkTracker>,
-    /// Wakes the ticker when a request begins to wait.
+    /// Wakes the ticker when a request starts to wait.
     pub(crate) waiter_added: Notify,
-    /// What is to be said to other entries about slots, until it is taken.
+    /// The queue of messages to other entries about slots, until it is taken.
     pub(super) slot_messages: Mutex<Option<mpsc::Receiver<SlotMessage>>>,
     routes: ArcSwap<Routes>,
     route_updater: Mutex<RouteUpdater>,
     jitter_seed: AtomicU64,
-    /// How many claims this life has made.
+    /// The number of claims made by this incarnation.
     claim_count: AtomicU64,
 }
 
@@ -124,19 +124,19 @@
         }
     }
 
-    /// A number that no other claim of this life has.
+    /// Returns a number that no other claim of this incarnation has.
     pub(crate) fn next_claim_number(&self) -> u64 {
         self.claim_count.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Accounts a request that begins to wait.
+    /// Records that a request starts to wait.
     pub(crate) fn record_wait(&self) {
         self.counters.waited.incr();
         self.waiter_added.notify_one();
     }
 
-    /// When a caller should come back if nothing better is known: spread, so
-    /// that callers refused together do not return together.
+    /// The `Retry-After` of problems without a computed one. It is random, so
+    /// that callers rejected together don't retry together.
     pub(super) fn default_retry_after(&self) -> Duration {
         let state = self.jitter_seed.fetch_add(1, Ordering::Relaxed);
         let choice = SmallRng::seed_from_u64(state).next_u64()
@@ -144,7 +144,6 @@
         Duration::from_secs(RETRY_AFTER_SECS.start + choice)
     }
 
-    /// Brings the gauges up to date.
     pub(super) fn update_gauges(&self) {
         let held = self.response_memory.held() as u64;
         self.counters.response_bytes.set(held);
--- a/crates/cleat-entry/src/entry/tick.rs
+++ b/crates/cleat-entry/src/entry/tick.rs
@@ -1,4 +1,4 @@
-//! What has to happen without a request: refusing in time, sweeping.
+//! Periodic work: rejects waiting requests in time and closes idle connections.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -8,16 +8,17 @@
 use super::SharedState;
 use crate::control::Control;
 
-/// How late a waiting request that can't finish in time may be told so.
+/// The maximum delay before a waiting request that can't finish in time is
+/// rejected.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How often unused connections are looked through.
+/// The interval of the search for expired connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) fn spawn<C: Control>(shared: &Arc<SharedState<C>>) {
     tokio::spawn(run(Arc::downgrade(shared)));
 }
 
-/// Runs until the entry and its requests are gone.
+/// Runs until the entry and all its requests are dropped.
 async fn run<C: Control>(shared: Weak<SharedState<C>>) {
     let mut last_sweep = Instant::now();
     while let Some(shared) = shared.upgrade() {
@@ -31,7 +32,7 @@
             drop(shared);
             sleep(QUEUE_CHECK_INTERVAL).await;
         } else {
-            // Woken by a request that begins to wait.
+            // Returns early when a request starts to wait.
             let _ = timeout(SWEEP_INTERVAL, shared.waiter_added.notified()).await;
         }
     }
--- a/crates/cleat-entry/src/entry/work.rs
+++ b/crates/cleat-entry/src/entry/work.rs
@@ -1,11 +1,11 @@
-//! Counting what a draining entry has to wait for.
+//! Counts the work that a draining entry has to wait for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::sync::Notify;
 
-/// The work in progress.
+/// The work in progress: the listener, connections and requests.
 #[derive(Debug, Default)]
 pub(super) struct WorkTracker {
     count: AtomicUsize,
@@ -18,7 +18,7 @@
         WorkToken(Arc::clone(self))
     }
 
-    /// Waits until there is none.
+    /// Waits until no work is in progress.
     pub(super) async fn wait_until_idle(&self) {
         loop {
             let ended = self.ended.notified();
@@ -30,7 +30,7 @@
     }
 }
 
-/// Work in progress until dropped.
+/// Counts as work in progress until dropped.
 #[derive(Debug)]
 pub(crate) struct WorkToken(Arc<WorkTracker>);
 
--- a/crates/cleat-entry/src/headers.rs
+++ b/crates/cleat-entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that have a meaning here.
+//! The header fields that the entry interprets or removes.
 
 use http::header::{
     CONNECTION, EXPECT, HeaderMap, HeaderName, HeaderValue, PROXY_AUTHENTICATE,
@@ -14,14 +14,14 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// What an answer says of the request.
+/// What a response says about the execution of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// This is the target's own whole answer.
+    /// The response is the complete response of a target.
     Answered,
-    /// It really did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -38,7 +38,7 @@
         HeaderValue::from_static(self.name())
     }
 
-    /// What the caller may do, for people.
+    /// Human-readable advice to the caller.
     pub(crate) fn advice(self) -> &'static str {
         match self {
             Outcome::Answered => "The answer is the target's own.",
@@ -51,7 +51,7 @@
     }
 }
 
-/// What concerns one connection only (RFC 9110, 7.6.1).
+/// Header fields that apply to a single connection (RFC 9110, 7.6.1).
 static HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -63,10 +63,12 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// A target must not see these as the caller's word, or they do not fit a
-/// request that was read whole.
+/// Header fields removed from requests. Targets must not mistake the outcome
+/// and replay fields of a caller for fields set by the entry, and `Expect` has
+/// no use for a request whose body was already read.
 static STRIPPED_FROM_REQUESTS: [HeaderName; 3] = [EXPECT, OUTCOME, REPLAYED];
-/// A caller must not see these as a target's word.
+/// Header fields removed from responses, so that callers don't mistake those of
+/// a target for fields set by the entry.
 static STRIPPED_FROM_RESPONSES: [HeaderName; 2] = [OUTCOME, REPLAYED];
 
 pub(crate) fn strip_request_headers(headers: &mut HeaderMap) {
@@ -81,8 +83,8 @@
     remove_headers(headers, &STRIPPED_FROM_RESPONSES);
 }
 
-/// Most messages have none of these, and comparing names costs less than
-/// hashing them.
+/// Checks for any match first: most messages contain none of these names, and
+/// comparing names is cheaper than hashing them.
 fn remove_headers(headers: &mut HeaderMap, names: &[HeaderName]) {
     if !headers.keys().any(|name| names.contains(name)) {
         return;
--- a/crates/cleat-entry/src/lib.rs
+++ b/crates/cleat-entry/src/lib.rs
@@ -1,8 +1,9 @@
 //! The request path between callers and targets.
 //!
-//! An [`Entry`] answers every request once: with a target's own whole answer,
-//! or with one of ours that says whether the request may have run. The
-//! decisions are in `cleat-decide`; here are the sockets around them.
+//! An [`Entry`] sends exactly one final response to every request: either the
+//! complete response of a target, or a problem response that states whether the
+//! request may have run. The decision logic is in `cleat-decide`; this crate
+//! implements the network I/O around it.
 
 mod attempts;
 mod config;
--- a/crates/cleat-entry/src/trace.rs
+++ b/crates/cleat-entry/src/trace.rs
@@ -1,17 +1,17 @@
-//! The trace of one request: a span for each hop, if the request is traced.
+//! The trace of one request, with a span for each step of its processing.
 
 use cleat_telemetry::{context_from, inject, request_span};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use tracing::{Span, info_span};
 
-/// The trace of one request. An untraced one holds no span.
+/// The trace of one request. If the request is not traced, it contains no span.
 #[derive(Clone)]
 pub(crate) struct Trace {
     root: Span,
 }
 
 impl Trace {
-    /// Begins the trace, or continues that of the caller.
+    /// Starts a trace, or continues the trace of the caller.
     pub(crate) fn begin(headers: &HeaderMap) -> Trace {
         let value = |name: &str| headers.get(name)?.to_str().ok();
         let parent = context_from(value);
@@ -19,50 +19,52 @@
         Trace { root }
     }
 
-    /// From the head of a request to the end of its body.
+    /// The span from the head of the request to the end of its body.
     pub(crate) fn receive_span(&self) -> Span {
         self.child_span(|| info_span!("received"))
     }
 
-    /// From a key's claim asked to its answer.
+    /// The span from the claim of the idempotency key to its result.
     pub(crate) fn claim_span(&self) -> Span {
         self.child_span(|| info_span!("claimed"))
     }
 
-    /// From admission asked to admission given.
+    /// The span from the request for a slot to its assignment.
     pub(crate) fn admission_span(&self) -> Span {
         self.child_span(|| info_span!("admitted"))
     }
 
-    /// From a slot to a connection.
+    /// The span from the acquired slot to an open connection.
     pub(crate) fn connect_span(&self, target: &str) -> Span {
         self.child_span(|| info_span!("chosen", target))
     }
 
-    /// From the first byte of a try to the head of its answer.
+    /// The span from the first byte of an attempt to the head of the response.
     pub(crate) fn send_span(&self) -> Span {
         self.child_span(|| info_span!("sent"))
     }
 
-    /// From the head of an answer to its end, or to its streaming.
+    /// The span from the head of the response to its end, or to the start of
+    /// streaming.
     pub(crate) fn response_span(&self, status: u16) -> Span {
         self.child_span(|| info_span!("answered", status))
     }
 
-    /// Notes what the request asks for.
+    /// Records the attributes of the request.
     pub(crate) fn record_request(&self, method: &str, service: &str, caller: &str) {
         self.root.record("method", method);
         self.root.record("service", service);
         self.root.record("caller", caller);
     }
 
-    /// Notes what the caller is told.
+    /// Records the response to the caller.
     pub(crate) fn record_response(&self, outcome: &str, status: u16) {
         self.root.record("outcome", outcome);
         self.root.record("status", status);
     }
 
-    /// Passes the trace on. An untraced request keeps what its caller sent.
+    /// Adds the trace context to the headers of a forwarded request. Without a
+    /// trace, the headers stay as the caller sent them.
     pub(crate) fn inject(&self, headers: &mut HeaderMap) {
         inject(&self.root, |name, value| {
             let name = HeaderName::try_from(name);
