--- a/crates/cleat-entry/src/route/mod.rs
+++ b/crates/cleat-entry/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! The services and targets in force on this entry.
+//! The services and targets that this entry currently routes to.
 
 mod routes;
 mod updater;
--- a/crates/cleat-entry/src/route/routes.rs
+++ b/crates/cleat-entry/src/route/routes.rs
@@ -1,4 +1,4 @@
-//! One version of the routes, replaced as a whole.
+//! One version of the routes. It is immutable and replaced as a whole.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 
 use crate::service::ServiceState;
 
-/// What requests look up.
+/// The routes of all services.
 #[derive(Default)]
 pub(crate) struct Routes {
     pub(crate) services: IndexMap<Box<str>, Route>,
     pub(crate) keys: KeyTerms,
 }
 
-/// One service.
+/// The route of one service.
 #[derive(Clone)]
 pub(crate) struct Route {
     pub(crate) config: Arc<Service>,
--- a/crates/cleat-entry/src/route/updater.rs
+++ b/crates/cleat-entry/src/route/updater.rs
@@ -1,4 +1,4 @@
-//! Brings the routes up to the replicated state.
+//! Derives the routes from the replicated state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,24 +15,26 @@
 use crate::service::{CLOSE_GRACE, ServiceState};
 use crate::target::{ServiceSlots, SlotMessage, Target, TargetSlots};
 
-/// What of the state the routes are made from: the version of the
-/// configuration and the announcements, each named by its log index.
+/// Identifies the state that the routes were derived from, by the version of
+/// the configuration and the log index of each announcement.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct SourceVersion {
     version: u64,
     incarnations: Vec<u64>,
 }
 
-/// Makes each version of the routes from the one before.
+/// Derives each version of the routes from the previous one.
 pub(crate) struct RouteUpdater {
     epoch: Instant,
     source: SourceVersion,
     services: IndexMap<Box<str>, Arc<ServiceState>>,
     /// Invariant: exactly the targets of the latest routes.
     targets: IndexMap<(Box<str>, SocketAddr), Arc<Target>>,
-    /// By name of the target; kept until its last request has finished.
+    /// By name of the target. Retained until the last request at the target has
+    /// finished.
     slots: IndexMap<Box<str>, Arc<TargetSlots>>,
-    /// By service. Kept for good: what was lent is known here only.
+    /// By service. Never removed, because only this state knows which slots
+    /// were lent.
     service_slots: IndexMap<Box<str>, Arc<ServiceSlots>>,
     outbox: mpsc::Sender<SlotMessage>,
 }
@@ -52,8 +54,9 @@
         }
     }
 
-    /// The routes of `world`, or `None` if they are those of the call before.
-    /// From its return on no request begins by what the world no longer has.
+    /// Returns the routes of `world`, or `None` if they did not change since
+    /// the previous call. After the call, no request starts by anything that
+    /// `world` no longer contains.
     pub(crate) fn update(
         &mut self,
         world: &World,
@@ -116,7 +119,7 @@
         state
     }
 
-    /// Withdraws what is gone and groups what is there by service.
+    /// Withdraws removed targets and groups the current ones by service.
     fn update_targets(
         &mut self,
         world: &World,
@@ -127,7 +130,8 @@
         let mut previous = std::mem::take(&mut self.targets);
         let mut by_service = TargetsByService::new();
         for (name, announced) in world.serving_targets() {
-            // Alone, an entry has lent nothing, and its end cut off its requests.
+            // An entry without peers has lent no slots, and the requests of its
+            // earlier incarnation ended with that process.
             let is_only_entry = cfg.entries.len() == 1;
             let fresh = is_only_entry
                 || incarnation_start_index
@@ -151,7 +155,7 @@
         by_service
     }
 
-    /// The slots of a target as it announced itself.
+    /// Updates the slots of a target according to its announcement.
     fn update_slots(
         &mut self,
         name: &str,
@@ -215,7 +219,7 @@
         target
     }
 
-    /// Requests that wait for a service that is gone are refused.
+    /// Refuses the waiting requests of removed services.
     fn close_removed(&mut self, routes: &Routes) {
         self.services.retain(|name, state| {
             let kept = routes.services.contains_key(name);
@@ -228,8 +232,9 @@
 }
 
 impl SourceVersion {
-    /// Whether `world` differs. Cheap: it is asked after every change of the
-    /// state, and most concern only idempotency keys.
+    /// Returns whether `world` differs from the recorded state. It must be
+    /// cheap, because it is called after every change of the replicated state,
+    /// and most changes only concern idempotency keys.
     fn update_from(&mut self, world: &World) -> bool {
         let incarnations = || {
             world
--- a/crates/cleat-entry/src/service/admission.rs
+++ b/crates/cleat-entry/src/service/admission.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its arrival to its first slot.
+//! Admission of new requests.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::queued::QueuedRequest;
 use super::{ServiceState, Slot};
 
-/// What an arrival leads to at once.
+/// The immediate result of a request for a slot.
 enum Admission {
     Started(Slot),
     Waiting(QueuedRequest),
@@ -17,10 +17,10 @@
 
 impl ServiceState {
     /// Waits for a slot on behalf of `caller`, until `deadline` at the latest.
-    /// `on_wait` is called if the request has to wait.
+    /// `on_wait` is called if no slot is available at once.
     ///
     /// # Errors
-    /// Why the request does not run and when to come back.
+    /// Why the request does not run and when the caller may retry.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         caller: &str,
@@ -56,7 +56,8 @@
         }
         match decision {
             AdmissionDecision::Refuse(refusal) => Err(refusal),
-            // The gate starts nothing while nothing is free.
+            // Not expected: the admission controller starts nothing unless a
+            // slot is free.
             AdmissionDecision::Start => Err(inner.refuse(RefusalReason::NoTarget, now)),
             AdmissionDecision::Wait | AdmissionDecision::Displace { .. } => {
                 let (tx, rx) = oneshot::channel();
--- a/crates/cleat-entry/src/service/inner.rs
+++ b/crates/cleat-entry/src/service/inner.rs
@@ -1,4 +1,4 @@
-//! The state of a service behind its lock.
+//! The state of a service that is protected by its lock.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,11 +24,11 @@
     admission: AdmissionController,
     budget: RetryBudget,
     targets: Vec<Arc<Target>>,
-    /// Invariant: exactly the tickets that wait in `gate`.
+    /// Invariant: exactly the tickets that wait in `admission`.
     waiting: HashMap<Ticket, oneshot::Sender<WaitResult>>,
     retries: RetryQueue,
-    /// The targets as the choice sees them, position by position; only good
-    /// right after [`Inner::look`].
+    /// The candidates for the choice of a target, at the same positions as
+    /// `targets`. Only valid right after [`Inner::refresh_candidates`].
     candidates: Vec<Candidate>,
     rng: SmallRng,
 }
@@ -64,20 +64,22 @@
         self.targets.clone()
     }
 
-    /// Whether any target could ever take a request of this entry.
+    /// Whether any target could ever admit a request of this entry.
     pub(super) fn has_capacity(&self) -> bool {
         self.targets
             .iter()
             .any(|target| target.slots.connection_share() > 0)
     }
 
-    /// Whether a target other than `target` could take a request.
+    /// Whether a target other than `target` could ever admit a request of this
+    /// entry.
     pub(super) fn has_alternative(&self, target: &Arc<Target>) -> bool {
         let other = |t: &Arc<Target>| !Arc::ptr_eq(t, target) && t.slots.connection_share() > 0;
         self.targets.iter().any(other)
     }
 
-    /// How many slots of other entries would help what waits.
+    /// The number of slots to borrow from other entries for the waiting
+    /// requests.
     pub(super) fn slots_needed(&self) -> u32 {
         let waiting = self.admission.waiting() + self.retries.len();
         let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
@@ -104,7 +106,7 @@
         self.admission.refuse(reason, now)
     }
 
-    /// Decides on a new request. One that starts has a slot.
+    /// Decides on a new request. If it starts, the result contains its slot.
     pub(super) fn admit(
         &mut self,
         arrival: Arrival<'_>,
@@ -116,7 +118,8 @@
         }
         self.refresh_candidates(now);
         let free = free_slots(&self.candidates);
-        // A slot that looks free may be lent this moment.
+        // A slot that looks free may have been lent in the meantime, so it is
+        // acquired before the decision.
         let starts = free > 0 && self.admission.waiting() == 0;
         let acquired = starts.then(|| self.acquire_slot(None)).flatten();
         let free = if acquired.is_some() { free } else { 0 };
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Answers everything that waits: no target is left.
+    /// Refuses all waiting requests, because no target is left.
     pub(super) fn refuse_waiting(&mut self, now: Duration) {
         let tickets: Vec<Ticket> = self.waiting.keys().copied().collect();
         for ticket in tickets {
@@ -166,7 +169,7 @@
         self.retries.clear();
     }
 
-    /// Brings the candidates up to date.
+    /// Updates the candidates for the choice of a target.
     pub(super) fn refresh_candidates(&mut self, now: Duration) {
         let candidates = self.targets.iter().map(|target| target.candidate(now));
         self.candidates.clear();
@@ -174,7 +177,8 @@
         eject_slow_targets(&mut self.candidates);
     }
 
-    /// Chooses a target and takes a slot of it. Call [`Inner::look`] before.
+    /// Chooses a target and acquires a slot of it.
+    /// [`Inner::refresh_candidates`] must be called first.
     pub(super) fn acquire_slot(&mut self, exclude: Option<&Arc<Target>>) -> Option<AcquiredSlot> {
         let is_excluded = |target: &Arc<Target>| exclude.is_some_and(|e| Arc::ptr_eq(e, target));
         let exclude = exclude.and_then(|_| self.targets.iter().position(is_excluded));
@@ -191,8 +195,8 @@
         }
     }
 
-    /// Starts what waits as long as slots are free; `sample` is the service
-    /// time of the request that gave back a slot.
+    /// Assigns free slots to waiting requests. `sample` is the service time of
+    /// the request that released a slot.
     pub(super) fn assign_slots(
         &mut self,
         service: &Arc<ServiceState>,
@@ -243,14 +247,15 @@
 
     fn refuse_ticket(&mut self, ticket: Ticket, refusal: Refusal) {
         if let Some(tx) = self.waiting.remove(&ticket) {
-            // A receiver that is gone needs no answer.
+            // If the receiver was dropped, nobody waits for the refusal.
             let _ = tx.send(WaitResult::Refused(refusal));
         }
     }
 }
 
-/// Hands over a slot. If nobody takes it, it goes back here: its own drop
-/// would take the lock that is held now.
+/// Passes a slot to a waiting request. If the receiver was dropped, the slot is
+/// released here, because dropping the slot would try to take the lock that the
+/// caller holds.
 fn hand_over(tx: Option<oneshot::Sender<WaitResult>>, slot: Slot) {
     let unsent = match tx {
         Some(tx) => tx.send(WaitResult::Start(slot)).err(),
--- a/crates/cleat-entry/src/service/mod.rs
+++ b/crates/cleat-entry/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A service on this entry: who starts, where, and who waits.
+//! A service on this entry: admission, choice of targets, queue and retries.
 
 mod admission;
 mod inner;
--- a/crates/cleat-entry/src/service/queued.rs
+++ b/crates/cleat-entry/src/service/queued.rs
@@ -8,13 +8,13 @@
 
 use super::{ServiceState, Slot};
 
-/// How a wait ends.
+/// The result of waiting for a slot.
 pub(super) enum WaitResult {
     Start(Slot),
     Refused(Refusal),
 }
 
-/// A place in the queue, given up when dropped.
+/// A position in the queue. Dropping it cancels the request.
 pub(super) struct QueuedRequest {
     service: Arc<ServiceState>,
     ticket: Ticket,
@@ -37,7 +37,7 @@
     /// Waits until the request starts or is refused.
     ///
     /// # Errors
-    /// The refusal; at the deadline there always is one.
+    /// The refusal. There always is one at the deadline.
     pub(super) async fn wait(mut self, deadline: Instant) -> Result<Slot, Refusal> {
         match timeout_at(deadline, &mut self.rx).await {
             Ok(Ok(WaitResult::Start(slot))) => Ok(slot),
--- a/crates/cleat-entry/src/service/retry.rs
+++ b/crates/cleat-entry/src/service/retry.rs
@@ -11,20 +11,22 @@
 use super::{ServiceState, Slot};
 use crate::target::Target;
 
-/// Less time than this is never enough for a try.
+/// The minimum duration to expect of an attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
-/// Retries in order. They go before what waits in the gate: they were admitted
-/// before. The retry budget bounds their number.
+/// The queue of waiting retries. Retries are served before the requests that
+/// wait for admission, because they were admitted earlier. The retry budget
+/// limits their number.
 #[derive(Default)]
 pub(super) struct RetryQueue {
     waiting: VecDeque<WaitingRetry>,
 }
 
 struct WaitingRetry {
-    /// The target tried before, unless the service has no other.
+    /// The target of the previous attempt, unless the service has no other
+    /// target.
     exclude: Option<Arc<Target>>,
-    /// A try begun later could not end in time.
+    /// An attempt that starts later could not finish before the deadline.
     latest_start: Duration,
     tx: oneshot::Sender<WaitResult>,
 }
@@ -38,7 +40,8 @@
         self.waiting.len()
     }
 
-    /// The target that the first retry must not go to, if there is a retry.
+    /// Returns the target to exclude for the first retry, or `None` if no retry
+    /// is waiting.
     pub(super) fn next_excluded_target(&mut self, now: Duration) -> Option<Option<Arc<Target>>> {
         self.expire(now);
         self.waiting.retain(|retry| !retry.tx.is_closed());
@@ -46,7 +49,7 @@
         Some(first.exclude.clone())
     }
 
-    /// Gives up what could no longer end in time.
+    /// Drops retries that can no longer finish before their deadline.
     pub(super) fn expire(&mut self, now: Duration) {
         self.waiting.retain(|retry| now < retry.latest_start);
     }
@@ -55,13 +58,13 @@
         self.waiting.pop_front().map(|retry| retry.tx)
     }
 
-    /// Gives up all.
+    /// Drops all retries.
     pub(super) fn clear(&mut self) {
         self.waiting.clear();
     }
 }
 
-/// What a retry leads to at once.
+/// The immediate result of a request for a retry.
 enum RetryStart {
     Started(Slot),
     Waiting(oneshot::Receiver<WaitResult>),
@@ -69,9 +72,10 @@
 }
 
 impl ServiceState {
-    /// A slot for another try, on another target than `before`, or on the same
-    /// if the service has no other. `None` as soon as no slot could lead to an
-    /// answer before `deadline`. `on_wait` is called if there is none at once.
+    /// Waits for a slot for another attempt, on another target than `previous`
+    /// or, if the service has no other target, on the same one. Returns `None`
+    /// as soon as no attempt could finish before `deadline`. `on_wait` is
+    /// called if no slot is available at once.
     pub(crate) async fn retry(
         self: &Arc<Self>,
         previous: &Arc<Target>,
@@ -85,7 +89,8 @@
                 on_wait();
                 match rx.await {
                     Ok(WaitResult::Start(slot)) => Some(slot),
-                    // Given up, the sender is dropped.
+                    // The sender was dropped, because the retry expired or the
+                    // service was closed.
                     _ => None,
                 }
             }
--- a/crates/cleat-entry/src/service/slot.rs
+++ b/crates/cleat-entry/src/service/slot.rs
@@ -1,4 +1,4 @@
-//! The right to run one try at one target.
+//! A slot of a target, held by one attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,23 +9,22 @@
 use crate::target::{SlotToken, Target};
 use crate::upstream::{Failure, Upstream};
 
-/// A slot of a target, with the connection that uses it.
+/// A slot of a target with the connection that uses it.
 ///
-/// Given back exactly once: by [`ServiceState::conclude`], else when dropped,
-/// and never before its connection is unused or closed.
+/// It is released exactly once, by [`ServiceState::finish_attempt`] or when it
+/// is dropped, and never before its connection is idle or closed.
 pub(crate) struct Slot {
     service: Arc<ServiceState>,
-    /// `None` once given back.
+    /// `None` once the slot was released.
     target: Option<Arc<Target>>,
     token: SlotToken,
     upstream: Option<Box<Upstream>>,
-    /// Whether the exchange ended so that the connection can serve another.
+    /// Whether the exchange is complete, so that the connection can be reused.
     reusable: bool,
     acquired_at: Duration,
 }
 
 impl Slot {
-    /// Wraps a slot that was taken of `target`.
     pub(super) fn new(service: Arc<ServiceState>, acquired: AcquiredSlot, now: Duration) -> Slot {
         Slot {
             service,
@@ -37,17 +36,16 @@
         }
     }
 
-    /// The target.
+    /// The target, until the slot is released.
     pub(crate) fn target(&self) -> Option<&Arc<Target>> {
         self.target.as_ref()
     }
 
-    /// The service.
     pub(crate) fn service(&self) -> &Arc<ServiceState> {
         &self.service
     }
 
-    /// A connection for one exchange: an unused one or a new one.
+    /// Takes an idle connection or opens a new one.
     ///
     /// # Errors
     /// [`Failure::NotSent`].
@@ -71,12 +69,12 @@
         Ok(())
     }
 
-    /// The connection, once there is one.
+    /// The connection, if there is one.
     pub(crate) fn upstream(&mut self) -> Option<&mut Upstream> {
         self.upstream.as_deref_mut()
     }
 
-    /// Says that the exchange ended by its framing.
+    /// Records that the response was complete and the connection can be reused.
     pub(crate) fn mark_reusable(&mut self) {
         self.reusable = true;
     }
@@ -85,8 +83,8 @@
         now.saturating_sub(self.acquired_at)
     }
 
-    /// Takes care of the connection and hands over the duty to give back the
-    /// slot.
+    /// Puts back or closes the connection. The caller becomes responsible for
+    /// releasing the slot.
     pub(super) fn detach(&mut self, now: Duration) -> PendingRelease {
         let target = self.target.take();
         let upstream = self.upstream.take();
@@ -115,27 +113,27 @@
     }
 }
 
-/// A target with a slot of it.
+/// A target and an acquired slot of it.
 pub(super) struct AcquiredSlot {
     pub(super) target: Arc<Target>,
     pub(super) token: SlotToken,
 }
 
-/// How connections to targets are opened and kept.
+/// Timeouts of connections to targets.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ConnectOptions {
-    /// The longest that opening may take.
+    /// The timeout for opening a connection.
     pub(crate) connect_timeout: Duration,
-    /// How long an unused connection stays usable.
+    /// How long an idle connection can be reused.
     pub(crate) idle_timeout: Duration,
 }
 
-/// A slot still to be given back, without its connection.
+/// A slot that must still be released, without its connection.
 #[must_use]
 pub(super) struct PendingRelease {
     slot: Option<(Arc<Target>, SlotToken)>,
-    /// Its connection was closed in mid-exchange: the target works on until it
-    /// notices.
+    /// The connection was closed during an exchange. The target may keep
+    /// working on the request until it detects this.
     awaits_close: bool,
 }
 
@@ -151,8 +149,8 @@
         }
     }
 
-    /// Whether the target needs time to notice that it is to stop. Asked once:
-    /// the time is over when it is asked again.
+    /// Whether the target needs time to detect the closed connection. Returns
+    /// `true` only once: the next call happens after the grace period.
     pub(super) fn take_awaits_close(&mut self) -> bool {
         std::mem::take(&mut self.awaits_close)
     }
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -1,4 +1,4 @@
-//! The shared handle of a service's state.
+//! The state of a service, shared by its requests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,18 +14,18 @@
 use super::slot::PendingRelease;
 use crate::target::{ServiceSlots, Target};
 
-/// How long a target may take to notice that a connection was closed or its
-/// deadline came. Until then its slot is in use.
+/// The time allowed for a target to detect that a connection was closed or that
+/// the deadline has passed. Its slot stays in use until then.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
-/// One service as this entry serves it, kept from one version of the routes
-/// to the next.
+/// The state of one service on this entry. It is retained across versions of
+/// the routes.
 pub(crate) struct ServiceState {
-    /// The zero of the decisions' clock.
+    /// The zero point of the clock used for decisions.
     epoch: Instant,
     tickets: AtomicU64,
     slots: Arc<ServiceSlots>,
-    /// Held for decisions only, never across I/O.
+    /// Locked for decisions only, never during I/O.
     inner: Mutex<Inner>,
 }
 
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The slots of the targets, shared with the other entries.
+    /// The slots of the targets, which are shared with the other entries.
     pub(super) fn slots(&self) -> &ServiceSlots {
         &self.slots
     }
 
-    /// Handles a message about slots of the entry `from`.
+    /// Handles a message from the entry `from` about slots.
     pub(crate) fn handle_slot_message(self: &Arc<Self>, from: &str, message: Message) {
         self.slots.handle_message(from, message);
         let now = self.now();
@@ -58,17 +58,18 @@
         self.slots.request_slots(inner.slots_needed());
     }
 
-    /// Gives back slots on loan that are not used. Says whether any is left.
+    /// Returns borrowed slots that are idle. The result says whether the entry
+    /// still has borrowed slots.
     pub(crate) fn return_idle_slots(&self) -> bool {
         self.slots.return_idle()
     }
 
-    /// The time on the decisions' clock.
+    /// The current time on the clock used for decisions.
     pub(crate) fn now(&self) -> Duration {
         self.epoch.elapsed()
     }
 
-    /// A moment on the decisions' clock.
+    /// Converts `instant` to the clock used for decisions.
     pub(super) fn to_clock(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.epoch)
     }
@@ -77,8 +78,8 @@
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes over new terms and targets. When this returns, nothing new goes
-    /// by the old ones.
+    /// Replaces the configuration and the targets. After the call, no request
+    /// starts by the previous ones.
     pub(crate) fn update(self: &Arc<Self>, config: &Service, targets: Vec<Arc<Target>>) {
         let now = self.now();
         let mut inner = self.lock();
@@ -90,7 +91,7 @@
         inner.assign_slots(self, None, now);
     }
 
-    /// Refuses what waits, now and from now on.
+    /// Refuses all waiting requests and all later ones.
     pub(crate) fn close(&self) {
         let now = self.now();
         let mut inner = self.lock();
@@ -98,7 +99,7 @@
         inner.refuse_waiting(now);
     }
 
-    /// Closes connections to targets that were unused for too long.
+    /// Closes connections to targets that were idle for too long.
     pub(crate) fn close_expired_connections(&self, max_age: Duration) {
         let now = self.now();
         let targets = self.lock().targets();
@@ -107,8 +108,9 @@
         }
     }
 
-    /// Refuses what can no longer finish in time and fills slots that became
-    /// usable, as when an ejection ended. Says whether anything still waits.
+    /// Refuses requests that can no longer finish in time and assigns slots
+    /// that became usable, for example when the ejection of a target ended. The
+    /// result says whether any request is still waiting.
     pub(crate) fn check_queue(self: &Arc<Self>) -> bool {
         let now = self.now();
         let mut inner = self.lock();
@@ -121,7 +123,8 @@
         inner.has_waiting()
     }
 
-    /// Accounts a try, gives back its slot, and says what follows.
+    /// Records the outcome of an attempt, releases its slot and decides whether
+    /// to retry.
     pub(crate) fn finish_attempt(
         self: &Arc<Self>,
         mut slot: Slot,
@@ -144,7 +147,7 @@
         decision
     }
 
-    /// A slot was given back without an outcome.
+    /// Releases a slot without recording an outcome.
     pub(super) fn release_without_outcome(self: &Arc<Self>, target: PendingRelease) {
         let Some(target) = self.defer_release(target) else {
             return;
@@ -155,8 +158,9 @@
         inner.assign_slots(self, None, now);
     }
 
-    /// Keeps a slot whose target may still work until it must have noticed
-    /// that it is to stop; gives any other slot back to the caller.
+    /// If the target may still be working on the request, releases the slot
+    /// after the grace period and returns `None`. Otherwise returns the slot to
+    /// be released by the caller.
     fn defer_release(self: &Arc<Self>, mut target: PendingRelease) -> Option<PendingRelease> {
         if !target.take_awaits_close() {
             return Some(target);
--- a/crates/cleat-entry/src/target/idle_connections.rs
+++ b/crates/cleat-entry/src/target/idle_connections.rs
@@ -1,11 +1,11 @@
-//! The unused connections to one target.
+//! The idle connections to one target.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use crate::upstream::Upstream;
 
-/// Open connections that no exchange uses.
+/// Open connections without an exchange.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     state: Mutex<State>,
@@ -13,7 +13,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Invariant: empty once `closed`. The longest unused first.
+    /// In the order in which they became idle. Invariant: empty once `closed`.
     connections: Vec<IdleConnection>,
     closed: bool,
 }
@@ -24,7 +24,7 @@
 }
 
 impl IdleConnections {
-    /// The connection used last, if it still can be used.
+    /// Takes the most recently used connection that is still usable.
     pub(super) fn take(&self, now: Duration, max_age: Duration) -> Option<Box<Upstream>> {
         loop {
             let mut connections = self.lock().connections.pop()?;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Keeps a connection, or closes it if `most` are kept already.
+    /// Adds a connection, or closes it if there are already `max` connections.
     pub(super) fn put(&self, upstream: Box<Upstream>, now: Duration, max: u32) {
         let mut state = self.lock();
         let has_capacity = state.connections.len() < max as usize;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Closes what was unused for too long or ended.
+    /// Closes connections that were idle for too long or were closed by the
+    /// target, and the oldest ones beyond `max`.
     pub(super) fn remove_expired(&self, now: Duration, max_age: Duration, max: u32) {
         let mut state = self.lock();
         let is_fresh =
@@ -60,7 +61,8 @@
         state.connections.drain(..excess);
     }
 
-    /// Closes all connections, now and from now on, or opens for new ones.
+    /// With `true`, closes all connections and those added later. With `false`,
+    /// allows connections to be added again.
     pub(super) fn set_closed(&self, closed: bool) {
         let mut state = self.lock();
         state.closed = closed;
--- a/crates/cleat-entry/src/target/mod.rs
+++ b/crates/cleat-entry/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! A target as this entry uses it.
+//! Targets and their slots.
 
 mod idle_connections;
 mod service_slots;
--- a/crates/cleat-entry/src/target/service_slots.rs
+++ b/crates/cleat-entry/src/target/service_slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one service's targets, shared with the other entries by demand.
+//! The slots of a service's targets, lent between entries by demand.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,19 +11,19 @@
 use super::{SlotToken, TargetSlots};
 use crate::config::EntryConfig;
 
-/// For how long a borrower may begin requests on a slot.
+/// How long requests can be started on a borrowed slot.
 const SLOT_LEASE: Duration = Duration::from_secs(2);
-/// For how long a borrower keeps a slot that it does not use.
+/// How long a borrowed slot may be idle before it is returned.
 const IDLE_SLOT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A message about slots to another entry. It may be lost.
+/// A message to another entry about slots. Messages may be lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotMessage {
-    /// The other entry's name.
+    /// The name of the receiving entry.
     pub to: Box<str>,
-    /// The service whose targets it is about.
+    /// The service that the slots belong to.
     pub service: Box<str>,
-    /// What is said.
+    /// The message to the slot logic of that entry.
     pub message: Message,
 }
 
@@ -31,20 +31,21 @@
 #[derive(Debug)]
 pub(crate) struct ServiceSlots {
     service: Box<str>,
-    /// The names of all entries, by position.
+    /// The names of all entries. Positions in this list identify entries in the
+    /// decision logic.
     entries: Box<[Box<str>]>,
-    /// The zero of the decisions' clock.
+    /// The zero point of the clock used for decisions.
     epoch: Instant,
     outbox: mpsc::Sender<SlotMessage>,
-    /// Held for decisions only. Taken under the service's lock, never around
-    /// it.
+    /// Locked for decisions only. The lock of the service may be held while
+    /// this one is taken, but not the other way round.
     state: Mutex<SlotState>,
 }
 
 #[derive(Debug)]
 struct SlotState {
     slots: cleat_decide::Slots,
-    /// By key of the target.
+    /// The number of usable slots, by key of the target.
     usable: Vec<Arc<AtomicU32>>,
 }
 
@@ -63,8 +64,9 @@
         };
         let own_index = cfg.entries.iter().position(|name| *name == cfg.name);
         let own_index = EntryIndex(index(own_index.unwrap_or(usize::MAX)));
-        // What ran before this life began is over later than that by the time
-        // that the decisions count from the epoch.
+        // Requests of earlier incarnations started before this one, and thus
+        // before the epoch. The decision logic counts from the epoch how long
+        // they may still run.
         let slots = cleat_decide::Slots::new(
             own_index,
             cfg.incarnation,
@@ -91,7 +93,8 @@
             .set_max_request_duration(max_request_duration);
     }
 
-    /// A handle on the slots of a target that was not known or left.
+    /// Adds a target that is new to this service or had been removed. See
+    /// [`cleat_decide::Slots::set_target`] for `fresh`.
     pub(crate) fn add_target(self: &Arc<Self>, name: &str, cap: u32, fresh: bool) -> TargetSlots {
         let mut state = self.lock();
         let key = state.slots.set_target(name, cap, fresh);
@@ -104,7 +107,8 @@
         TargetSlots::new(Arc::clone(self), key, usable)
     }
 
-    /// The target has this cap, the lesser of its slots and connections.
+    /// Changes the cap of a target, which is the smaller of its slots and
+    /// connections.
     pub(crate) fn set_cap(&self, name: &str, cap: u32, fresh: bool) {
         let mut state = self.lock();
         state.slots.set_target(name, cap, fresh);
@@ -118,7 +122,7 @@
         state.refresh_usable(self.now());
     }
 
-    /// The target takes no new work.
+    /// Stops new requests to the target.
     pub(crate) fn remove_target(&self, name: &str) {
         let mut state = self.lock();
         state.slots.remove_target(name);
@@ -141,7 +145,7 @@
         self.lock().slots.release(token.slot, now);
     }
 
-    /// Asks the others for slots for `count` waiting requests.
+    /// Asks other entries for slots for `count` waiting requests.
     pub(crate) fn request_slots(&self, count: u32) {
         if count == 0 {
             return;
@@ -151,7 +155,7 @@
         self.send(out);
     }
 
-    /// Handles a message of the entry `from`.
+    /// Handles a message from the entry `from`.
     pub(crate) fn handle_message(&self, from: &str, message: Message) {
         let Some(from) = self.entries.iter().position(|name| **name == *from) else {
             return;
@@ -166,7 +170,8 @@
         self.send(out);
     }
 
-    /// Gives back what is not used. Says whether anything is still on loan.
+    /// Returns borrowed slots that are idle. The result says whether the entry
+    /// still has borrowed slots.
     pub(crate) fn return_idle(&self) -> bool {
         let now = self.now();
         let mut state = self.lock();
@@ -184,7 +189,8 @@
                 continue;
             };
             let service = self.service.clone();
-            // With a full queue the message is lost, which only costs time.
+            // If the queue is full, the message is lost, which only delays the
+            // transfer of slots.
             let _ = self.outbox.try_send(SlotMessage {
                 to,
                 service,
--- a/crates/cleat-entry/src/target/slots.rs
+++ b/crates/cleat-entry/src/target/slots.rs
@@ -8,32 +8,34 @@
 
 use super::ServiceSlots;
 
-/// Counts the requests in progress at the target of one name.
+/// Counts the requests in progress at a target, identified by its name.
 ///
-/// Outlives announcements: requests begun before a target announced itself
-/// anew still hold its slots. Slots move between entries by demand;
-/// connections do not, so that a frozen entry's open ones still count.
+/// It is retained across announcements, because requests that started before
+/// the target announced itself again still occupy its slots. Slots are lent
+/// between entries by demand, but connections are not, so that the open
+/// connections of a frozen entry remain accounted for.
 #[derive(Debug)]
 pub(crate) struct TargetSlots {
     service: Arc<ServiceSlots>,
     key: TargetKey,
-    /// Invariant: never raised to more than `connections`. It may stay above a
-    /// share that was lowered until requests finish.
+    /// Invariant: never increased beyond `connection_share`. If the share is
+    /// reduced, it may stay above the new value until requests finish.
     in_flight: AtomicU32,
-    /// This entry's part of the target's connections.
+    /// This entry's share of the target's connections.
     connection_share: AtomicU32,
-    /// How many requests of this entry the target could have in progress as
-    /// things stood lately. A hint for the choice: only a slot that was taken
-    /// counts.
+    /// A recent value of how many requests of this entry may be in progress at
+    /// the target. It is only a hint for the choice of a target; the limit is
+    /// enforced when a slot is acquired.
     usable: Arc<AtomicU32>,
 }
 
-/// A slot that was taken.
+/// An acquired slot.
 #[derive(Debug, Clone, Copy)]
 #[must_use = "a slot that is not given back is lost"]
 pub(crate) struct SlotToken {
     pub(super) slot: cleat_decide::Slot,
-    /// The request may not be begun at the target from then on.
+    /// The time before which the request must be started at the target; `None`
+    /// if there is no limit.
     pub(crate) start_deadline: Option<Instant>,
 }
 
@@ -65,19 +67,22 @@
             .store(connection_share, Ordering::Release);
     }
 
-    /// The most requests that this entry could ever have in progress here.
+    /// The maximum number of requests that this entry could ever have in
+    /// progress at the target.
     pub(crate) fn connection_share(&self) -> u32 {
         self.connection_share.load(Ordering::Acquire)
     }
 
-    /// How many requests of this entry may be in progress here now.
+    /// The number of requests that this entry may currently have in progress at
+    /// the target.
     pub(crate) fn max_in_flight(&self) -> u32 {
         self.usable
             .load(Ordering::Acquire)
             .min(self.connection_share())
     }
 
-    /// How many slots more this entry could use if others lent them.
+    /// The number of additional slots that this entry could use if other
+    /// entries lent them.
     pub(crate) fn borrowable(&self) -> u32 {
         let usable = self.usable.load(Ordering::Acquire);
         self.connection_share()
@@ -88,7 +93,7 @@
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Takes a slot if one is free.
+    /// Acquires a slot if one is free.
     pub(super) fn acquire(&self) -> Option<SlotToken> {
         let connection_share = self.connection_share();
         let more = |count: u32| (count < connection_share).then_some(count + 1);
@@ -103,7 +108,7 @@
         token
     }
 
-    /// Gives back a slot that [`Slots::acquire`] took.
+    /// Releases a slot acquired by [`TargetSlots::acquire`].
     pub(super) fn release(&self, token: SlotToken) {
         self.service.release(token);
         self.in_flight.fetch_sub(1, Ordering::AcqRel);
--- a/crates/cleat-entry/src/target/target.rs
+++ b/crates/cleat-entry/src/target/target.rs
@@ -1,4 +1,4 @@
-//! One target under one address.
+//! A target at one address.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,15 +11,15 @@
 use super::{SlotToken, TargetSlots};
 use crate::upstream::Upstream;
 
-/// What this entry knows of a target, kept from one version of the routes to
-/// the next.
+/// The state of a target on this entry. It is retained across versions of the
+/// routes.
 pub(crate) struct Target {
     pub(crate) name: Box<str>,
     pub(crate) address: SocketAddr,
-    /// Whether it stands in the entry's own data centre.
+    /// Whether the target is in the data centre of this entry.
     pub(crate) local: bool,
     pub(crate) slots: Arc<TargetSlots>,
-    /// Once set, nothing new is begun here.
+    /// Once set, no request is started at this target.
     withdrawn: AtomicBool,
     health: Mutex<Health>,
     idle: IdleConnections,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The target as the choice sees it.
+    /// The properties that the choice of a target is based on.
     pub(crate) fn candidate(&self, now: Duration) -> Candidate {
         let health = self.health();
         Candidate {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes a slot, unless the target is withdrawn or none is free.
+    /// Acquires a slot, unless the target was withdrawn or no slot is free.
     pub(crate) fn acquire(&self) -> Option<SlotToken> {
         if self.withdrawn.load(Ordering::Acquire) {
             return None;
@@ -65,18 +65,18 @@
         self.slots.acquire()
     }
 
-    /// Gives back a slot.
     pub(crate) fn release(&self, token: SlotToken) {
         self.slots.release(token);
     }
 
-    /// Accounts a try that took `latency`.
+    /// Records the outcome of an attempt that took `latency`.
     pub(crate) fn record(&self, outcome: AttemptOutcome, latency: Duration, now: Duration) {
         self.health().record(outcome, latency, now);
     }
 
-    /// An unused connection. Whoever holds a slot takes one before opening
-    /// another, so connections never outnumber this entry's part of them.
+    /// Takes an idle connection. The holder of a slot always does this before
+    /// it opens a connection, so the number of connections never exceeds this
+    /// entry's share.
     pub(crate) fn take_idle(&self, now: Duration, max_age: Duration) -> Option<Box<Upstream>> {
         self.idle.take(now, max_age)
     }
@@ -90,8 +90,8 @@
             .remove_expired(now, max_age, self.slots.connection_share());
     }
 
-    /// Begins nothing new here and closes unused connections; requests in
-    /// progress finish.
+    /// Stops new requests and closes idle connections. Requests in progress
+    /// finish.
     pub(crate) fn withdraw(&self) {
         self.withdrawn.store(true, Ordering::Release);
         self.idle.set_closed(true);
