--- a/crates/cleat-entry/src/attempts/attempt_loop.rs
+++ b/crates/cleat-entry/src/attempts/attempt_loop.rs
@@ -1,4 +1,4 @@
-//! The tries of one request, under one deadline.
+//! The attempts of one request, within one deadline.
 
 use std::sync::Arc;
 
@@ -17,41 +17,42 @@
 use crate::service::Slot;
 use crate::upstream::Failure;
 
-/// What the tries need besides their first slot.
+/// What the attempts of a request need besides their first slot.
 pub(super) struct AttemptLoop<'a> {
     pub(super) options: AttemptOptions<'a>,
     pub(super) idempotent: bool,
     pub(super) max_attempts: u32,
-    /// The caller's version: one of HTTP/1.0 can't tell a cut from the end of
-    /// a body of unknown length.
+    /// The HTTP version of the caller. With HTTP/1.0, a truncated response
+    /// can't be distinguished from the end of a body of unknown length.
     pub(super) version: Version,
     pub(super) counters: &'a Counters,
-    /// Told when a retry has to wait.
+    /// Notified when a retry has to wait.
     pub(super) waiter_added: &'a Notify,
 }
 
-/// Where the tries stand.
+/// The progress of the attempts.
 #[derive(Default)]
 struct Progress {
     attempts: u32,
-    /// Whether a try before the present one may have run.
+    /// Whether an attempt before the current one may have run.
     may_have_run: bool,
-    /// The answer of a try that was tried again, if all else fails.
+    /// The response of an attempt that was retried, used if all later attempts
+    /// fail.
     fallback: Option<TargetResponse>,
 }
 
-/// What follows from one try.
+/// The consequence of one attempt.
 enum Step {
     Done(Result<TargetResponse, Problem>),
-    /// Wait for a slot of another target than this slot's.
+    /// Retry on another target than this one.
     Retry(Arc<crate::target::Target>),
 }
 
 impl AttemptLoop<'_> {
-    /// Tries until there is a final answer.
+    /// Makes attempts until there is a final response.
     ///
     /// # Errors
-    /// The final answer to the caller, if it is not a target's.
+    /// The final response to the caller, if it is not a response of a target.
     pub(super) async fn run(&self, mut slot: Slot) -> Result<TargetResponse, Problem> {
         let service = Arc::clone(slot.service());
         let mut progress = Progress::default();
@@ -159,7 +160,7 @@
                 .deadline
                 .saturating_duration_since(Instant::now()),
             earlier_may_have_run: progress.may_have_run,
-            // The service knows it and fills it in.
+            // Set by `ServiceState::finish_attempt`.
             expected_duration: std::time::Duration::ZERO,
         }
     }
@@ -170,7 +171,7 @@
 }
 
 impl Progress {
-    /// The final answer when no further try can be made.
+    /// The final response if no further attempt is possible.
     fn give_up(&mut self) -> Result<TargetResponse, Problem> {
         if self.may_have_run {
             self.fallback_or(ProblemKind::EarlierAttempt)
@@ -179,7 +180,7 @@
         }
     }
 
-    /// A target's own answer is better than none.
+    /// Any response of a target is preferred to a problem response.
     fn fallback_or(&mut self, kind: ProblemKind) -> Result<TargetResponse, Problem> {
         self.fallback.take().ok_or(Problem::new(kind))
     }
--- a/crates/cleat-entry/src/attempts/claim.rs
+++ b/crates/cleat-entry/src/attempts/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming an idempotency key before the first send.
+//! Claims an idempotency key before the first attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,42 +11,43 @@
 use crate::control::{ClaimError, Control};
 use crate::problem::{Problem, ProblemKind};
 
-/// Between looks at a key that another request holds.
+/// The initial delay between attempts to claim a key that is used by another
+/// request.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What became of a claim.
+/// The result of a claim.
 pub(super) enum Claim<C: Control> {
     /// The request may be sent.
     Granted(ClaimGuard<C>),
-    /// It ran before; this was the answer.
+    /// The request already ran, with this response.
     Ran(StoredAnswer),
-    /// Nothing of this request was sent, but whether an earlier send of it ran
-    /// is not known.
+    /// This request was not sent, but it is unknown whether an earlier one with
+    /// the same key ran.
     Undecided(ProblemKind),
 }
 
-/// What claiming needs.
+/// What is needed to claim a key.
 pub(super) struct ClaimRequest<C: Control> {
     pub(super) control: Arc<C>,
     pub(super) keys: Arc<HeldKeys>,
     pub(super) claim: ClaimKey,
-    /// How long keys are remembered.
+    /// How long keys are retained.
     pub(super) retention: Duration,
     pub(super) deadline: Instant,
 }
 
-/// One look at a key.
+/// The result of a single attempt to claim a key.
 enum ClaimAttempt<C: Control> {
     Done(Claim<C>),
     InProgress,
 }
 
 impl<C: Control> ClaimRequest<C> {
-    /// Claims until the deadline.
+    /// Tries to claim the key until the deadline.
     ///
     /// # Errors
-    /// The final answer to the caller.
+    /// The final response to the caller.
     pub(super) async fn run(self) -> Result<Claim<C>, Problem> {
         let mut poll_interval = INITIAL_POLL_INTERVAL;
         loop {
@@ -54,7 +55,8 @@
                 return Ok(claim);
             }
             if Instant::now() + poll_interval >= self.deadline {
-                // Nothing is gained by the time that is left.
+                // The next attempt would be after the deadline, so waiting
+                // longer can't help.
                 return Err(Problem::new(ProblemKind::KeyInProgress));
             }
             sleep(poll_interval).await;
@@ -68,7 +70,8 @@
             Err(AcquireError::InUse) => return Ok(ClaimAttempt::InProgress),
             Err(AcquireError::Full) => return Ok(undecided(ProblemKind::KeysFull)),
         };
-        // Settled as not run if it is dropped before the answer is known.
+        // Dropping the guard before the result is known settles the claim as
+        // not run.
         let control = Arc::clone(&self.control);
         let mut guard = ClaimGuard::new(control, &self.claim, self.retention, held_key);
         let answer = timeout_at(self.deadline, self.control.claim(self.claim.clone())).await;
@@ -96,7 +99,7 @@
     ClaimAttempt::Done(Claim::Undecided(kind))
 }
 
-/// What an earlier claim of the key means for this request.
+/// Maps the state of a key that is not free to the result for this request.
 fn existing<C: Control>(answer: KeyAnswer) -> Result<ClaimAttempt<C>, Problem> {
     let kind = match answer {
         KeyAnswer::Ran(stored) => return Ok(ClaimAttempt::Done(Claim::Ran(stored))),
@@ -105,7 +108,7 @@
         KeyAnswer::Full => ProblemKind::KeysFull,
         KeyAnswer::RanAnswerNotKept => ProblemKind::KeyAnswerNotKept,
         KeyAnswer::Unknown => ProblemKind::KeyOutcomeUnknown,
-        // These answer no claim; nothing was sent.
+        // Not expected in reply to a claim. Nothing was sent.
         KeyAnswer::Granted | KeyAnswer::Settled | KeyAnswer::NotHolder => {
             ProblemKind::KeyNotClaimed
         }
--- a/crates/cleat-entry/src/attempts/claim_guard.rs
+++ b/crates/cleat-entry/src/attempts/claim_guard.rs
@@ -1,4 +1,4 @@
-//! Saying what came of a claimed key.
+//! Settles a claimed idempotency key.
 
 use std::future::{Future, poll_fn};
 use std::sync::Arc;
@@ -14,22 +14,23 @@
 
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// A caller that gets no claim does not wait longer to have it taken back.
+/// The maximum additional time for which a caller without a claim waits for its
+/// withdrawal.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A claim that may stand, settled exactly once.
+/// A claim that may have been committed. It is settled exactly once.
 pub(super) struct ClaimGuard<C: Control> {
     control: Arc<C>,
     settle: SettleKey,
-    /// How long the key is remembered, so how long a settlement can matter.
+    /// How long the key is retained, and thus how long a settlement is useful.
     retention: Duration,
-    /// Taken by the settlement, which keeps the key in hand until it stands.
+    /// Moved to the settlement, which holds the key until it is committed.
     held_key: Option<HeldKey>,
 }
 
 impl<C: Control> ClaimGuard<C> {
-    /// A claim about to be made. Until more is known it is to be settled as
-    /// not run.
+    /// Creates the guard of a claim that is about to be proposed. Unless its
+    /// state changes, it is settled as not run.
     pub(super) fn new(
         control: Arc<C>,
         claim: &ClaimKey,
@@ -51,19 +52,21 @@
         }
     }
 
-    /// Says that from now on a byte of the request may leave.
+    /// Records that bytes of the request may be sent from now on.
     pub(super) fn mark_sent(&mut self) {
         self.settle.settlement = Settlement::Unknown;
     }
 
-    /// Says that no claim of this request stands.
+    /// Records that no claim of this request exists, so that nothing is
+    /// settled.
     pub(super) fn dismiss(&mut self) {
         self.held_key = None;
     }
 
-    /// Settles a claim that may stand as not run, until `deadline`; whether it
-    /// stood. Then the key was free, so no request under it has run. If that
-    /// stays open, the drop settles on.
+    /// Settles a claim as not run, until `deadline`. Returns whether the claim
+    /// had been committed: if so, the key was free, and no request with it has
+    /// run. If the result stays unknown, dropping the guard continues the
+    /// settlement.
     pub(super) async fn withdraw(mut self, deadline: Instant) -> bool {
         let end = deadline.min(Instant::now() + WITHDRAW_TIMEOUT);
         let settled = timeout_at(end, self.control.settle(self.settle.clone())).await;
@@ -73,11 +76,13 @@
         matches!(settled, Ok(Ok(KeyAnswer::Settled)))
     }
 
-    /// Proposes the settlement before it returns; does not wait for its commit.
+    /// Proposes the settlement before it returns, but does not wait for its
+    /// commit.
     ///
-    /// Waiting would cost every keyed request another quorum write. Without
-    /// it, a crash right after the answer leaves the key pending until its
-    /// hold ends; a request sent again then gets "unknown", never a second run.
+    /// Waiting would cost every request with a key another quorum write.
+    /// Without it, a crash right after the response leaves the key pending
+    /// until its hold ends. A repeated request then gets an unknown outcome,
+    /// but never runs twice.
     pub(super) async fn settle(mut self, settlement: Settlement) {
         self.settle.settlement = settlement;
         let Some(proposal) = self.proposal() else {
@@ -107,14 +112,15 @@
         let Some(proposal) = self.proposal() else {
             return;
         };
-        // Without a runtime the process is ending.
+        // Without a runtime, the process is ending.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(proposal);
         }
     }
 }
 
-/// Proposes until the settlement stands or the key is forgotten.
+/// Proposes the settlement until it is committed or the key is no longer
+/// retained.
 async fn propose_until_settled<C: Control>(
     control: Arc<C>,
     settle: SettleKey,
@@ -130,5 +136,5 @@
         sleep(backoff).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
     }
-    log::warn!("a claimed key could not be settled while it was remembered");
+    log::warn!("failed to settle an idempotency key within its retention; its outcome is unknown");
 }
--- a/crates/cleat-entry/src/attempts/detached.rs
+++ b/crates/cleat-entry/src/attempts/detached.rs
@@ -1,4 +1,4 @@
-//! Work that goes on when its caller goes away.
+//! Futures that keep running when their caller disconnects.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,12 +8,13 @@
 
 use tokio::runtime::Handle;
 
-/// Whether work has begun that has to run to its end.
+/// Whether the future must run to completion.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Commitment(Arc<AtomicBool>);
 
 impl Commitment {
-    /// From now on the work goes on without its caller.
+    /// From now on, the future runs to completion even if its caller
+    /// disconnects.
     pub(crate) fn commit(&self) {
         self.0.store(true, Ordering::Release);
     }
@@ -23,8 +24,8 @@
     }
 }
 
-/// Work that, once committed, is carried on by a task of its own when it is
-/// dropped before its end.
+/// A future that is moved to its own task if it is dropped before completion,
+/// provided that it was committed.
 pub(crate) struct Detached<T: Send + 'static> {
     work: Option<Work<T>>,
     commitment: Commitment,
@@ -62,7 +63,7 @@
         if !self.commitment.is_committed() {
             return;
         }
-        // Without a runtime the process is ending.
+        // Without a runtime, the process is ending.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(work);
         }
--- a/crates/cleat-entry/src/attempts/exchange.rs
+++ b/crates/cleat-entry/src/attempts/exchange.rs
@@ -1,4 +1,4 @@
-//! One try at one target.
+//! One attempt at one target.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,21 +14,21 @@
 use crate::trace::Trace;
 use crate::upstream::{Failure, Upstream};
 
-/// What every try of a request shares.
+/// What all attempts of a request have in common.
 pub(super) struct AttemptOptions<'a> {
     pub(super) outgoing: &'a OutgoingRequest,
     pub(super) connect: ConnectOptions,
-    /// The largest answer held back until it is whole, in bytes.
+    /// The maximum size of a buffered response, in bytes.
     pub(super) response_limit: u64,
     pub(super) memory: &'a Arc<MemoryBudget>,
     pub(super) deadline: Instant,
     pub(super) trace: &'a Trace,
 }
 
-/// Runs one try until it ends or its deadline comes.
+/// Runs one attempt until it ends or the deadline passes.
 ///
 /// # Errors
-/// What provably happened instead of a whole answer.
+/// The proven cause, if there is no complete response.
 pub(super) async fn exchange(
     slot: &mut Slot,
     options: &AttemptOptions<'_>,
@@ -74,7 +74,7 @@
     received.instrument(response_span).await
 }
 
-/// `work`, or `None` if `timer` ends first.
+/// Runs `work`; returns `None` if `timer` ends first.
 async fn with_timer<F: Future>(mut timer: Pin<&mut Sleep>, work: F) -> Option<F::Output> {
     let mut work = std::pin::pin!(work);
     std::future::poll_fn(|cx| {
--- a/crates/cleat-entry/src/attempts/held_keys.rs
+++ b/crates/cleat-entry/src/attempts/held_keys.rs
@@ -1,26 +1,26 @@
-//! The idempotency keys that requests of this entry hold now.
+//! The idempotency keys held by requests of this entry.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Keys in hand, from before the claim until its settlement stands.
+/// The keys held, each from before its claim until its settlement is committed.
 ///
-/// The replicated table tells claims of one key apart by entry and life only.
-/// So this entry may have one request with a key at a time: the settlement of
-/// a second would else end the claim of the first.
+/// The replicated table distinguishes claims of the same key only by entry and
+/// incarnation. Therefore only one request of this entry may hold a key at a
+/// time: the settlement of a second one would end the claim of the first.
 #[derive(Debug)]
 pub(crate) struct HeldKeys {
-    /// Invariant: at most `most`.
+    /// Invariant: at most `max` keys.
     keys: Mutex<HashSet<Box<str>>>,
     max: usize,
 }
 
-/// Why a key can't be taken in hand.
+/// Why a key could not be acquired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AcquireError {
     /// Another request of this entry holds it.
     InUse,
-    /// Too many keys are in hand.
+    /// Too many keys are held.
     Full,
 }
 
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Whether no settlement is still to come.
+    /// Whether no settlement is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// One key, let go when dropped.
+/// A held key, released when dropped.
 #[derive(Debug)]
 pub(super) struct HeldKey {
     held_keys: Arc<HeldKeys>,
--- a/crates/cleat-entry/src/attempts/keyed.rs
+++ b/crates/cleat-entry/src/attempts/keyed.rs
@@ -1,4 +1,4 @@
-//! A request that an idempotency key keeps from running twice.
+//! Requests with an idempotency key, which run at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::problem::{Problem, ProblemKind};
 use crate::request::digest;
 
-/// A claim is held this much longer than its request may take.
+/// How much longer than the remaining time of its request a claim is held.
 const HOLD_MARGIN: Duration = Duration::from_secs(2);
 
 impl<C: Control> PendingRequest<C> {
-    /// Claims, runs and settles.
+    /// Claims the key, runs the request and settles the claim.
     pub(super) async fn run_keyed(&self, key: &str) -> Result<TargetResponse, Problem> {
         if !self.in_service {
             return self.reject(key, ProblemKind::NotInService).await;
@@ -37,7 +37,8 @@
                 return Ok(TargetResponse::Replayed(stored));
             }
         };
-        // A refusal drops the claim, which settles it as not run.
+        // On a refusal, the guard is dropped, which settles the claim as not
+        // run.
         let slot = self.admit().await?;
         guard.mark_sent();
         let result = self.send(slot).await;
@@ -45,7 +46,7 @@
         result
     }
 
-    /// The final answer to a request whose claim was not decided.
+    /// The final response to a request whose claim is undecided.
     async fn reject(&self, key: &str, kind: ProblemKind) -> Result<TargetResponse, Problem> {
         let rejected = RejectedRequest {
             key: &self.scoped(key),
--- a/crates/cleat-entry/src/attempts/mod.rs
+++ b/crates/cleat-entry/src/attempts/mod.rs
@@ -1,4 +1,4 @@
-//! From a checked request to its answer.
+//! Runs a validated request, with retries and idempotency keys.
 
 mod attempt_loop;
 mod claim;
--- a/crates/cleat-entry/src/attempts/pending_request.rs
+++ b/crates/cleat-entry/src/attempts/pending_request.rs
@@ -1,4 +1,4 @@
-//! One request from admission to its answer.
+//! One request, from admission to its response.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::service::Slot;
 use crate::trace::Trace;
 
-/// A request that was read whole.
+/// A request that was read completely.
 pub(crate) struct PendingRequest<C: Control> {
     pub(super) shared: Arc<SharedState<C>>,
     pub(super) service: Box<str>,
@@ -30,11 +30,12 @@
     pub(super) idempotent: bool,
     pub(super) commitment: Commitment,
     version: Version,
-    /// Whether the instance was in service when the request came. Only a
-    /// request with a key gets here without: it may have run elsewhere.
+    /// Whether the instance was in service when the request arrived. Requests
+    /// without a key were rejected otherwise; one with a key may have run on
+    /// another instance, so its key is looked up first.
     pub(super) in_service: bool,
     pub(super) trace: Trace,
-    /// A draining entry waits for it, also when the caller is gone.
+    /// A draining entry waits for the request, even if its caller disconnects.
     _work: WorkToken,
 }
 
@@ -65,25 +66,26 @@
         }
     }
 
-    /// As [`Job::run`], but what has to run to its end does so without its
-    /// caller. Not `async`, so that the future is only ever in its box.
+    /// Like [`PendingRequest::run`], but work that must run to completion does
+    /// so even if the caller disconnects. Not `async`, so that the future only
+    /// exists in its box.
     pub(crate) fn detached(self) -> Detached<Result<TargetResponse, Problem>> {
         let commitment = self.commitment.clone();
         Detached::new(Box::pin(self.run()), commitment)
     }
 
-    /// Whether a second run does no harm.
+    /// Whether the request may run twice without harm.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.idempotent
     }
 
-    /// Runs the request once.
+    /// Runs the request.
     ///
     /// # Errors
-    /// The final answer to the caller, if it is not a target's.
+    /// The final response to the caller, if it is not a response of a target.
     pub(crate) async fn run(self) -> Result<TargetResponse, Problem> {
         match &self.key {
-            // Boxed, because it is large and seldom needed.
+            // Boxed, because the future is large and rarely needed.
             Some(key) if !self.idempotent => Box::pin(self.run_keyed(key)).await,
             _ => {
                 let slot = self.admit().await?;
@@ -97,14 +99,14 @@
         let waited = || self.shared.record_wait();
         let admission = self.route.state.admit(&self.caller, self.deadline, waited);
         let slot = admission.instrument(self.trace.admission_span()).await?;
-        // The lease may have lapsed meanwhile.
+        // The lease may have expired in the meantime.
         if !self.shared.control.in_service() {
             return Err(Problem::new(ProblemKind::NotInService));
         }
         Ok(slot)
     }
 
-    /// Tries, beginning with `slot`.
+    /// Makes attempts, the first one with `slot`.
     pub(super) async fn send(&self, slot: Slot) -> Result<TargetResponse, Problem> {
         if !self.idempotent {
             self.commitment.commit();
--- a/crates/cleat-entry/src/attempts/rejected.rs
+++ b/crates/cleat-entry/src/attempts/rejected.rs
@@ -1,4 +1,4 @@
-//! Refusing a request with a key before its claim was decided.
+//! Rejects a request with an idempotency key whose claim is undecided.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use crate::entry::SharedState;
 use crate::problem::{Problem, ProblemKind};
 
-/// A refused caller does not wait longer to learn what became of its key.
+/// The maximum time for which a rejected caller waits for the state of its key.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is known of a request with a key that is about to be refused.
+/// A request with an idempotency key that is about to be rejected.
 pub(crate) struct RejectedRequest<'a> {
-    /// The key as the table has it.
+    /// The key as stored in the replicated table.
     pub(crate) key: &'a str,
-    /// `None` if the request was not read whole.
+    /// `None` if the request was not read completely.
     pub(crate) digest: Option<u64>,
     pub(crate) deadline: Instant,
 }
 
 impl RejectedRequest<'_> {
-    /// The final answer: `problem` only if no earlier send of the request can
-    /// have run, which another instance may have taken.
+    /// The final response. It is `problem` only if no earlier request with the
+    /// key can have run, including on other instances.
     ///
     /// # Errors
-    /// Every final answer but the one that was kept with the key.
+    /// The final response, unless it is the response stored with the key.
     pub(crate) async fn respond<C: Control>(
         &self,
         shared: &SharedState<C>,
@@ -36,7 +36,8 @@
         let kind = match self.look_up(shared).await {
             Ok(None) => return Err(problem),
             Ok(Some(KeyAnswer::InProgress { .. })) => ProblemKind::KeyInProgress,
-            // Which request ran can't be told without this one's body.
+            // Without the body of this request, it can't be compared with the
+            // one that ran.
             Ok(Some(_)) if self.digest.is_none() => ProblemKind::KeyOutcomeUnknown,
             Ok(Some(KeyAnswer::Ran(stored))) => {
                 shared.counters.replayed.incr();
--- a/crates/cleat-entry/src/attempts/target_response.rs
+++ b/crates/cleat-entry/src/attempts/target_response.rs
@@ -1,4 +1,4 @@
-//! A target's answer, ready to be passed on.
+//! Responses of targets, ready to be forwarded.
 
 use cleat_world::StoredAnswer;
 use http::response::Parts;
@@ -9,13 +9,13 @@
 
 const TRUE: HeaderValue = HeaderValue::from_static("true");
 
-/// A target's own answer.
+/// The response of a target.
 pub(crate) enum TargetResponse {
-    /// It is here.
+    /// It was received completely.
     Complete(Parts, Chunks),
-    /// It still comes.
+    /// Part of it is yet to be received.
     Streamed(Parts, Box<StreamedBody>),
-    /// It was kept with an idempotency key.
+    /// It was stored with an idempotency key.
     Replayed(StoredAnswer),
 }
 
@@ -35,7 +35,8 @@
         response
     }
 
-    /// What to keep with a key, unless it is larger than `limit` bytes.
+    /// The response to store with an idempotency key, unless it is larger than
+    /// `limit` bytes.
     pub(super) fn stored(&self, limit: u64) -> Option<StoredAnswer> {
         let TargetResponse::Complete(parts, chunks) = self else {
             return None;
@@ -68,7 +69,7 @@
         ResponseBody::from_bytes(stored.body.into())
     };
     let mut response = Response::new(body);
-    // Kept from an answer, so each part is valid.
+    // All parts were taken from a response, so they are valid.
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or_default();
     let headers = response.headers_mut();
     for (name, value) in stored.headers {
