--- a/crates/cleat-entry/src/problem/kind.rs
+++ b/crates/cleat-entry/src/problem/kind.rs
@@ -1,87 +1,92 @@
-//! The kinds of our own answers.
+//! The kinds of problem responses.
 
 use cleat_decide::RefusalReason;
 use http::StatusCode;
 
 use crate::headers::Outcome;
 
-/// Why a caller gets an answer of ours instead of a target's.
+/// Why a caller gets a problem response instead of the response of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ProblemKind {
-    /// No service of this name is configured.
+    /// No service with this name is configured.
     UnknownService,
-    /// The request names no path that could name a service.
+    /// The request target is not a path that could name a service.
     UnsupportedTarget,
-    /// The head is not valid HTTP/1.1, for instance by conflicting lengths.
+    /// The head is not valid HTTP/1.1, for example because of conflicting
+    /// lengths.
     MalformedRequest,
     /// The request target is too long.
     UriTooLong,
-    /// `Celerycleat-Deadline-Ms` is no positive number of milliseconds.
+    /// `Celerycleat-Deadline-Ms` is not a positive number of milliseconds.
     BadDeadline,
-    /// `Celerycleat-Caller` is not printable ASCII of bounded length.
+    /// `Celerycleat-Caller` is too long or not printable ASCII.
     BadCaller,
     /// `Celerycleat-Idempotent` is neither `true` nor `false`.
     BadIdempotent,
     /// `Idempotency-Key` is empty, too long or not printable ASCII.
     BadIdempotencyKey,
-    /// The body broke off or its framing is malformed.
+    /// The body is truncated or its framing is malformed.
     BadBody,
     /// The header block is too large.
     HeadersTooLarge,
-    /// The body is larger than the service takes.
+    /// The body is larger than the service allows.
     BodyTooLarge,
-    /// The key was used with another request.
+    /// The idempotency key was used for a different request.
     KeyReused,
-    /// This instance is not in service; another may be.
+    /// This instance is not in service; another one may be.
     NotInService,
-    /// Request bodies take all the memory set aside for them.
+    /// The memory for request bodies is exhausted.
     MemoryFull,
-    /// No more keys can be remembered, or too many claims are under way.
+    /// The table of idempotency keys is full, or too many keys are held.
     KeysFull,
-    /// The key could not be claimed.
+    /// The idempotency key could not be claimed.
     KeyNotClaimed,
-    /// The caller is over its quota.
+    /// The caller exceeds its quota.
     OverQuota,
     /// The queue of the service is full.
     QueueFull,
-    /// The request gave its place in the queue to a caller under its share.
+    /// The request was removed from the queue in favour of a caller below its
+    /// fair share.
     Displaced,
-    /// The request could not finish in the time that is left.
+    /// The request could not finish before its deadline.
     CannotFinishInTime,
     /// The service has no target.
     NoTarget,
     /// No target could be reached.
     TargetsUnreachable,
-    /// The target's connection broke.
+    /// The connection to the target was lost.
     TargetConnectionLost,
-    /// The target's answer did not come in time.
+    /// The target did not respond in time.
     TargetTimedOut,
-    /// The target's answer is no HTTP/1.1.
+    /// The response of the target is not valid HTTP/1.1.
     ResponseMalformed,
-    /// Nothing but the connection's end marks the end of the answer.
+    /// The end of the response is only marked by the end of the connection.
     ResponseUnframed,
-    /// More came than the answer's framing states.
+    /// More bytes were received than the framing of the response states.
     ResponseSurplus,
-    /// The answer is too large to hold and the caller's HTTP/1.0 could not
-    /// tell a cut from its end.
+    /// The response is too large to buffer, and it can't be streamed because
+    /// the caller uses HTTP/1.0, which can't distinguish its end from a lost
+    /// connection.
     ResponseTooLarge,
-    /// An earlier try may have run and a later one was not sent.
+    /// An earlier attempt may have run, and a later one was not sent.
     EarlierAttempt,
-    /// A request with the same key is still in progress.
+    /// A request with the same idempotency key is in progress.
     KeyInProgress,
-    /// The request was refused before its key could be claimed, and whether
-    /// an earlier send of it ran could not be found out.
+    /// The request was rejected before its idempotency key could be claimed,
+    /// and it could not be determined whether an earlier request with the key
+    /// ran.
     KeyNotLookedUp,
-    /// A request with the same key may have run.
+    /// A request with the same idempotency key may have run.
     KeyOutcomeUnknown,
-    /// A request with the same key ran; its answer was too large to keep.
+    /// A request with the same idempotency key ran; its response was too large
+    /// to store.
     KeyAnswerNotKept,
 }
 
 use ProblemKind as K;
 
 impl ProblemKind {
-    /// The status code.
+    /// The HTTP status code.
     pub fn status(self) -> StatusCode {
         match self {
             K::UnknownService => StatusCode::NOT_FOUND,
@@ -118,7 +123,7 @@
         }
     }
 
-    /// What it says of the request.
+    /// What the response says about the execution of the request.
     pub(crate) fn outcome(self) -> Outcome {
         match self.status() {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Outcome::Unknown,
@@ -126,14 +131,14 @@
         }
     }
 
-    /// Whether sending again later, with the same key if there is one, may
-    /// bring another answer.
+    /// Whether a retry, with the same idempotency key if there is one, may have
+    /// a different result.
     pub(crate) fn has_retry_after(self) -> bool {
         let waits_for_key = matches!(self, K::KeyInProgress | K::KeyNotLookedUp);
         waits_for_key || self.outcome() == Outcome::NotRun
     }
 
-    /// The last part of the stable `type`.
+    /// The last component of the stable problem `type`.
     pub fn slug(self) -> &'static str {
         match self {
             K::UnknownService => "unknown-service",
@@ -172,7 +177,7 @@
         }
     }
 
-    /// One sentence for people.
+    /// The title, one sentence for people.
     pub fn title(self) -> &'static str {
         match self {
             K::UnknownService => "No service of this name is configured.",
--- a/crates/cleat-entry/src/problem/mod.rs
+++ b/crates/cleat-entry/src/problem/mod.rs
@@ -1,4 +1,4 @@
-//! Our own answers: problem details (RFC 9457) with an outcome.
+//! Problem responses: problem details (RFC 9457) with an outcome.
 
 mod kind;
 #[expect(clippy::module_inception)]
--- a/crates/cleat-entry/src/problem/problem.rs
+++ b/crates/cleat-entry/src/problem/problem.rs
@@ -1,4 +1,4 @@
-//! One answer of ours.
+//! One problem response.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 const TYPE_PREFIX: &str = "urn:celerycleat:problem:";
 
-/// An answer of ours to one request.
+/// The problem response to one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Problem {
     pub(crate) kind: ProblemKind,
-    /// When to come back, if that was decided.
+    /// When the caller may retry, if that was computed.
     retry_after: Option<Duration>,
-    /// Whether the caller's connection can't be used any more.
+    /// Whether the connection to the caller must be closed.
     closes: bool,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// An answer after which the rest of the caller's bytes can't be read as
-    /// requests.
+    /// A problem after which the remaining bytes of the caller can't be parsed
+    /// as requests.
     pub(crate) fn closing(kind: ProblemKind) -> Problem {
         Problem {
             closes: true,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The same answer for another cause.
+    /// Replaces the kind and drops its `Retry-After`.
     pub(crate) fn with_kind(self, kind: ProblemKind) -> Problem {
         Problem {
             kind,
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The answer. `later` is when to come back if that was not decided.
+    /// Converts the problem to a response. `default_retry_after` is used if no
+    /// time was computed.
     pub(crate) fn into_response(self, default_retry_after: Duration) -> Response<ResponseBody> {
         let outcome = self.kind.outcome();
         let mut response = Response::new(ResponseBody::from_bytes(self.body(outcome)));
@@ -88,8 +89,8 @@
         response
     }
 
-    /// The whole answer as bytes, for a connection whose request no handler
-    /// saw.
+    /// Serializes the complete response, for a connection whose request was not
+    /// passed to a handler.
     pub(crate) fn to_bytes(&self, default_retry_after: Duration) -> Bytes {
         let status = self.kind.status();
         let outcome = self.kind.outcome();
@@ -115,7 +116,8 @@
         bytes.into()
     }
 
-    /// `Retry-After` knows only whole seconds; never earlier than was decided.
+    /// `Retry-After` has a resolution of one second. Rounded up, so that it is
+    /// never earlier than computed.
     fn retry_seconds(&self, default_retry_after: Duration) -> u64 {
         let wait = self.retry_after.unwrap_or(default_retry_after);
         let up = u64::from(wait.subsec_nanos() > 0);
--- a/crates/cleat-entry/src/request/body.rs
+++ b/crates/cleat-entry/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body whole, so that it can be sent again.
+//! Reads the complete body of a request, so that it can be sent more than once.
 
 use std::sync::Arc;
 
@@ -14,8 +14,9 @@
 /// Reads at most `limit` bytes until `deadline`.
 ///
 /// # Errors
-/// The body is too large, broken or late, or there is no memory for it. The
-/// rest of it stays unread, so the connection has to close.
+/// The body is too large, malformed, truncated or late, or the memory budget is
+/// exhausted. The rest of the body is not read, so the connection must be
+/// closed.
 pub(crate) async fn read_body(
     body: Incoming,
     limit: u64,
@@ -57,11 +58,11 @@
         }
     }
     let bytes = join(first, &all);
-    // Each reservation lives as long as the bytes do.
+    // The reservations last until the bytes are dropped.
     Ok(reservations.into_iter().fold(bytes, |b, r| r.attach_to(b)))
 }
 
-/// Most bodies come in one piece, which then needs no copy.
+/// Most bodies arrive in one chunk, which is not copied.
 fn join(first: Bytes, rest: &BytesMut) -> Bytes {
     if rest.is_empty() {
         return first;
--- a/crates/cleat-entry/src/request/digest.rs
+++ b/crates/cleat-entry/src/request/digest.rs
@@ -1,11 +1,12 @@
-//! What tells one request from another under the same key.
+//! The digest that distinguishes requests with the same idempotency key.
 
-/// Offset basis and prime of 64-bit FNV-1a. All instances, also of other
-/// builds, have to compute the same, which the standard hashers don't promise.
+/// Offset basis and prime of 64-bit FNV-1a. All instances must compute the same
+/// digest, including those of other builds, which the standard hashers don't
+/// guarantee.
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A digest of `parts`, each delimited by its length.
+/// The digest of `parts`. Each part is prefixed with its length.
 pub(crate) fn digest(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_BASIS;
     for part in parts {
--- a/crates/cleat-entry/src/request/fields.rs
+++ b/crates/cleat-entry/src/request/fields.rs
@@ -1,4 +1,4 @@
-//! The values of the headers that steer a request.
+//! The header fields that control how a request is processed.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use crate::headers::{CALLER, DEADLINE_MS, IDEMPOTENCY_KEY, IDEMPOTENT};
 use crate::problem::{Problem, ProblemKind};
 
-/// The longest caller's name or idempotency key, in bytes.
+/// The maximum length of the name of a caller or of an idempotency key, in
+/// bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// The values that steer a request, as they came.
+/// The unparsed values of the control fields.
 #[derive(Debug, Default)]
 pub(super) struct Fields<'a> {
     caller: Field<'a>,
@@ -19,7 +20,7 @@
     key: Field<'a>,
 }
 
-/// A header that may come once.
+/// A header field that may occur at most once.
 #[derive(Debug, Default)]
 enum Field<'a> {
     #[default]
@@ -29,7 +30,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Finds them in one pass, which costs less than a look-up of each.
+    /// Finds all fields in one pass, which is cheaper than one lookup per
+    /// field.
     pub(super) fn parse(headers: &'a HeaderMap) -> Fields<'a> {
         let mut fields = Fields::default();
         for (name, value) in headers {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The caller, empty if none is stated.
+    /// The name of the caller, empty if there is none.
     pub(super) fn caller(&self) -> Result<Box<str>, Problem> {
         let caller = self.caller.text(ProblemKind::BadCaller)?;
         let caller = caller.unwrap_or_default();
@@ -60,13 +62,13 @@
         Ok(caller.into())
     }
 
-    /// The time that the caller allows.
+    /// The time limit set by the caller.
     pub(super) fn deadline(&self) -> Result<Option<Duration>, Problem> {
         let bad = || Problem::new(ProblemKind::BadDeadline);
         let Some(text) = self.deadline.text(ProblemKind::BadDeadline)? else {
             return Ok(None);
         };
-        // `parse` would take a leading plus sign.
+        // `parse` would accept a leading plus sign.
         if !text.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(bad());
         }
@@ -77,7 +79,8 @@
         Ok(Some(Duration::from_millis(ms)))
     }
 
-    /// Whether a second run does no harm: as stated, else by the method.
+    /// Whether the request may run twice without harm, as stated by the caller
+    /// or else according to the method.
     pub(super) fn idempotent(&self, method: &Method) -> Result<bool, Problem> {
         match self.idempotent.text(ProblemKind::BadIdempotent)? {
             None => Ok(method.is_idempotent()),
@@ -87,7 +90,6 @@
         }
     }
 
-    /// The idempotency key.
     pub(super) fn key(&self) -> Result<Option<Box<str>>, Problem> {
         let Some(key) = self.key.text(ProblemKind::BadIdempotencyKey)? else {
             return Ok(None);
@@ -107,7 +109,7 @@
         };
     }
 
-    /// The one printable ASCII value.
+    /// The value, which must occur once and be printable ASCII.
     fn text(&self, kind: ProblemKind) -> Result<Option<&'a str>, Problem> {
         let is_printable = |text: &&str| !text.contains('\t');
         match self {
--- a/crates/cleat-entry/src/request/keyed_head.rs
+++ b/crates/cleat-entry/src/request/keyed_head.rs
@@ -1,4 +1,4 @@
-//! What can be told of a request with a key from its head alone.
+//! The part of a request with an idempotency key that is known from its head.
 
 use std::time::Duration;
 
@@ -9,18 +9,20 @@
 use super::fields::Fields;
 use super::path;
 
-/// A service's deadline is not known before the head is checked.
+/// The maximum deadline, because the deadline of the service is not known
+/// before the head is validated.
 const MAX_LOOKUP_TIME: Duration = Duration::from_secs(1);
 
-/// The head of a request that a key keeps from running twice.
+/// The head of a non-idempotent request with an idempotency key.
 pub(crate) struct KeyedHead {
-    /// The key as the table has it.
+    /// The key as stored in the replicated table.
     pub(crate) key: Box<str>,
     pub(crate) deadline: Instant,
 }
 
 impl KeyedHead {
-    /// `None` if the request needs no key, has none, or its key can't be told.
+    /// Returns `None` if the request is idempotent, has no key, or its key
+    /// can't be determined.
     pub(crate) fn parse(parts: &Parts, received: Instant) -> Option<KeyedHead> {
         let fields = Fields::parse(&parts.headers);
         let key = fields.key().ok()??;
--- a/crates/cleat-entry/src/request/mod.rs
+++ b/crates/cleat-entry/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked and read whole.
+//! Validates, reads and forwards requests of callers.
 
 mod body;
 mod digest;
--- a/crates/cleat-entry/src/request/outgoing.rs
+++ b/crates/cleat-entry/src/request/outgoing.rs
@@ -1,4 +1,4 @@
-//! The request as targets get it.
+//! Requests as sent to targets.
 
 use bytes::Bytes;
 use http::header::HOST;
@@ -9,7 +9,7 @@
 use crate::headers::{DEADLINE_MS, strip_request_headers};
 use crate::trace::Trace;
 
-/// What every try of a request sends.
+/// What is sent in every attempt of a request.
 pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The request of one try that has until `deadline`.
+    /// The request of one attempt that must finish before `deadline`.
     pub(crate) fn request(
         &self,
         host: std::net::SocketAddr,
@@ -57,7 +57,7 @@
     }
 }
 
-/// At least 1: a deadline of zero would be malformed.
+/// At least 1, because a deadline of 0 is invalid.
 fn remaining_ms(deadline: Instant) -> u64 {
     let left = deadline.saturating_duration_since(Instant::now());
     u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1)
--- a/crates/cleat-entry/src/request/validated.rs
+++ b/crates/cleat-entry/src/request/validated.rs
@@ -1,4 +1,4 @@
-//! The checks on the head of a request.
+//! Validates the head of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,32 +12,33 @@
 use crate::problem::{Problem, ProblemKind};
 use crate::route::{Route, Routes};
 
-/// Between a name and a value, and at the end of a line.
+/// The bytes of a header line besides name and value: `: ` and the line end.
 const LINE_OVERHEAD: usize = 4;
 
-/// A request whose head is in order.
+/// A request whose head is valid.
 pub(crate) struct ValidatedRequest {
     pub(crate) service: Box<str>,
     pub(crate) route: Route,
     pub(crate) method: Method,
     pub(crate) version: Version,
-    /// What the target is asked for.
+    /// The URI to request from the target.
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
-    /// Who pays in fairness, empty if not stated.
+    /// The caller that fair queueing and quotas charge the request to, empty if
+    /// none is stated.
     pub(crate) caller: Box<str>,
-    /// The end of all tries.
+    /// The deadline for all attempts together.
     pub(crate) deadline: Instant,
-    /// Whether a second run does no harm.
+    /// Whether the request may run twice without harm.
     pub(crate) idempotent: bool,
     pub(crate) key: Option<Box<str>>,
 }
 
 impl ValidatedRequest {
-    /// Checks the head of a request that came at `received`.
+    /// Validates the head of a request received at `received`.
     ///
     /// # Errors
-    /// The caller's mistake.
+    /// The mistake of the caller.
     pub(crate) fn check(
         parts: Parts,
         routes: &Routes,
@@ -74,13 +75,13 @@
         })
     }
 
-    /// The terms of the service.
+    /// The configuration of the service.
     pub(crate) fn config(&self) -> &Arc<cleat_world::Service> {
         &self.route.config
     }
 }
 
-/// The size of the header block, near enough.
+/// The approximate size of the head.
 fn head_size(uri: &Uri, headers: &HeaderMap) -> usize {
     let line = |(name, value): (&http::HeaderName, &http::HeaderValue)| {
         name.as_str().len() + value.len() + LINE_OVERHEAD
--- a/crates/cleat-entry/src/response/body.rs
+++ b/crates/cleat-entry/src/response/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer as hyper sends it.
+//! The body of a response to a caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,30 +9,31 @@
 use super::{Chunks, StreamedBody};
 use crate::upstream::Failure;
 
-/// The body of an answer.
+/// The body of a response to a caller.
 pub(crate) enum ResponseBody {
-    /// All of it is here.
+    /// The body was received completely.
     Buffered(Chunks),
-    /// The rest is still to come from the target. Boxed because it is rare and
-    /// holds a connection.
+    /// Part of the body is yet to be received from the target. Boxed, because
+    /// it is rare and contains a connection.
     Streamed(Box<StreamedBody>),
 }
 
-/// A streamed answer that broke off. hyper closes the caller's connection in
-/// the middle of the body, so that it can't be taken for a whole one.
+/// A streamed response that was truncated. hyper closes the connection to the
+/// caller in the middle of the body, so that the caller can't mistake the
+/// response for a complete one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("the target's answer broke off: {failure:?}"))]
+#[snafu(display("the target's response was truncated: {failure:?}"))]
 pub(crate) struct ResponseTruncated {
     failure: Failure,
 }
 
 impl ResponseBody {
-    /// A body without bytes.
+    /// An empty body.
     pub(crate) fn empty() -> ResponseBody {
         ResponseBody::Buffered(Chunks::default())
     }
 
-    /// A body of these bytes.
+    /// A body that consists of `bytes`.
     pub(crate) fn from_bytes(bytes: Bytes) -> ResponseBody {
         let mut chunks = Chunks::default();
         chunks.push(bytes);
--- a/crates/cleat-entry/src/response/chunks.rs
+++ b/crates/cleat-entry/src/response/chunks.rs
@@ -1,14 +1,14 @@
-//! The bytes of a body as they came.
+//! The chunks of a body as they were received.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 
-/// Chunks in order.
+/// A sequence of chunks.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Chunks {
     chunks: VecDeque<Bytes>,
-    /// Invariant: the sum of the lengths of `chunks`.
+    /// Invariant: the total length of `chunks`.
     len: usize,
 }
 
@@ -32,7 +32,7 @@
         self.chunks.is_empty()
     }
 
-    /// The bytes in one piece.
+    /// Copies all chunks into one slice.
     pub(crate) fn concat(&self) -> Box<[u8]> {
         let mut bytes = Vec::with_capacity(self.len);
         for chunk in &self.chunks {
--- a/crates/cleat-entry/src/response/memory.rs
+++ b/crates/cleat-entry/src/response/memory.rs
@@ -1,11 +1,11 @@
-//! A bound on the bytes held at once.
+//! A limit on the bytes in memory at a time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
 
-/// Bytes that may be held at once, shared by all requests of an entry.
+/// A number of bytes, shared by all requests of an entry.
 #[derive(Debug)]
 pub(crate) struct MemoryBudget {
     /// Invariant: at most `limit`.
@@ -21,7 +21,8 @@
         })
     }
 
-    /// Sets `bytes` aside until the reservation is dropped, if they are free.
+    /// Reserves `bytes` until the reservation is dropped, or returns `None` if
+    /// they are not available.
     pub(crate) fn reserve(self: &Arc<Self>, bytes: usize) -> Option<Reservation> {
         let add = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.limit);
         let reserved = self
@@ -34,13 +35,13 @@
         })
     }
 
-    /// The bytes held now.
+    /// The number of reserved bytes.
     pub(crate) fn held(&self) -> usize {
         self.held.load(Ordering::Acquire)
     }
 }
 
-/// Bytes set aside.
+/// A number of reserved bytes.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     memory: Arc<MemoryBudget>,
@@ -48,7 +49,7 @@
 }
 
 impl Reservation {
-    /// Ties the reservation to `bytes`, until their last clone is dropped.
+    /// Keeps the reservation until the last clone of `bytes` is dropped.
     pub(crate) fn attach_to(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(ReservedBytes {
             bytes,
--- a/crates/cleat-entry/src/response/mod.rs
+++ b/crates/cleat-entry/src/response/mod.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Receives responses of targets and sends them to callers.
 
 mod body;
 mod chunks;
--- a/crates/cleat-entry/src/response/receive.rs
+++ b/crates/cleat-entry/src/response/receive.rs
@@ -1,4 +1,4 @@
-//! Reading a target's answer whole, as far as the bounds allow.
+//! Receives the response of a target, up to the memory limits.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -12,19 +12,19 @@
 use super::{Chunks, MemoryBudget};
 use crate::upstream::{Failure, Upstream};
 
-/// How much of an answer is here.
+/// How much of a response was received.
 pub(crate) enum Received {
-    /// All of it, proved by its framing.
+    /// All of it, as proven by its framing.
     Complete(Parts, Chunks),
-    /// Its beginning; it is larger than may be held.
+    /// Its beginning. It is too large to buffer.
     Partial(Parts, Chunks, Incoming),
 }
 
-/// Reads the body of `answer` until it is whole or more than `limit` bytes or
-/// more than `memory` has free.
+/// Reads the body of `response` until it is complete, exceeds `limit` bytes or
+/// exceeds the memory budget.
 ///
 /// # Errors
-/// What provably happened instead of a whole answer.
+/// The proven cause, if there is no complete response.
 pub(crate) async fn receive(
     upstream: &mut Upstream,
     method: &Method,
@@ -56,10 +56,12 @@
     Ok(Received::Complete(parts, chunks))
 }
 
-/// Whether the end of the answer can be told from a cut.
+/// Checks that the end of the response can be distinguished from a lost
+/// connection.
 fn check_framing(method: &Method, status: StatusCode, headers: &HeaderMap) -> Result<(), Failure> {
     if status == StatusCode::SWITCHING_PROTOCOLS {
-        // Nobody asked for it: `Upgrade` is not passed on.
+        // `Upgrade` fields are not forwarded, so the caller did not request
+        // this.
         return Err(Failure::Malformed);
     }
     let has_no_body = method == Method::HEAD
@@ -76,7 +78,8 @@
     Err(Failure::Unframed)
 }
 
-/// Whether `chunked` is the last coding, so that the end is marked.
+/// Whether `chunked` is the last transfer coding, so that the end of the body
+/// is marked.
 fn is_chunked(headers: &HeaderMap) -> bool {
     let last = headers.get_all(TRANSFER_ENCODING).iter().next_back();
     let Some(codings) = last.map(|line| line.as_bytes()) else {
--- a/crates/cleat-entry/src/response/stream.rs
+++ b/crates/cleat-entry/src/response/stream.rs
@@ -1,4 +1,4 @@
-//! An answer passed on while it still comes.
+//! Responses that are forwarded while they are received.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll};
@@ -16,22 +16,22 @@
 use crate::service::Slot;
 use crate::upstream::Failure;
 
-/// The rest of an answer that was too large to hold.
+/// The body of a response that is too large to buffer.
 ///
-/// It holds its slot until the target's last byte, but not beyond the deadline,
-/// however slowly the caller reads. Whatever goes wrong ends it with an error,
-/// which breaks the caller's connection.
+/// It holds its slot until the last byte of the target, but not beyond the
+/// deadline, however slowly the caller reads. Any failure ends the body with an
+/// error, which closes the connection to the caller.
 pub(crate) struct StreamedBody {
     buffered: Chunks,
     rest: Incoming,
     slot: SharedSlot,
-    /// All of the target's bytes were passed on.
+    /// Whether all bytes of the target were forwarded.
     is_complete: bool,
     status: u16,
     watchdog: AbortHandle,
 }
 
-/// `None` once the answer ended, broke off or was late.
+/// `None` once the response is complete, truncated or past its deadline.
 #[derive(Clone)]
 struct SharedSlot(Arc<Mutex<Option<Slot>>>);
 
@@ -45,7 +45,8 @@
     ) -> StreamedBody {
         let slot = SharedSlot(Arc::new(Mutex::new(Some(slot))));
         let watched_slot = slot.clone();
-        // hyper does not ask for more while the caller takes nothing.
+        // A separate task is needed, because hyper does not poll the body while
+        // the caller is not reading.
         let watchdog = tokio::spawn(async move {
             sleep_until(deadline).await;
             watched_slot.finish_attempt(Failure::TimedOut.outcome());
@@ -105,7 +106,8 @@
     }
 
     fn forward(&mut self, data: Bytes) -> Result<Frame<Bytes>, ResponseTruncated> {
-        // hyper does not ask again after the last byte of a stated length.
+        // hyper does not poll the body again after the last byte of a stated
+        // length.
         if self.rest.is_end_stream() {
             self.complete()?;
         }
@@ -140,14 +142,15 @@
 impl Drop for StreamedBody {
     fn drop(&mut self) {
         self.watchdog.abort();
-        // What is left of the slot is given back without an outcome.
+        // If the slot is still held, it is released without an outcome.
         let slot = self.slot.lock().take();
         drop(slot);
     }
 }
 
 impl SharedSlot {
-    /// Makes the connection ready for another exchange.
+    /// Checks that the connection can be used for another exchange and marks it
+    /// as reusable.
     fn mark_reusable(&self) -> Result<(), Failure> {
         let mut slot = self.lock();
         let slot = slot.as_mut().ok_or(Failure::TimedOut)?;
@@ -171,7 +174,7 @@
     }
 }
 
-/// The answer was begun: nothing but its end can follow.
+/// No retry is possible, because part of the response was already forwarded.
 const FINAL_ATTEMPT: AttemptContext = AttemptContext {
     idempotent: false,
     attempts: 1,
--- a/crates/cleat-entry/src/upstream/connection.rs
+++ b/crates/cleat-entry/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a target with at most one exchange on it.
+//! A connection to a target with at most one exchange at a time.
 
 use std::error::Error;
 use std::future::{Future, poll_fn};
@@ -22,20 +22,21 @@
 use super::driver::Driver;
 use super::tracked_stream::{SendState, TrackedStream};
 
-/// The most bytes of an answer's header block.
+/// The maximum size of the header block of a response, in bytes.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1_024;
 
 /// An open connection.
 ///
-/// Boxed, because it is large and passed on with its slot. The task that uses it drives it, so dropping it closes the socket before
-/// the drop returns, and no other task has to be woken for an exchange.
+/// Boxed, because it is large and moved along with its slot. It is polled by
+/// the task that uses it, not by a task of its own. Dropping it therefore
+/// closes the socket immediately, and an exchange wakes no other task.
 pub(crate) struct Upstream {
     sender: SendRequest<Full<Bytes>>,
     polled: PolledConnection,
     send_state: SendState,
     driver: Driver,
-    /// `None` while an exchange has it. Kept with the connection: to set a
-    /// timer later takes no lock, to make and drop one does.
+    /// `None` while an exchange uses it. The timer is reused, because resetting
+    /// a timer takes no lock, while creating and dropping one does.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
@@ -44,12 +45,12 @@
     conn: Connection<TokioIo<TrackedStream>, Full<Bytes>>,
     /// Invariant: once true, `conn` is never polled again.
     ended: bool,
-    /// More came than was asked for.
+    /// Whether more bytes were received than requested.
     has_trailing_bytes: bool,
 }
 
 impl Upstream {
-    /// Connects within `limit`.
+    /// Opens a connection within `limit`.
     ///
     /// # Errors
     /// [`Failure::NotSent`], whatever the cause.
@@ -80,18 +81,18 @@
         }))
     }
 
-    /// Whether an exchange may start. Notices an end of the connection and
-    /// bytes that came without a request.
+    /// Whether an exchange can start. Detects if the connection was closed or
+    /// unrequested bytes were received.
     pub(crate) fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         self.polled.poll(&mut cx);
         !self.polled.ended && self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// What provably happened. The connection is useless then.
+    /// The proven cause. The connection must not be used again.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -114,7 +115,7 @@
         })
     }
 
-    /// Takes the connection's timer, set to `deadline`.
+    /// Takes the timer of the connection and sets it to `deadline`.
     pub(crate) fn take_timer(&mut self, deadline: Instant) -> Pin<Box<Sleep>> {
         match self.timer.take() {
             Some(mut timer) => {
@@ -125,28 +126,28 @@
         }
     }
 
-    /// Gives the timer back.
+    /// Puts back the timer.
     pub(crate) fn set_timer(&mut self, timer: Pin<Box<Sleep>>) {
         self.timer = Some(timer);
     }
 
-    /// Whether the target may work on an exchange: a byte of it may have left,
-    /// and the target did not end the connection.
+    /// Whether the target may be working on a request: bytes of the request may
+    /// have been sent, and the target did not close the connection.
     pub(crate) fn is_unfinished(&self) -> bool {
         self.send_state.may_have_sent() && !self.polled.ended
     }
 
-    /// The next exchange may not begin from `until` on.
-    pub(crate) fn set_start_deadline(&self, until: Option<Instant>) {
-        self.send_state.set_start_deadline(until);
+    /// The next exchange must start before `deadline`.
+    pub(crate) fn set_start_deadline(&self, deadline: Option<Instant>) {
+        self.send_state.set_start_deadline(deadline);
     }
 
-    /// Whether a byte of the current exchange may have left.
+    /// Whether bytes of the current exchange may have been sent.
     pub(crate) fn may_have_sent(&self) -> bool {
         self.send_state.may_have_sent()
     }
 
-    /// The next frame of the answer's body.
+    /// Polls the next frame of the response body.
     pub(crate) fn poll_frame(
         &mut self,
         body: &mut Incoming,
@@ -164,12 +165,12 @@
         frame.map(|frame| frame.map(|frame| frame.map_err(|e| Failure::from_hyper(&e, true))))
     }
 
-    /// Looks, after the end of an answer, whether more came than its framing
-    /// states.
+    /// Checks, after the end of a response, whether more bytes were received
+    /// than its framing states.
     ///
     /// # Errors
-    /// [`Failure::TrailingBytes`]. Bytes that come later are met by
-    /// [`Upstream::is_ready`].
+    /// [`Failure::TrailingBytes`]. Bytes that are received later are detected
+    /// by [`Upstream::is_ready`].
     pub(crate) fn check_trailing_bytes(&mut self) -> Result<(), Failure> {
         self.polled.poll(&mut Context::from_waker(Waker::noop()));
         if self.polled.has_trailing_bytes {
@@ -192,8 +193,10 @@
     }
 }
 
-/// hyper hands an error to the exchange it concerns; here come the others. It
-/// has no name for bytes that nobody asked for: they are what is left.
+/// Whether the error was caused by unrequested bytes. hyper has no error kind
+/// for them. It reports an error to the exchange that it concerns, so among the
+/// others, those that don't indicate a closed connection are caused by such
+/// bytes.
 fn is_trailing_bytes(error: &hyper::Error) -> bool {
     let is_end = error.is_incomplete_message() || error.is_closed() || error.is_canceled();
     error.source().is_none() && !is_end
--- a/crates/cleat-entry/src/upstream/driver.rs
+++ b/crates/cleat-entry/src/upstream/driver.rs
@@ -1,4 +1,4 @@
-//! A waker that stays silent towards a task that is polling already.
+//! A waker that does not wake a task that is already polling.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,12 +7,12 @@
 const POLLING: u8 = 1;
 const WOKEN: u8 = 2;
 
-/// Drives a connection and what waits on it from one task.
+/// Polls a connection and a future that waits for it in one task.
 ///
-/// The parts of a connection wake each other through the task's waker. While
-/// the task polls them anyway, such a wake would only have it scheduled once
-/// more, often with a system call to wake another thread. Here it makes the
-/// task poll again before it returns.
+/// The parts of a connection wake each other through the waker of the task. If
+/// this happens while the task polls them, the wake-up would only schedule the
+/// task once more, often with a system call to wake another thread. Instead,
+/// the driver polls again before it returns.
 pub(super) struct Driver {
     state: Arc<State>,
     waker: Waker,
@@ -20,8 +20,8 @@
 
 #[derive(Default)]
 struct State {
-    /// Invariant: a wake while [`POLLING`] leaves [`WOKEN`] for the end of the
-    /// poll to find; any other is passed on to `task`.
+    /// Invariant: a wake-up during [`POLLING`] sets [`WOKEN`], which is checked
+    /// at the end of the poll. Any other wake-up is forwarded to `task`.
     flags: AtomicU8,
     task: Mutex<Option<Waker>>,
 }
@@ -33,7 +33,8 @@
         Driver { state, waker }
     }
 
-    /// Polls `work` until it is ready or nothing in it was woken.
+    /// Polls `work` until it is ready or no part of it was woken during the
+    /// poll.
     pub(super) fn poll<T>(
         &self,
         cx: &Context<'_>,
--- a/crates/cleat-entry/src/upstream/failure.rs
+++ b/crates/cleat-entry/src/upstream/failure.rs
@@ -1,27 +1,27 @@
-//! What provably happened to an exchange that brought no whole answer.
+//! The reasons for which an exchange has no complete response.
 
 use cleat_decide::AttemptOutcome;
 
-/// Why an exchange brought no whole answer.
+/// Why there is no complete response. Each reason is proven, not presumed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The connection broke after a byte may have left.
+    /// The connection was lost after bytes of the request may have been sent.
     ConnectionLost,
-    /// The deadline came after a byte may have left.
+    /// The deadline passed after bytes of the request may have been sent.
     TimedOut,
-    /// What came is no answer of HTTP/1.1.
+    /// The received bytes are not a valid HTTP/1.1 response.
     Malformed,
-    /// The end of the answer was marked by nothing but the connection's end,
-    /// so a cut looks the same as a whole answer.
+    /// The end of the response is only marked by the end of the connection, so
+    /// a truncated response looks like a complete one.
     Unframed,
-    /// More bytes came than the answer's framing states.
+    /// More bytes were received than the framing of the response states.
     TrailingBytes,
 }
 
 impl Failure {
-    /// The same in the words of the decisions.
+    /// The outcome as defined by the decision logic.
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match self {
             Failure::NotSent => AttemptOutcome::NotSent,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Reads an error of hyper. `sent` says whether a byte left.
+    /// Maps an error of hyper. `sent` says whether bytes of the request may
+    /// have been sent.
     pub(crate) fn from_hyper(error: &hyper::Error, sent: bool) -> Failure {
         if !sent {
             Failure::NotSent
--- a/crates/cleat-entry/src/upstream/mod.rs
+++ b/crates/cleat-entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, driven by the task that uses it.
+//! Connections to targets, each polled by the task that uses it.
 
 mod connection;
 mod driver;
--- a/crates/cleat-entry/src/upstream/tests.rs
+++ b/crates/cleat-entry/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! What may leave on a connection.
+//! Checks which bytes may be sent on a connection.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -20,16 +20,19 @@
     let (upstream, accepted) = tokio::join!(opening, listener.accept());
     let (mut upstream, mut target) = (upstream.unwrap(), accepted.unwrap().0);
 
-    // The lease ends between the choice of the connection and the write.
+    // The lease ends after the connection was chosen and before the first
+    // write.
     upstream.set_start_deadline(Some(Instant::now()));
     let req = Request::get("/").header("host", "t1");
     let sent = upstream.send(req.body(Full::<Bytes>::default()).unwrap());
-    // Only a test that fails waits: the target never answers.
+    // The target never responds, so the timeout is only reached if the test
+    // fails.
     let sent = timeout(Duration::from_secs(5), sent).await;
     assert_eq!(sent.expect("an end").unwrap_err(), Failure::NotSent);
     drop(upstream);
     let mut received = Vec::new();
-    // Only the end of the connection arrives.
+    // Reads until the connection is closed; a reset is as good as an end of
+    // file.
     let _ = target.read_to_end(&mut received).await;
     assert!(received.is_empty());
 }
--- a/crates/cleat-entry/src/upstream/tracked_stream.rs
+++ b/crates/cleat-entry/src/upstream/tracked_stream.rs
@@ -1,4 +1,4 @@
-//! A socket that remembers whether a byte was given to it for sending.
+//! A socket that records whether bytes were sent.
 
 use std::io;
 use std::io::IoSlice;
@@ -11,14 +11,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Whether a byte was sent since the last reset.
+/// Whether bytes were sent since the last reset.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SendState(Arc<State>);
 
 #[derive(Debug, Default)]
 struct State {
     sent: AtomicBool,
-    /// No exchange begins from then on.
+    /// No exchange may start at or after this time.
     start_deadline: Mutex<Option<Instant>>,
 }
 
@@ -31,28 +31,27 @@
         self.0.sent.store(false, Ordering::Relaxed);
     }
 
-    pub(super) fn set_start_deadline(&self, locked_start_deadline: Option<Instant>) {
-        *self.locked_start_deadline() = locked_start_deadline;
+    pub(super) fn set_start_deadline(&self, deadline: Option<Instant>) {
+        *self.locked_start_deadline() = deadline;
     }
 
-    /// Whether the first byte of an exchange may leave. This is the last look
-    /// before it does: the process may have been frozen since it took the slot.
+    /// Checks whether the first byte of an exchange may be sent. This is the
+    /// last check before the write, because the process may have been frozen
+    /// since the slot was acquired.
     fn check_start_deadline(&self) -> io::Result<()> {
         if self.may_have_sent() {
             return Ok(());
         }
-        let locked_start_deadline = *self.locked_start_deadline();
-        match locked_start_deadline {
-            Some(locked_start_deadline) if Instant::now() >= locked_start_deadline => {
-                Err(io::ErrorKind::TimedOut.into())
-            }
+        let deadline = *self.locked_start_deadline();
+        match deadline {
+            Some(deadline) if Instant::now() >= deadline => Err(io::ErrorKind::TimedOut.into()),
             _ => Ok(()),
         }
     }
 
     fn locked_start_deadline(&self) -> MutexGuard<'_, Option<Instant>> {
-        let locked_start_deadline = self.0.start_deadline.lock();
-        locked_start_deadline.unwrap_or_else(PoisonError::into_inner)
+        let deadline = self.0.start_deadline.lock();
+        deadline.unwrap_or_else(PoisonError::into_inner)
     }
 
     fn record_written(&self, count: usize) {
@@ -62,8 +61,10 @@
     }
 }
 
-/// The proof of "not sent" rests on this: hyper's errors don't tell a write
-/// that took nothing from one that took something.
+/// Records whether a write transferred any bytes.
+/// [`Failure::NotSent`](super::Failure::NotSent) relies on this, because the
+/// errors of hyper don't distinguish a write that sent nothing from one that
+/// sent something.
 #[derive(Debug)]
 pub(super) struct TrackedStream {
     stream: TcpStream,
