--- /dev/null
+++ b/crates/cleat-control/src/gateway.rs
@@ -0,0 +1,311 @@
+//! Forwards calls to the leader.
+
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use arc_swap::ArcSwap;
+use cleat_link::{
+    AskError, CallError, ControlCall, ControlError, ControlReply, LinkTraffic, ShownKey,
+};
+use cleat_quorum::MemberId;
+use cleat_telemetry::EventLog;
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep};
+
+use crate::PeerAddressing;
+use crate::clock::boot_time;
+use crate::events::{CallLabel, ControlEvent, KeyRefusal};
+use crate::keys::{KeyFilter, RefusalLog, Verdict};
+use crate::links::Links;
+use crate::metrics::{Metrics, call_kind};
+
+/// The time limit of one attempt at one instance. Far above the time of a commit
+/// (a sync of 6 to 9 ms and a round trip), and equal to the longest election
+/// timeout.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
+/// The delay before the next attempt if no leader is known: a fraction of the
+/// time of an election.
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Stands for an unknown leader.
+const LEADER_UNKNOWN: u32 = 0;
+
+/// The configuration of a gateway.
+#[derive(Clone, Debug)]
+pub struct GatewayConfig {
+    /// Control instances to call while the leader is unknown.
+    pub seeds: Vec<MemberId>,
+    /// How control instances are addressed.
+    pub addressing: PeerAddressing,
+    /// Receives the counts and latencies of calls.
+    pub metrics: Metrics,
+    /// Receives the events of failed calls.
+    pub events: EventLog,
+}
+
+/// Forwards calls to the current leader and retries them when it changes.
+#[derive(Debug)]
+pub struct Gateway {
+    seeds: ArcSwap<Vec<MemberId>>,
+    links: Arc<Links>,
+    /// The ID of the last known leader. Calls that wait for an earlier leader are
+    /// sent to the new one as soon as it is known. Otherwise a call to a frozen
+    /// leader would be answered 0.6 s later than calls that arrived after it, and
+    /// under a newer configuration than theirs.
+    leader: watch::Sender<u32>,
+    /// Limits the calls with unknown API keys that reach the leader.
+    keys: Mutex<KeyFilter>,
+    /// Aggregates the log events of refused API keys.
+    refusals: Mutex<RefusalLog>,
+    metrics: Metrics,
+    events: EventLog,
+}
+
+/// The outcome of one attempt.
+enum Attempt {
+    /// The instance carried out the call, or rejected it with a reply.
+    Answered(ControlReply),
+    /// The instance named another one as the leader.
+    Redirected(MemberId),
+    /// Another leader became known during the attempt; the called instance may have
+    /// carried out the call.
+    LeaderChanged(MemberId),
+    /// The instance did not answer, or neither leads nor knows a leader.
+    NoLeader {
+        /// Whether the instance may have carried out the call nevertheless.
+        may_be_done: bool,
+    },
+    /// The call failed permanently.
+    Rejected(ControlError),
+}
+
+impl Gateway {
+    /// Creates a gateway and connects to the seeds. Must be called within a tokio
+    /// runtime.
+    pub fn open(cfg: GatewayConfig) -> Gateway {
+        let links = Arc::new(Links::new(cfg.addressing, Arc::new(LinkTraffic::default())));
+        let gateway = Gateway::with_links(links, cfg.seeds, cfg.metrics, cfg.events);
+        for seed in gateway.seeds.load().iter() {
+            gateway.links.link_to(*seed);
+        }
+        gateway
+    }
+
+    pub(crate) fn with_links(
+        links: Arc<Links>,
+        seeds: Vec<MemberId>,
+        metrics: Metrics,
+        events: EventLog,
+    ) -> Gateway {
+        Gateway {
+            seeds: ArcSwap::from_pointee(seeds),
+            links,
+            leader: watch::Sender::new(LEADER_UNKNOWN),
+            keys: Mutex::new(KeyFilter::new(boot_time())),
+            refusals: Mutex::default(),
+            metrics,
+            events,
+        }
+    }
+
+    /// Replaces the control instances to call while the leader is unknown.
+    pub fn set_seeds(&self, seeds: Vec<MemberId>) {
+        self.seeds.store(Arc::new(seeds));
+    }
+
+    /// Sets the leader that the local replica knows; `None` has no effect.
+    pub(crate) fn set_leader_hint(&self, leader: Option<MemberId>) {
+        if let Some(MemberId(key)) = leader {
+            // Only a hint, so pending calls are not redirected.
+            self.leader.send_if_modified(|leader| {
+                *leader = key;
+                false
+            });
+        }
+    }
+
+    /// Whether a leader answers within the time limit.
+    pub async fn reaches_leader(&self, timeout: Duration) -> bool {
+        self.ask(ControlCall::Leader, timeout).await.is_ok()
+    }
+
+    /// Sends a call to the leader, and retries it at the next leader until the time
+    /// limit.
+    ///
+    /// # Errors
+    /// See [`AskError`].
+    pub async fn ask(
+        &self,
+        call: ControlCall,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
+        let (kind, label, started_at) = (call_kind(&call), CallLabel::of(&call), Instant::now());
+        let shown = call.shown_key();
+        let answer = match &shown {
+            Some(shown) => self.ask_with_key(call, shown, timeout).await,
+            None => self.ask_with_retries(call, timeout).await,
+        };
+        if matches!(answer, Ok(ControlReply::UnknownKey)) {
+            self.record_refusal(KeyRefusal::Unknown, shown.as_ref(), label.path());
+        }
+        let took = started_at.elapsed();
+        self.metrics.record_call(kind, took, &answer);
+        if let Some(event) = label.failure_event(&answer, took) {
+            self.events.emit(&event);
+        }
+        answer
+    }
+
+    /// Forwards a call with an API key, unless the leader recently did not know the key
+    /// or the rate limit for new keys is exceeded.
+    async fn ask_with_key(
+        &self,
+        call: ControlCall,
+        shown: &ShownKey,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
+        let asked_at = boot_time();
+        match self.keys().check(shown, asked_at) {
+            Verdict::Forward => {}
+            Verdict::Unknown => return Ok(ControlReply::UnknownKey),
+            Verdict::TooMany => {
+                self.record_refusal(KeyRefusal::TooMany, Some(shown), Some(&shown.prefix));
+                return Err(AskError::TooManyKeys);
+            }
+        }
+        let answer = self.ask_with_retries(call, timeout).await;
+        if let Ok(reply) = &answer {
+            self.keys().record_reply(shown, reply, asked_at);
+        }
+        answer
+    }
+
+    /// Counts a call that was refused because of its API key, and logs an aggregated
+    /// event at most once a second.
+    fn record_refusal(&self, reason: KeyRefusal, shown: Option<&ShownKey>, path: Option<&str>) {
+        let key = shown.map(|shown| shown.key.to_string().into());
+        let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
+        let line = refusals.record(reason, key, path.unwrap_or_default(), boot_time());
+        drop(refusals);
+        self.metrics.count("calls.key_refused");
+        if let Some(line) = line {
+            self.events.emit(&ControlEvent::KeysRefused(line));
+        }
+    }
+
+    fn keys(&self) -> std::sync::MutexGuard<'_, KeyFilter> {
+        self.keys.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    async fn ask_with_retries(
+        &self,
+        mut call: ControlCall,
+        timeout: Duration,
+    ) -> Result<ControlReply, AskError> {
+        let started_at = Instant::now();
+        let deadline = started_at + timeout;
+        let mut may_be_done = false;
+        let mut next_seed = 0;
+        let mut next_target = self.known_leader();
+        loop {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(timeout_error(may_be_done));
+            }
+            let target = next_target.take().unwrap_or_else(|| {
+                next_seed += 1;
+                self.seed(next_seed)
+            });
+            call.note_wait(started_at.elapsed());
+            let outcome = tokio::select! {
+                outcome = self.attempt(target, call.clone(), remaining.min(ATTEMPT_TIMEOUT)) => outcome,
+                leader = self.leader_other_than(target) => Attempt::LeaderChanged(leader),
+            };
+            match outcome {
+                Attempt::Answered(reply) => {
+                    self.set_leader(target);
+                    return Ok(reply);
+                }
+                Attempt::LeaderChanged(leader) => {
+                    may_be_done = true;
+                    next_target = Some(leader);
+                }
+                Attempt::Rejected(source) => return Err(AskError::Refused { source }),
+                Attempt::Redirected(leader) if leader != target => next_target = Some(leader),
+                Attempt::Redirected(_) => sleep(NO_LEADER_RETRY_DELAY).await,
+                Attempt::NoLeader {
+                    may_be_done: uncertain,
+                } => {
+                    may_be_done |= uncertain;
+                    // Forget this leader, unless another call has already found a new one.
+                    self.leader.send_if_modified(|leader| {
+                        let was_current = *leader == target.0;
+                        if was_current {
+                            *leader = LEADER_UNKNOWN;
+                        }
+                        was_current
+                    });
+                    sleep(NO_LEADER_RETRY_DELAY.min(remaining)).await;
+                }
+            }
+        }
+    }
+
+    async fn attempt(&self, target: MemberId, call: ControlCall, timeout: Duration) -> Attempt {
+        match self.links.link_to(target).ask(call, timeout).await {
+            Ok(reply) => Attempt::Answered(reply),
+            Err(CallError::NotSent { .. }) => Attempt::NoLeader { may_be_done: false },
+            Err(CallError::NoAnswer { .. }) => Attempt::NoLeader { may_be_done: true },
+            Err(CallError::Refused { source, .. }) => match source {
+                ControlError::NotLeader { leader: Some(key) } => Attempt::Redirected(MemberId(key)),
+                ControlError::NotLeader { leader: None }
+                | ControlError::NoQuorum
+                | ControlError::Stopping => Attempt::NoLeader { may_be_done: false },
+                ControlError::OutcomeUnknown => Attempt::NoLeader { may_be_done: true },
+                ControlError::TooLarge => Attempt::Rejected(source),
+            },
+        }
+    }
+
+    fn known_leader(&self) -> Option<MemberId> {
+        match *self.leader.borrow() {
+            LEADER_UNKNOWN => None,
+            key => Some(MemberId(key)),
+        }
+    }
+
+    /// Records the leader, and redirects pending calls to it if it changed.
+    fn set_leader(&self, MemberId(key): MemberId) {
+        self.leader
+            .send_if_modified(|leader| std::mem::replace(leader, key) != key);
+    }
+
+    /// Waits until a leader other than `target` is known.
+    async fn leader_other_than(&self, target: MemberId) -> MemberId {
+        let mut changes = self.leader.subscribe();
+        loop {
+            // Does not happen: the sender belongs to this gateway and outlives the wait.
+            if changes.changed().await.is_err() {
+                std::future::pending::<()>().await;
+            }
+            let key = *changes.borrow_and_update();
+            if key != LEADER_UNKNOWN && key != target.0 {
+                return MemberId(key);
+            }
+        }
+    }
+
+    fn seed(&self, index: usize) -> MemberId {
+        // The settings do not allow an empty list.
+        let seeds = self.seeds.load();
+        let seed = seeds.get(index % seeds.len().max(1));
+        seed.copied().unwrap_or(MemberId(LEADER_UNKNOWN))
+    }
+}
+
+fn timeout_error(may_be_done: bool) -> AskError {
+    if may_be_done {
+        AskError::Unknown
+    } else {
+        AskError::NotDone
+    }
+}
--- a/crates/cleat-control/src/links.rs
+++ b/crates/cleat-control/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to other control instances, opened when first needed.
+//! Links to other control instances, connected on first use.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,33 +6,33 @@
 use cleat_quorum::{MemberId, Message, Transport};
 use indexmap::IndexMap;
 
-use crate::PeerAddress;
+use crate::PeerAddressing;
 
-/// A link to a control instance.
+/// A link for the calls of control instances.
 pub(crate) type ControlLink = Link<ControlClient>;
 
-/// One link to each control instance that was ever needed.
+/// One link to each control instance that was called so far.
 #[derive(Debug)]
 pub(crate) struct Links {
-    address: PeerAddress,
+    addressing: PeerAddressing,
     traffic: Arc<LinkTraffic>,
     by_id: Mutex<IndexMap<MemberId, Arc<ControlLink>>>,
 }
 
 impl Links {
-    pub(crate) fn new(address: PeerAddress, traffic: Arc<LinkTraffic>) -> Links {
+    pub(crate) fn new(addressing: PeerAddressing, traffic: Arc<LinkTraffic>) -> Links {
         Links {
-            address,
+            addressing,
             traffic,
             by_id: Mutex::new(IndexMap::new()),
         }
     }
 
-    /// The link to an instance. It may not be connected yet.
-    pub(crate) fn to(&self, id: MemberId) -> Arc<ControlLink> {
+    /// Returns the link to an instance, which may not be connected yet.
+    pub(crate) fn link_to(&self, id: MemberId) -> Arc<ControlLink> {
         let mut by_id = self.by_id.lock().unwrap_or_else(PoisonError::into_inner);
         let link = by_id.entry(id).or_insert_with(|| {
-            let address = self.address.of(id);
+            let address = self.addressing.socket_addr(id);
             let cfg = LinkConfig {
                 name: address.to_string().into(),
                 address,
@@ -43,11 +43,11 @@
     }
 }
 
-/// Consensus messages over the links.
+/// Sends consensus messages over the links.
 pub(crate) struct LinkTransport(pub(crate) Arc<Links>);
 
 impl Transport for LinkTransport {
     fn send(&self, to: MemberId, message: Message) {
-        self.0.to(to).send(message);
+        self.0.link_to(to).send(message);
     }
 }
--- a/crates/cleat-control/src/local/model.rs
+++ b/crates/cleat-control/src/simulated/worker.rs
@@ -1,4 +1,4 @@
-//! A model of a worker: what it runs, under which lease, for which owner.
+//! A simulated worker: its runs, its lease, and the fencing token of its owner.
 
 use std::time::Duration;
 
@@ -8,93 +8,95 @@
 };
 use indexmap::IndexMap;
 
-/// One run on a worker.
+/// A run on a simulated worker.
 #[derive(Clone, Debug)]
-pub struct ModelRun {
-    /// Its number.
+pub struct SimulatedRun {
+    /// The number of the run.
     pub run: Run,
-    /// When it ends by itself.
+    /// When the run ends if it is not stopped before.
     pub ends_at: Duration,
-    /// How it ends then.
-    pub kind: EndKind,
-    /// What it takes up.
+    /// The result that it reports then.
+    pub end_kind: EndKind,
+    /// The resources that it uses.
     pub size: Size,
 }
 
-/// One life of a worker.
+/// One life of a simulated worker.
 #[derive(Clone, Debug)]
-pub struct ModelWorker {
-    /// What it says of itself.
+pub struct SimulatedWorker {
+    /// The record that its heartbeats carry.
     pub record: WorkerRecord,
-    /// Whether it is there at all.
+    /// Whether the worker process is running.
     pub up: bool,
-    /// Whether it refuses what does not fit; else it starts whatever it is told to.
-    pub guards: bool,
-    /// Until when nothing reaches it or leaves it.
-    pub cut_until: Duration,
-    /// How fast its clock is, in percent.
+    /// Whether it rejects a start that exceeds its free capacity; otherwise it
+    /// starts every run.
+    pub enforces_capacity: bool,
+    /// Until when it is cut off from the network in both directions.
+    pub unreachable_until: Duration,
+    /// The speed of its clock, in percent of the real time.
     pub clock_percent: u32,
-    /// What its clock showed at the beginning, in milliseconds.
+    /// The reading of its clock at the start, in milliseconds.
     pub clock_offset_ms: u64,
-    /// The highest fencing token seen.
+    /// The highest fencing token received so far.
     pub token: u64,
-    /// The end of its lease, on its clock in milliseconds.
-    pub deadline_ms: u64,
-    /// What runs.
-    pub runs: IndexMap<TaskId, ModelRun>,
-    /// The highest run of each task that was stopped or ended here.
-    pub closed: IndexMap<TaskId, Run>,
-    /// Ends that were not acknowledged.
+    /// The end of its lease, in milliseconds of its own clock.
+    pub lease_deadline_ms: u64,
+    /// The current runs.
+    pub runs: IndexMap<TaskId, SimulatedRun>,
+    /// The highest run of each task that ended or was stopped on this worker.
+    pub closed_runs: IndexMap<TaskId, Run>,
+    /// Ended runs that the owner has not acknowledged yet.
     pub ended: Vec<TaskEnd>,
-    /// How many ends there were in this life.
-    pub numbers: u64,
-    /// How many heartbeats it sent.
+    /// The number of runs that ended in this life.
+    pub end_count: u64,
+    /// The number of heartbeats sent.
     pub sequence: u64,
 }
 
-impl ModelWorker {
-    /// A worker without runs, whose clock runs at `clock_percent`.
-    pub fn new(record: WorkerRecord, clock_percent: u32, clock_offset_ms: u64) -> ModelWorker {
-        ModelWorker {
+impl SimulatedWorker {
+    /// Creates a worker without runs, whose clock runs at `clock_percent` of the real
+    /// speed.
+    pub fn new(record: WorkerRecord, clock_percent: u32, clock_offset_ms: u64) -> SimulatedWorker {
+        SimulatedWorker {
             record,
             up: true,
-            guards: true,
-            cut_until: Duration::ZERO,
+            enforces_capacity: true,
+            unreachable_until: Duration::ZERO,
             clock_percent,
             clock_offset_ms,
             token: 0,
-            deadline_ms: 0,
+            lease_deadline_ms: 0,
             runs: IndexMap::new(),
-            closed: IndexMap::new(),
+            closed_runs: IndexMap::new(),
             ended: Vec::new(),
-            numbers: 0,
+            end_count: 0,
             sequence: 0,
         }
     }
 
-    /// What its clock shows.
+    /// The reading of its clock, in milliseconds.
     #[must_use]
     pub fn clock_ms(&self, now: Duration) -> u64 {
         let ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         self.clock_offset_ms + ms * u64::from(self.clock_percent) / 100
     }
 
-    /// Whether calls reach it.
+    /// Whether calls reach this worker.
     #[must_use]
     pub fn reachable(&self, now: Duration) -> bool {
-        self.up && now >= self.cut_until
+        self.up && now >= self.unreachable_until
     }
 
-    /// Ends what is due, and everything once the lease is over.
+    /// Ends the runs that are due, and all runs once the lease has expired.
     pub fn advance(&mut self, now: Duration) {
-        let lapsed = self.clock_ms(now) > self.deadline_ms;
+        let lapsed = self.clock_ms(now) > self.lease_deadline_ms;
         let due: Vec<(TaskId, EndKind)> = self
             .runs
             .iter()
             .filter(|(_, run)| lapsed || run.ends_at <= now)
             .map(|(task, run)| {
                 let kind = if run.ends_at <= now {
-                    run.kind
+                    run.end_kind
                 } else {
                     EndKind::Lapsed
                 };
@@ -111,23 +113,23 @@
             return;
         };
         self.close(task, run.run);
-        self.numbers += 1;
+        self.end_count += 1;
         let end = End {
             task,
             run: run.run,
             kind,
             checkpoint: "".into(),
         };
-        let number = self.numbers;
+        let number = self.end_count;
         self.ended.push(TaskEnd { number, end });
     }
 
     fn close(&mut self, task: TaskId, run: Run) {
-        let closed = self.closed.entry(task).or_insert(run);
+        let closed = self.closed_runs.entry(task).or_insert(run);
         *closed = (*closed).max(run);
     }
 
-    /// What its runs take up.
+    /// The resources used by its runs.
     #[must_use]
     pub fn used(&self) -> Size {
         self.runs
@@ -135,13 +137,13 @@
             .fold(Size::default(), |sum, run| sum + run.size)
     }
 
-    /// Carries an order out. A start tells how long and how it will run.
-    pub fn order(
+    /// Executes an order. A start creates the run `planned`.
+    pub fn execute_order(
         &mut self,
         now: Duration,
         token: u64,
         order: &TaskOrder,
-        planned: &ModelRun,
+        planned: &SimulatedRun,
     ) -> OrderAnswer {
         self.advance(now);
         if token < self.token {
@@ -152,8 +154,8 @@
         match order {
             Order::Start { deadline_ms, .. } => self.start(now, *task, *run, *deadline_ms, planned),
             Order::Stop => {
-                let there = self.runs.get(task).is_some_and(|known| known.run == *run);
-                if there {
+                let is_running = self.runs.get(task).is_some_and(|known| known.run == *run);
+                if is_running {
                     self.end(*task, EndKind::Stopped);
                 }
                 self.close(*task, *run);
@@ -169,12 +171,12 @@
         task: TaskId,
         run: Run,
         deadline_ms: u64,
-        planned: &ModelRun,
+        planned: &SimulatedRun,
     ) -> OrderAnswer {
         if self.clock_ms(now) > deadline_ms {
             return OrderAnswer::Late;
         }
-        self.deadline_ms = self.deadline_ms.max(deadline_ms);
+        self.lease_deadline_ms = self.lease_deadline_ms.max(deadline_ms);
         if let Some(known) = self.runs.get(&task) {
             return if known.run == run {
                 OrderAnswer::Done
@@ -182,18 +184,23 @@
                 OrderAnswer::Old
             };
         }
-        if self.closed.get(&task).is_some_and(|closed| run <= *closed) {
+        if self
+            .closed_runs
+            .get(&task)
+            .is_some_and(|closed| run <= *closed)
+        {
             return OrderAnswer::Old;
         }
-        let room = self.record.capacity.saturating_sub(self.used());
-        if self.guards && !planned.size.fits(room) {
+        let free_capacity = self.record.capacity.saturating_sub(self.used());
+        if self.enforces_capacity && !planned.size.fits(free_capacity) {
             return OrderAnswer::NoRoom;
         }
         self.runs.insert(task, planned.clone());
         OrderAnswer::Done
     }
 
-    /// Takes a renewal; the caller decides when it is answered.
+    /// Renews the lease; false if the owner is fenced. The caller decides when to
+    /// answer with [`SimulatedWorker::report`].
     pub fn renew(&mut self, now: Duration, order: &RenewalOrder) -> bool {
         self.advance(now);
         if order.token < self.token {
@@ -201,16 +208,16 @@
         }
         self.token = order.token;
         if let Some(deadline_ms) = order.deadline_ms {
-            self.deadline_ms = self.deadline_ms.max(deadline_ms);
+            self.lease_deadline_ms = self.lease_deadline_ms.max(deadline_ms);
         }
         self.ended.retain(|end| end.number > order.acked);
         true
     }
 
-    /// What runs and ended.
-    pub fn list(&mut self, now: Duration) -> RenewalAnswer {
+    /// Reports the current runs and the ended runs that are not acknowledged.
+    pub fn report(&mut self, now: Duration) -> RenewalAnswer {
         self.advance(now);
-        let running = |(task, run): (&TaskId, &ModelRun)| RunningTask {
+        let running = |(task, run): (&TaskId, &SimulatedRun)| RunningTask {
             task: *task,
             run: run.run,
             checkpoint: "".into(),
--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -1,4 +1,5 @@
-//! Permissions of the adviser, for queues whose starts need one.
+//! Permissions of the adviser, for queues whose tasks may only start on workers
+//! that the adviser allows.
 
 use std::time::Duration;
 
@@ -9,87 +10,95 @@
 use crate::state::ControlState;
 use crate::{Advice, StepId};
 
-/// How many workers one call names at most. Each makes the call longer; a
-/// step's objective allows for a call about 30.
-const MOST_WORKERS: usize = 30;
-/// How many workers one call names at least, where there are as many.
-const FEW_WORKERS: usize = 6;
-/// How many calls may be under way. The adviser takes one at a time and
-/// refuses more than 32 that wait.
-const CALLS_AT_ONCE: usize = 8;
-/// How long after a call without an answer another is sent.
-const RETRY: Duration = Duration::from_millis(300);
-/// What is kept of a permission's time for the start to arrive.
-const MARGIN: Duration = Duration::from_millis(100);
+/// The maximum number of workers in one call. Each worker makes the call
+/// longer, and a step's objective leaves time for a call about 30.
+const MAX_WORKERS_PER_CALL: usize = 30;
+/// The minimum number of workers in one call, if the pool has as many.
+const MIN_WORKERS_PER_CALL: usize = 6;
+/// The maximum number of concurrent calls. The adviser processes one call at a
+/// time and refuses calls while more than 32 wait.
+const MAX_CONCURRENT_CALLS: usize = 8;
+/// How long after a failed call the next one is sent for the same step.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// A ticket that expires sooner than this is not used: the start order has to
+/// reach the worker while the ticket is valid.
+const START_MARGIN: Duration = Duration::from_millis(100);
 
-/// What the adviser said of a step. Which workers may run it never changes;
-/// the tickets run out.
+/// The adviser's answers for one step. Whether a worker may run the step never
+/// changes; only the tickets expire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
     tickets: IndexMap<WorkerKey, Ticket>,
-    /// Workers that may not run the step.
+    /// Workers on which the step may not run.
     refused: IndexSet<WorkerKey>,
-    asking: bool,
-    /// When the adviser may be asked again.
-    due: Duration,
+    call_pending: bool,
+    /// When the adviser may be asked again after a failed call.
+    retry_at: Duration,
 }
 
 #[derive(Clone, Debug)]
 struct Ticket {
     text: Box<str>,
-    until: Duration,
+    valid_until: Duration,
 }
 
 impl Scheduler {
-    /// The permission for a step on a worker, while it is valid.
+    /// The ticket for a step on a worker, if it is still valid.
     pub(super) fn ticket(&self, id: StepId, key: WorkerKey) -> Option<Box<str>> {
         let ticket = self.advice.get(&id)?.tickets.get(&key)?;
-        (self.now + MARGIN < ticket.until).then(|| ticket.text.clone())
+        (self.now + START_MARGIN < ticket.valid_until).then(|| ticket.text.clone())
     }
 
-    /// The workers of `keys` that may run a step now.
+    /// The workers of `keys` for which the step has a valid ticket.
     pub(super) fn permitted(&self, id: StepId, keys: &[WorkerKey]) -> Vec<WorkerKey> {
-        let may = |key: &&WorkerKey| self.ticket(id, **key).is_some();
-        keys.iter().filter(may).copied().collect()
+        let has_ticket = |key: &&WorkerKey| self.ticket(id, **key).is_some();
+        keys.iter().filter(has_ticket).copied().collect()
     }
 
-    /// Asks for permissions for a step that has tasks without a place.
+    /// Asks the adviser about more workers for a step with waiting tasks.
     pub(super) fn ask_adviser(&mut self, id: StepId, pending: usize, keys: &[WorkerKey]) {
-        let under_way = self.advice.values().filter(|advice| advice.asking).count();
+        let pending_calls = self
+            .advice
+            .values()
+            .filter(|advice| advice.call_pending)
+            .count();
         let advice = self.advice.entry(id).or_default();
-        if advice.asking || self.now < advice.due || under_way >= CALLS_AT_ONCE {
+        if advice.call_pending
+            || self.now < advice.retry_at
+            || pending_calls >= MAX_CONCURRENT_CALLS
+        {
             return;
         }
         let (now, tickets, refused) = (self.now, &advice.tickets, &advice.refused);
         let valid = |key: &WorkerKey| {
             let ticket = tickets.get(key);
-            ticket.is_some_and(|ticket| now + MARGIN < ticket.until)
+            ticket.is_some_and(|ticket| now + START_MARGIN < ticket.valid_until)
         };
         let mut unknown: Vec<WorkerKey> = keys
             .iter()
             .filter(|key| !valid(key) && !refused.contains(*key))
             .copied()
             .collect();
-        // Those with the most room help most.
-        unknown.sort_by_key(|key| std::cmp::Reverse(self.workers[*key].room().cpu_milli));
-        unknown.truncate((2 * pending).clamp(FEW_WORKERS, MOST_WORKERS));
+        // Ask first about the workers with the most free processor time.
+        unknown.sort_by_key(|key| std::cmp::Reverse(self.workers[*key].free_capacity().cpu_milli));
+        unknown.truncate((2 * pending).clamp(MIN_WORKERS_PER_CALL, MAX_WORKERS_PER_CALL));
         if unknown.is_empty() {
             return;
         }
-        advice.asking = true;
+        advice.call_pending = true;
         let workers = unknown.into_iter().map(|key| self.worker_name(key));
         let workers = workers.collect();
         self.effects.push(Effect::Advise { step: id, workers });
     }
 
-    /// Takes the adviser's answer; none if there was none.
-    pub(super) fn advised(
+    /// Records the adviser's answer, which is `None` if the call failed.
+    pub(super) fn handle_advice(
         &mut self,
         state: &ControlState,
         id: StepId,
         sent_at: Duration,
         asked: &[Box<str>],
-        good: Option<Vec<(Box<str>, Box<str>)>>,
+        permitted: Option<Vec<(Box<str>, Box<str>)>>,
     ) {
         let queue = state.jobs.get(&id.job).map(|job| job.queue.clone());
         let policy = queue.and_then(|queue| queue.advice);
@@ -99,27 +108,27 @@
         let Some(Advice { validity_ms, .. }) = policy else {
             return;
         };
-        advice.asking = false;
-        match good {
-            None => advice.due = self.now + RETRY,
-            Some(good) => {
-                let until = sent_at + Duration::from_millis(validity_ms);
+        advice.call_pending = false;
+        match permitted {
+            None => advice.retry_at = self.now + RETRY_DELAY,
+            Some(permitted) => {
+                let valid_until = sent_at + Duration::from_millis(validity_ms);
                 for name in asked {
                     let Some(key) = self.workers.key(name) else {
                         continue;
                     };
-                    match good.iter().find(|(worker, _)| worker == name) {
+                    match permitted.iter().find(|(worker, _)| worker == name) {
                         Some((_, text)) => {
                             let text = text.clone();
-                            advice.tickets.insert(key, Ticket { text, until });
+                            advice.tickets.insert(key, Ticket { text, valid_until });
                         }
                         None => drop(advice.refused.insert(key)),
                     }
                 }
-                self.tell(super::Decision::Advised {
+                self.log(super::Decision::Advised {
                     step: id.to_string().into(),
                     asked: asked.len(),
-                    good: good.len(),
+                    good: permitted.len(),
                     took_ms: millis(self.now - sent_at),
                 });
             }
@@ -130,8 +139,8 @@
         }
     }
 
-    /// Forgets a permission that a worker did not accept.
-    pub(super) fn drop_ticket(&mut self, id: StepId, key: WorkerKey) {
+    /// Removes a ticket that a worker rejected.
+    pub(super) fn forget_ticket(&mut self, id: StepId, key: WorkerKey) {
         if let Some(advice) = self.advice.get_mut(&id) {
             advice.tickets.swap_remove(&key);
         }
--- a/crates/cleat-node/src/lib.rs
+++ b/crates/cleat-node/src/lib.rs
@@ -1,21 +1,21 @@
-//! One instance, put together from its settings.
+//! Assembles an instance from its settings.
 //!
-//! [`Instance::start`] opens the data folder, binds the listeners, joins the
-//! quorum and returns the running instance.
+//! [`Instance::start`] opens the data folder, binds the listeners, starts the
+//! replica, which joins the consensus group, and returns the running instance.
 
 mod entry_control;
 mod instance;
+mod leader_calls;
 mod leases;
 mod links;
-mod machine;
 mod maintenance;
 mod member;
 mod node;
 mod operator_control;
 mod peer_handler;
-mod propose;
 mod renewals;
 mod slots;
+mod state_machine;
 mod world;
 
 pub use instance::{Addresses, Instance, StartError};
--- a/crates/cleat-node/src/maintenance.rs
+++ b/crates/cleat-node/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! What moves and waves ask of control.
+//! The control interface for instance moves and maintenance waves.
 
 use cleat_quorum::BootTime;
 
@@ -19,12 +19,12 @@
     }
 
     async fn propose(&self, body: CommandBody) -> Result<(), LeadershipLost> {
-        let proposed = self.propose_here(body).await;
+        let proposed = self.propose_local(body).await;
         proposed.map(|_| ()).map_err(|_| LeadershipLost)
     }
 
     async fn wait_in_force(&self, index: u64) -> Result<(), LeadershipLost> {
-        let waited = self.wait_in_force_here(index).await;
+        let waited = self.wait_in_force_local(index).await;
         waited.map_err(|_| LeadershipLost)
     }
 }
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -1,4 +1,4 @@
-//! Carries what the instances say to each other about slots.
+//! Exchanges messages about slots with other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,75 +15,75 @@
 use crate::member::member_id;
 use crate::node::Node;
 
-/// The most messages in one call.
-const BATCH: usize = 256;
-/// How long one call may take before its messages count as lost.
-const CALL_LIMIT: Duration = Duration::from_millis(200);
-/// How often idle slots on loan are looked for.
-const TICK: Duration = Duration::from_millis(20);
-/// The same while nothing is on loan here. A message ends the pause.
-const REST: Duration = Duration::from_secs(1);
+/// The maximum number of messages in one call.
+const MAX_BATCH: usize = 256;
+/// The time limit of one call, after which its messages count as lost.
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
+/// The interval of the checks for idle borrowed slots.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval while no slots are borrowed. A message triggers a check at once.
+const NO_LOANS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 type Queues = IndexMap<MemberId, mpsc::Sender<SlotMessage>>;
 
-/// Starts to carry the messages of `entry`.
+/// Spawns the tasks that exchange the slot messages of `entry`.
 pub(crate) fn spawn(node: &Arc<Node>, entry: &Arc<Entry<Node>>) -> Vec<JoinHandle<()>> {
     let Some(messages) = entry.take_slot_messages() else {
         return Vec::new();
     };
-    let mut tasks = vec![tokio::spawn(tick(node.clone()))];
+    let mut tasks = vec![tokio::spawn(return_idle_slots(node.clone()))];
     let mut queues = Queues::new();
     let others = node.members.iter().map(|(id, _)| id);
-    for id in others.filter(|id| *id != node.members.own()) {
-        let (tx, rx) = mpsc::channel(BATCH);
+    for id in others.filter(|id| *id != node.members.own_id()) {
+        let (tx, rx) = mpsc::channel(MAX_BATCH);
         queues.insert(id, tx);
-        tasks.push(tokio::spawn(send(node.clone(), id, rx)));
+        tasks.push(tokio::spawn(send_to_instance(node.clone(), id, rx)));
     }
-    tasks.push(tokio::spawn(sort(messages, queues)));
+    tasks.push(tokio::spawn(dispatch(messages, queues)));
     tasks
 }
 
-/// Hands each message to the queue of the instance it is for.
-async fn sort(mut messages: mpsc::Receiver<cleat_entry::SlotMessage>, queues: Queues) {
+/// Puts each message into the queue of its receiving instance.
+async fn dispatch(mut messages: mpsc::Receiver<cleat_entry::SlotMessage>, queues: Queues) {
     while let Some(message) = messages.recv().await {
         let Some(queue) = queues.get(&member_id(&message.to)) else {
             continue;
         };
         let (service, message) = (message.service, message.message);
-        // Slow instances lose messages, which only costs time.
+        // A slow instance loses messages. That only delays the exchange of slots.
         if queue.try_send(SlotMessage { service, message }).is_err() {
-            debug!("a message on slots was dropped");
+            debug!("a slot message was dropped because the receiver's queue is full");
         }
     }
 }
 
-/// Sends one instance its messages, batch by batch.
-async fn send(node: Arc<Node>, to: MemberId, mut rx: mpsc::Receiver<SlotMessage>) {
+/// Sends the messages for one instance in batches.
+async fn send_to_instance(node: Arc<Node>, to: MemberId, mut rx: mpsc::Receiver<SlotMessage>) {
     let mut batch = Vec::new();
-    while rx.recv_many(&mut batch, BATCH).await > 0 {
+    while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
         let messages = std::mem::take(&mut batch);
         if let Some(link) = node.links.get(to) {
-            link.slots(&node.name, messages, CALL_LIMIT).await;
+            link.slots(&node.name, messages, CALL_TIMEOUT).await;
         }
     }
 }
 
-/// Gives back idle slots on loan.
-async fn tick(node: Arc<Node>) {
+/// Returns idle borrowed slots to their owners.
+async fn return_idle_slots(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
-        let borrowed = entry.return_idle_slots();
+        let has_borrowed_slots = entry.return_idle_slots();
         drop(entry);
-        if borrowed {
-            sleep(TICK).await;
+        if has_borrowed_slots {
+            sleep(IDLE_CHECK_INTERVAL).await;
         } else {
-            // Woken when slots were lent.
-            let _ = timeout(REST, node.slots_moved.notified()).await;
+            // Woken by messages about slots.
+            let _ = timeout(NO_LOANS_CHECK_INTERVAL, node.slots_changed.notified()).await;
         }
     }
 }
 
 impl Node {
-    /// Handles messages of the instance `from`.
+    /// Handles slot messages from another instance.
     pub(crate) fn receive_slots(&self, from: &str, messages: Vec<SlotMessage>) {
         let Some(entry) = self.entry() else {
             return;
@@ -91,7 +91,7 @@
         for SlotMessage { service, message } in messages {
             entry.handle_slot_message(from, &service, message);
         }
-        self.slots_moved.notify_one();
+        self.slots_changed.notify_one();
     }
 
     fn entry(&self) -> Option<Arc<Entry<Node>>> {
--- a/crates/cleat-quorum/src/core/formation.rs
+++ b/crates/cleat-quorum/src/core/bootstrap.rs
@@ -1,10 +1,12 @@
-//! How voters with empty disks found a group.
+//! Bootstrap of a group by voters with empty disks.
 //!
-//! Each unformed voter asks all configured voters who they are. The one with
-//! the lowest id makes the genesis once every voter has answered it, in this
-//! incarnation of its disk, that it belongs to no group. A voter accepts one genesis
-//! at most, and only one that names its own identity; so two of them can't
-//! both gain a majority, and a voter that lost its disk can't found a second.
+//! Each uninitialized voter sends a hello to all configured voters. The voter
+//! with the lowest id creates the bootstrap snapshot once every other voter has
+//! replied, to the current identity of its disk, that it is uninitialized.
+//!
+//! A voter accepts at most one bootstrap snapshot, and only one that names its
+//! own identity. Therefore two bootstrap snapshots can't both reach a majority,
+//! and a voter that lost its disk can't bootstrap a second group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +19,21 @@
 use super::message::{Body, Hello};
 use super::types::{BOOTSTRAP_INDEX, Member, MemberId, Membership, Snapshot};
 
-/// What an unformed voter knows of the others.
+/// What an uninitialized voter knows about the other voters.
 #[derive(Debug)]
-pub(crate) struct Formation {
+pub(crate) struct BootstrapState {
     hello_due: Duration,
-    /// The latest identity heard of each voter.
-    heard: IndexMap<MemberId, u64>,
-    /// The identity of each voter that answered that it is unformed.
+    /// Latest disk identity received from each voter.
+    identities: IndexMap<MemberId, u64>,
+    /// Disk identity of each voter that replied that it is uninitialized.
     uninitialized: IndexMap<MemberId, u64>,
 }
 
-impl Formation {
-    pub(crate) fn new(now: Duration) -> Formation {
-        Formation {
+impl BootstrapState {
+    pub(crate) fn new(now: Duration) -> BootstrapState {
+        BootstrapState {
             hello_due: now,
-            heard: IndexMap::new(),
+            identities: IndexMap::new(),
             uninitialized: IndexMap::new(),
         }
     }
@@ -42,13 +44,13 @@
 }
 
 impl Core {
-    pub(super) fn tick_unformed(&mut self) {
-        if self.now < self.formation.hello_due {
+    pub(super) fn tick_uninitialized(&mut self) {
+        if self.now < self.bootstrap.hello_due {
             return;
         }
-        self.formation.hello_due = self.now + self.config.timing.heartbeat_interval;
+        self.bootstrap.hello_due = self.now + self.config.timing.heartbeat_interval;
         if !self.config.may_bootstrap() {
-            return self.ask_to_join();
+            return self.request_join();
         }
         let own = self.config.id;
         let others: Vec<MemberId> = self.config.voters().filter(|id| *id != own).collect();
@@ -60,31 +62,32 @@
         for voter in others {
             self.send(voter, Body::Hello(hello));
         }
-        self.form_group();
+        self.try_bootstrap();
     }
 
     pub(super) fn on_hello(&mut self, from: MemberId, hello: Hello) {
-        self.formation.heard.insert(from, hello.identity);
+        self.bootstrap.identities.insert(from, hello.identity);
         match hello.in_reply_to {
-            None => self.answer_hello(from, hello),
-            Some(asked) if asked == self.identity => self.hear_answer(from, hello),
+            None => self.reply_to_hello(from, hello),
+            Some(identity) if identity == self.identity => self.record_hello_reply(from, hello),
             Some(_) => {}
         }
     }
 
-    fn answer_hello(&mut self, from: MemberId, hello: Hello) {
-        let uninitialized = !self.is_formed() && self.config.may_bootstrap();
-        let answer = Hello {
+    fn reply_to_hello(&mut self, from: MemberId, hello: Hello) {
+        let uninitialized = !self.is_initialized() && self.config.may_bootstrap();
+        let reply = Hello {
             identity: self.identity,
             uninitialized,
             in_reply_to: Some(hello.identity),
         };
-        let message = self.message(from, self.hard_state.term, Body::Hello(answer));
+        let message = self.message(from, self.hard_state.term, Body::Hello(reply));
         self.send_durable(message);
         self.relay_bootstrap(from, hello.identity);
     }
 
-    /// Passes the genesis on, so that its maker may fail after one delivery.
+    /// Forwards the bootstrap snapshot, so that its creator may fail after
+    /// delivering it once.
     fn relay_bootstrap(&mut self, to: MemberId, identity: u64) {
         let Some(snapshot) = self.log.snapshot() else {
             return;
@@ -96,21 +99,21 @@
         }
     }
 
-    fn hear_answer(&mut self, from: MemberId, answer: Hello) {
-        if answer.uninitialized {
-            self.formation.uninitialized.insert(from, answer.identity);
+    fn record_hello_reply(&mut self, from: MemberId, reply: Hello) {
+        if reply.uninitialized {
+            self.bootstrap.uninitialized.insert(from, reply.identity);
         } else {
-            self.formation.uninitialized.shift_remove(&from);
+            self.bootstrap.uninitialized.shift_remove(&from);
         }
-        self.form_group();
+        self.try_bootstrap();
     }
 
-    fn form_group(&mut self) {
+    fn try_bootstrap(&mut self) {
         let lowest = self.config.voters().min();
-        if self.is_formed() || !self.config.may_bootstrap() || lowest != Some(self.config.id) {
+        if self.is_initialized() || !self.config.may_bootstrap() || lowest != Some(self.config.id) {
             return;
         }
-        let Some(membership) = self.founding_membership() else {
+        let Some(membership) = self.initial_membership() else {
             return;
         };
         let group = self.rng.random::<u32>().max(1);
@@ -122,19 +125,21 @@
             membership,
             data,
         });
-        // The others learn of the group with their next hello.
-        let others_know = self.now + self.config.timing.heartbeat_interval * 2;
-        self.election_due = self.election_due.min(others_know);
+        // The other voters receive the bootstrap snapshot in reply to their
+        // next hello.
+        let others_initialized_at = self.now + self.config.timing.heartbeat_interval * 2;
+        self.election_deadline = self.election_deadline.min(others_initialized_at);
     }
 
-    /// All configured members, once each voter is known to be unformed.
-    fn founding_membership(&self) -> Option<Membership> {
+    /// Membership of all configured members, once every other voter is known to
+    /// be uninitialized.
+    fn initial_membership(&self) -> Option<Membership> {
         let mut members = Vec::new();
         for configured in &self.config.members {
             let identity = if configured.id == self.config.id {
                 self.identity
             } else if configured.votes {
-                *self.formation.uninitialized.get(&configured.id)?
+                *self.bootstrap.uninitialized.get(&configured.id)?
             } else {
                 0
             };
@@ -152,11 +157,12 @@
 
     pub(super) fn on_bootstrap(&mut self, from: MemberId, snapshot: Snapshot) {
         let own = snapshot.membership.is_voter(self.config.id, self.identity);
-        if self.is_formed() || !own || snapshot.index != BOOTSTRAP_INDEX {
+        if self.is_initialized() || !own || snapshot.index != BOOTSTRAP_INDEX {
             return;
         }
-        // A genesis from a disk that its sender has lost by now founds nothing.
-        let heard = self.formation.heard.get(&from).copied();
+        // Ignore the bootstrap snapshot if its sender has lost the disk that it
+        // names.
+        let heard = self.bootstrap.identities.get(&from).copied();
         let sender = snapshot.membership.get(from).map(|member| member.identity);
         if heard.is_some() && heard != sender {
             return;
@@ -167,17 +173,18 @@
     fn install_bootstrap(&mut self, snapshot: Snapshot) {
         let snapshot = Arc::new(snapshot);
         self.group = snapshot.group;
-        self.durability.critical_written();
+        self.durability.mark_critical_write();
         self.write(Write::Snapshot(snapshot.clone()));
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.log.install(snapshot);
-        // An unformed member has confirmed no leader, so none relies on it.
-        self.sticky_until = self.now;
+        // An uninitialized member acknowledges no leader lease, so no leader
+        // relies on it to reject votes.
+        self.reject_votes_until = self.now;
         if self.is_sole_voter() {
             self.start_pre_vote();
         } else {
-            self.reset_election();
+            self.reset_election_timeout();
         }
     }
 }
--- a/crates/cleat-quorum/src/core/mod.rs
+++ b/crates/cleat-quorum/src/core/mod.rs
@@ -1,16 +1,18 @@
-//! The pure consensus core: `(state, event, now) -> effects`.
+//! The consensus core: a deterministic function of state, event and time that
+//! returns effects.
 //!
-//! No clock, socket, thread or global random source is used inside. `now` is
-//! a monotonic duration since any fixed point of this member's incarnation.
+//! The core uses no clock, socket, thread or global random source. `now` is a
+//! monotonic duration whose origin is fixed for one incarnation (one run of the
+//! process) of this member.
 
 mod apply;
+mod bootstrap;
 mod config;
 mod durability;
 mod election;
 mod event;
 mod follower;
-mod formation;
-mod joining;
+mod join;
 mod leader;
 mod lease;
 mod log;
@@ -44,29 +46,31 @@
     Term,
 };
 
+use bootstrap::BootstrapState;
 use durability::{Deferred, Durability};
-use formation::Formation;
-use lease::MemberLease;
+use lease::OwnLease;
 use log::Log;
-use progress::Leadership;
+use progress::LeaderState;
 
-/// How much longer the longest wait for another election is than the shortest.
-const RETRY_SPREAD: u32 = 4;
+/// Ratio of the longest delay before an election retry to the shortest.
+const ELECTION_RETRY_SPREAD: u32 = 4;
 
-/// What a member finds on its disk when it starts.
+/// State that a member reads from its disk at startup.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    /// The identity of the disk; drawn anew for a member without one.
+    /// Identity of the disk. A member without a disk draws a new one at each
+    /// start.
     pub identity: u64,
-    /// The term and vote.
+    /// Current term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot; none while the member belongs to no group.
+    /// Latest snapshot; `None` if the member is uninitialized (belongs to no
+    /// group).
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The entries after the snapshot.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// The part that a member plays in the current term.
+/// Role-specific state in the current term.
 #[derive(Debug)]
 enum State {
     Follower,
@@ -75,12 +79,12 @@
     },
     Candidate {
         votes: BTreeSet<MemberId>,
-        asked_at: Duration,
+        requested_at: Duration,
     },
-    Leader(Box<Leadership>),
+    Leader(Box<LeaderState>),
 }
 
-/// One member's consensus state.
+/// Consensus state of one member.
 #[derive(Debug)]
 pub struct Core {
     config: CoreConfig,
@@ -88,41 +92,43 @@
     rng: StdRng,
     now: Duration,
     hard_state: HardState,
-    /// The group, or 0 while the member belongs to none.
+    /// Identifier of the group, or 0 while the member is uninitialized.
     group: u32,
     log: Log,
     commit: LogIndex,
-    /// Invariant: `applied == commit` after each step.
+    /// Invariant: equal to `commit` after each step.
     applied: LogIndex,
     state: State,
     leader: Option<MemberId>,
-    /// Until when votes are refused because a leader may be live.
+    /// Time until which vote requests are rejected because a leader may be
+    /// live.
     ///
-    /// Invariant: at least `election_timeout_min` after the start of this incarnation, since
-    /// the member can't know which leader it heard before.
-    sticky_until: Duration,
-    election_due: Duration,
+    /// Invariant: at least `election_timeout_min` after this incarnation
+    /// started. A restarted member doesn't know when it last heard from a
+    /// leader, so it assumes the latest possible time.
+    reject_votes_until: Duration,
+    election_deadline: Duration,
     durability: Durability,
-    lease: MemberLease,
-    /// When a learner asks for its lease anew.
+    lease: OwnLease,
+    /// When this learner next requests a renewal of its lease.
     renewal_due: Duration,
-    formation: Formation,
-    /// Members that asked this leader to take them in.
+    bootstrap: BootstrapState,
+    /// Members that asked this leader to add them to the group.
     joiners: BTreeSet<MemberId>,
-    /// The last entry for which a snapshot was asked for.
-    snapshot_asked: LogIndex,
+    /// Index at which the last snapshot was requested from the state machine.
+    requested_snapshot_index: LogIndex,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// Starts a member from what its disk holds. The caller restores the state
-    /// machine from the snapshot's data, unless the snapshot is the genesis.
+    /// Creates a member from its recovered state. The caller restores the state
+    /// machine from the snapshot, unless that is the bootstrap snapshot.
     pub fn new(config: CoreConfig, recovery: Recovery, now: Duration) -> Core {
         let mut rng = StdRng::seed_from_u64(config.seed);
         let incarnation = rng.random();
         let log = Log::new(recovery.snapshot, recovery.entries);
         let commit = log.snapshot_index();
-        let sticky_until = now + config.timing.election_timeout_min;
+        let reject_votes_until = now + config.timing.election_timeout_min;
         let mut core = Core {
             identity: recovery.identity,
             rng,
@@ -135,69 +141,70 @@
             applied: commit,
             state: State::Follower,
             leader: None,
-            sticky_until,
-            election_due: now,
-            lease: MemberLease::new(incarnation),
+            reject_votes_until,
+            election_deadline: now,
+            lease: OwnLease::new(incarnation),
             renewal_due: now,
-            formation: Formation::new(now),
+            bootstrap: BootstrapState::new(now),
             joiners: BTreeSet::new(),
-            snapshot_asked: 0,
+            requested_snapshot_index: 0,
             effects: Vec::new(),
             config,
         };
         if !core.is_sole_voter() {
-            core.reset_election();
+            core.reset_election_timeout();
         }
         core
     }
 
-    /// Takes one event and gives what has to be done, in order.
+    /// Processes one event and returns the resulting effects in execution
+    /// order.
     pub fn step(&mut self, event: Event, now: Duration) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
             Event::Tick => self.tick(),
             Event::Receive(message) => self.receive(message),
-            Event::Synced(sync_id) => self.synced(sync_id),
+            Event::Synced(sync_id) => self.on_synced(sync_id),
             Event::Propose(commands) => self.propose(&commands),
-            Event::Read(id) => self.read(id),
-            Event::SnapshotTaken { index, data } => self.snapshot_taken(index, data),
-            Event::RemoveMember(id) => self.remove(id),
+            Event::Read(id) => self.start_read(id),
+            Event::SnapshotTaken { index, data } => self.on_snapshot_taken(index, data),
+            Event::RemoveMember(id) => self.remove_member(id),
             Event::TransferLeadership => self.transfer_leadership(),
-            Event::ReleaseLease => self.release(),
+            Event::ReleaseLease => self.release_lease(),
         }
         self.renew_own_lease();
-        if let Some(sync_id) = self.durability.seal(self.log.last_index()) {
+        if let Some(sync_id) = self.durability.finish_step(self.log.last_index()) {
             self.effects.push(Effect::Sync(sync_id));
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn deadline(&self) -> Duration {
         match &self.state {
-            State::Leader(leadership) => leadership.heartbeat_due,
-            _ if !self.is_formed() => self.formation.hello_due(),
-            _ if self.asks_for_lease() => self.renewal_due.min(self.election_due),
-            _ => self.election_due,
+            State::Leader(leader_state) => leader_state.heartbeat_due,
+            _ if !self.is_initialized() => self.bootstrap.hello_due(),
+            _ if self.requests_lease_renewal() => self.renewal_due.min(self.election_deadline),
+            _ => self.election_deadline,
         }
     }
 
     fn tick(&mut self) {
         if matches!(self.state, State::Leader(_)) {
             self.tick_leader();
-        } else if !self.is_formed() {
-            self.tick_unformed();
+        } else if !self.is_initialized() {
+            self.tick_uninitialized();
         } else {
             self.tick_follower();
         }
     }
 
     fn tick_follower(&mut self) {
-        if self.now >= self.election_due {
+        if self.now >= self.election_deadline {
             return self.start_pre_vote();
         }
-        if self.asks_for_lease() && self.now >= self.renewal_due {
-            self.ask_for_lease();
+        if self.requests_lease_renewal() && self.now >= self.renewal_due {
+            self.request_lease_renewal();
         }
     }
 
@@ -218,14 +225,14 @@
             Body::Join(id) => return self.on_join(from, id),
             _ => {}
         }
-        if !self.is_formed() {
-            self.receive_unformed(group, from, term, body);
+        if !self.is_initialized() {
+            self.receive_uninitialized(group, from, term, body);
         } else if group == self.group {
-            self.receive_formed(from, term, body);
+            self.receive_initialized(from, term, body);
         }
     }
 
-    fn receive_formed(&mut self, from: MemberId, term: Term, body: Body) {
+    fn receive_initialized(&mut self, from: MemberId, term: Term, body: Body) {
         match body {
             Body::Append(append) => self.on_append(from, term, append),
             Body::InstallSnapshot(install) => self.on_install(from, term, install),
@@ -238,8 +245,9 @@
         }
     }
 
-    /// A member of no group only learns from a leader; it never votes.
-    fn receive_unformed(&mut self, group: u32, from: MemberId, term: Term, body: Body) {
+    /// Handles messages while this member is uninitialized. It accepts entries
+    /// and snapshots from a leader, but never votes.
+    fn receive_uninitialized(&mut self, group: u32, from: MemberId, term: Term, body: Body) {
         if term < self.hard_state.term {
             return;
         }
@@ -261,8 +269,8 @@
         }
     }
 
-    fn synced(&mut self, sync_id: SyncId) {
-        for deferred in self.durability.synced(sync_id) {
+    fn on_synced(&mut self, sync_id: SyncId) {
+        for deferred in self.durability.complete_sync(sync_id) {
             match deferred {
                 Deferred::Send(message) => self.effects.push(Effect::Send(message)),
                 Deferred::Ack {
@@ -285,7 +293,8 @@
         self.advance_commit();
     }
 
-    /// Takes over a higher term; votes and roles of earlier ones are void.
+    /// Adopts `term` if it is higher than the current one, and becomes a
+    /// follower.
     fn observe_term(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.set_hard_state(HardState {
@@ -298,17 +307,17 @@
 
     fn set_hard_state(&mut self, hard_state: HardState) {
         self.hard_state = hard_state;
-        self.durability.critical_written();
+        self.durability.mark_critical_write();
         self.write(Write::HardState(hard_state));
     }
 
     fn become_follower(&mut self) {
         let state = std::mem::replace(&mut self.state, State::Follower);
         self.leader = None;
-        self.reset_election();
-        if let State::Leader(leadership) = state {
+        self.reset_election_timeout();
+        if let State::Leader(leader_state) = state {
             let rejection = Rejection::NotLeader { leader: None };
-            for read in leadership.reads {
+            for read in leader_state.reads {
                 self.effects.push(Effect::ReadRejected {
                     id: read.id,
                     rejection,
@@ -318,32 +327,35 @@
         }
     }
 
-    fn reset_election(&mut self) {
+    fn reset_election_timeout(&mut self) {
         let Timing {
             election_timeout_min,
             election_timeout_max,
             lease_renewal,
             ..
         } = self.config.timing;
-        let wait = self
+        let timeout = self
             .rng
             .random_range(election_timeout_min..=election_timeout_max.max(election_timeout_min));
-        // A learner elects nobody, and hears the leader less often.
+        // A learner starts no election and receives heartbeats less often.
         let learner = !self.is_voter();
-        let patience = if learner {
+        let learner_delay = if learner {
             lease_renewal
         } else {
             Duration::ZERO
         };
-        self.election_due = self.now + wait + patience;
+        self.election_deadline = self.now + timeout + learner_delay;
     }
 
-    /// Sets when to try again if the election under way fails. The leader is
-    /// gone by then, so the members' leases leave no time for a full wait.
-    fn retry_election(&mut self) {
+    /// Schedules a retry in case the current election fails. The leader is
+    /// presumed dead by then, and waiting a full election timeout would let the
+    /// member leases expire.
+    fn schedule_election_retry(&mut self) {
         let longest = self.config.timing.election_timeout_min;
-        let wait = self.rng.random_range(longest / RETRY_SPREAD..=longest);
-        self.election_due = self.now + wait;
+        let wait = self
+            .rng
+            .random_range(longest / ELECTION_RETRY_SPREAD..=longest);
+        self.election_deadline = self.now + wait;
     }
 
     fn write(&mut self, write: Write) {
@@ -356,9 +368,9 @@
         self.effects.push(Effect::Send(message));
     }
 
-    /// Sends once everything written so far is on the disk.
+    /// Sends a message once all writes so far are synced.
     fn send_durable(&mut self, message: Message) {
-        if self.durability.is_clean() || !self.config.protections.sync_before_send {
+        if self.durability.is_fully_synced() || !self.config.protections.sync_before_send {
             self.effects.push(Effect::Send(message));
         } else {
             self.durability.defer(Deferred::Send(message));
@@ -376,7 +388,7 @@
     }
 
     /// Whether this member belongs to a group.
-    fn is_formed(&self) -> bool {
+    fn is_initialized(&self) -> bool {
         self.log.snapshot().is_some()
     }
 
@@ -390,9 +402,10 @@
         membership.is_voter(self.config.id, self.identity)
     }
 
-    /// A group of one elects itself at once: no other leader can be live.
+    /// Whether this member is the only voter. A sole voter elects itself
+    /// without waiting, because no other leader can be live.
     fn is_sole_voter(&self) -> bool {
-        if self.is_formed() {
+        if self.is_initialized() {
             return self.is_voter() && self.log.membership().voters().count() == 1;
         }
         self.config.may_bootstrap() && self.config.voters().count() == 1
--- a/crates/cleat-quorum/tests/group/mod.rs
+++ b/crates/cleat-quorum/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! Cores whose syncs end at once and whose messages arrive in order.
+//! Test group of cores. Syncs complete at once, and messages arrive in order.
 
 pub(crate) mod recovery;
 
@@ -15,13 +15,13 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-/// Cores whose syncs end at once and whose messages arrive in order.
+/// Cores that are stepped in turn, with their queued messages.
 pub(crate) struct Group {
     pub(crate) cores: Vec<Core>,
     pub(crate) now: Duration,
     pub(crate) queue: VecDeque<Message>,
-    /// Which messages arrive, and with what.
-    pub(crate) passes: fn(&mut Message) -> bool,
+    /// Decides whether a message is delivered; may modify it.
+    pub(crate) filter_message: fn(&mut Message) -> bool,
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -51,12 +51,12 @@
             cores: (0..voters + learners).map(start).collect(),
             now: Duration::ZERO,
             queue: VecDeque::new(),
-            passes: |_| true,
+            filter_message: |_| true,
             effects: Vec::new(),
         }
     }
 
-    pub(crate) fn formed(voters: u32, learners: u32) -> Group {
+    pub(crate) fn with_defaults(voters: u32, learners: u32) -> Group {
         Group::new(voters, learners, |_, _, _| {})
     }
 
@@ -74,14 +74,14 @@
     }
 
     pub(crate) fn deliver_all(&mut self) {
-        // A message that is robbed of its entries is answered and sent again
-        // without end, so only so many arrive at one moment.
-        const AT_ONCE: usize = 100;
-        for _ in 0..AT_ONCE {
+        // An append whose entries were filtered out is answered and resent
+        // endlessly, so the number of messages per call is limited.
+        const MAX_MESSAGES_PER_CALL: usize = 100;
+        for _ in 0..MAX_MESSAGES_PER_CALL {
             let Some(mut message) = self.queue.pop_front() else {
                 return;
             };
-            if (self.passes)(&mut message) {
+            if (self.filter_message)(&mut message) {
                 self.step(message.to.0, Event::Receive(message));
             }
         }
@@ -116,11 +116,11 @@
     }
 
     pub(crate) fn rejections(&self) -> Vec<Rejection> {
-        let refused = |effect: &Effect| match effect {
+        let rejection = |effect: &Effect| match effect {
             Effect::Rejected(rejection) => Some(*rejection),
             _ => None,
         };
-        self.effects.iter().filter_map(refused).collect()
+        self.effects.iter().filter_map(rejection).collect()
     }
 }
 
--- a/crates/cleat-quorum/tests/schedules.rs
+++ b/crates/cleat-quorum/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of faults over pure cores.
+//! Simulations of groups of cores under seeded schedules of faults.
 
 mod simulation;
 
@@ -9,8 +9,8 @@
 
 const THREADS: u64 = 4;
 
-/// Runs seeds on a few threads until one breaks an invariant; gives the first
-/// of those that were reached.
+/// Runs the seeds on several threads, each of which stops at its first
+/// violation. Returns the violation with the lowest seed.
 fn first_violation(seeds: Range<u64>, plan: Plan) -> Option<(u64, Violation)> {
     let failed = run_all(seeds, move |seed| run(seed, plan).map(drop));
     failed
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn schedule_random_faults_upkeep() {
+fn schedule_random_faults_with_disk_loss_and_stop() {
     let plan = Plan {
-        upkeep: true,
+        disk_loss_and_stop: true,
         random_faults: 4,
         ..Plan::default()
     };
@@ -93,38 +93,39 @@
     assert_eq!(first_violation(seeds(150), plan), None);
 }
 
-/// The leases outlive their leader, unless the first election fails.
+/// The member leases must outlast the crash of the leader, unless the first
+/// election fails.
 #[test]
-fn schedule_leader_dies() {
+fn schedule_leader_crashes() {
     let plan = Plan {
-        kill_leader: true,
+        crash_leader: true,
         leadership_transfers: 0,
         random_faults: 0,
         ..Plan::default()
     };
     let results = run_all(seeds(200), move |seed| {
-        run(seed, plan).map(|world| world.lapsed.len())
+        run(seed, plan).map(|world| world.expired.len())
     });
     assert!(results.iter().all(|(_, result)| result.is_ok()));
-    let lapsed = results
+    let expired = results
         .iter()
-        .filter(|(_, lapsed)| *lapsed != Ok(0))
+        .filter(|(_, expired)| *expired != Ok(0))
         .count();
     println!(
-        "leases lapsed after {lapsed} of {} deaths of a leader",
+        "member leases expired after {expired} of {} leader crashes",
         results.len()
     );
     assert!(
-        lapsed * 20 <= results.len(),
-        "{lapsed} of {}",
+        expired * 20 <= results.len(),
+        "{expired} of {}",
         results.len()
     );
 }
 
-/// A lead that is handed over is missing for some round trips and a sync,
-/// not for an election time-out.
+/// A leadership transfer must leave the group without a leader only for a few
+/// round trips and a sync, not for an election timeout.
 #[test]
-fn schedule_leader_hands_over() {
+fn schedule_leadership_transfer() {
     let plan = Plan {
         leadership_transfers: 1,
         random_faults: 0,
@@ -132,27 +133,31 @@
         ..Plan::default()
     };
     let results = run_all(seeds(200), move |seed| {
-        run(seed, plan).map(|world| world.without_leader)
+        run(seed, plan).map(|world| world.leaderless_periods)
     });
     let times = results
         .into_iter()
         .map(|(_, times)| times.expect("no fault"));
     let mut times: Vec<_> = times.flatten().collect();
     times.sort_unstable();
-    assert!(times.len() >= 190, "{} of 200 handed over", times.len());
+    assert!(
+        times.len() >= 190,
+        "{} of 200 transfers completed",
+        times.len()
+    );
     let at = |percent| times[(times.len() - 1) * percent / 100];
     let (median, late, last) = (at(50), at(95), at(100));
     println!(
-        "{} leads handed over: none for {median} us at p50, {late} at p95, {last} at most",
+        "{} leadership transfers, time without a leader: {median} us at p50, {late} us at p95, {last} us at maximum",
         times.len()
     );
     assert!(late < SECOND / 10, "{late} us");
 }
 
-/// Every fault at every step: the schedule must reach the step, and the group
-/// must hold its invariants and recover.
+/// Injects every fault at every step. Each step must be reached, and the group
+/// must preserve its invariants and recover.
 #[test]
-fn matrix_every_step_and_fault() {
+fn every_fault_at_every_step() {
     const SEEDS: u64 = 8;
     let mut table = format!("{:12}", "step");
     for fault in Fault::ALL {
@@ -162,31 +167,31 @@
         table += &format!("\n{:12}", format!("{step:?}"));
         for fault in Fault::ALL {
             let plan = Plan {
-                cell: Some((step, fault)),
-                upkeep: true,
+                targeted_fault: Some((step, fault)),
+                disk_loss_and_stop: true,
                 random_faults: 0,
                 ..Plan::default()
             };
-            let job = |seed| run(seed, plan).map(|world: World| world.hits);
+            let job = |seed| run(seed, plan).map(|world: World| world.targeted_injections);
             let results = run_all(seeds(SEEDS), job);
             let failed: Vec<_> = results
                 .iter()
                 .filter(|(_, result)| result.is_err())
                 .collect();
             assert!(failed.is_empty(), "{step:?} x {fault:?}: {failed:?}");
-            let hits: u32 = results
+            let targeted_injections: u32 = results
                 .iter()
-                .filter_map(|(_, hits)| hits.as_ref().ok())
+                .filter_map(|(_, targeted_injections)| targeted_injections.as_ref().ok())
                 .sum();
-            assert!(hits > 0, "{step:?} was never reached");
-            table += &format!("{hits:>12}");
+            assert!(targeted_injections > 0, "{step:?} was never reached");
+            table += &format!("{targeted_injections:>12}");
         }
     }
-    println!("schedules that passed with the fault at the step, of {SEEDS}\n{table}");
+    println!("schedules that passed with the fault injected at the step, of {SEEDS}\n{table}");
 }
 
-/// Many faults on slow disks, with one protection off.
-fn without(faults: &'static [Fault], change: impl FnOnce(&mut Protections)) -> Plan {
+/// A plan with many faults on slow disks and one protection disabled.
+fn plan_without(faults: &'static [Fault], change: impl FnOnce(&mut Protections)) -> Plan {
     let mut protections = Protections::default();
     change(&mut protections);
     let slow_sync = (0.3, SECOND);
@@ -201,19 +206,28 @@
     }
 }
 
-const CRASHES: &[Fault] = &[Fault::Kill, Fault::CutBoth, Fault::Second];
-const CUTS: &[Fault] = &[Fault::CutIn, Fault::CutOut, Fault::CutBoth];
-const PAUSES: &[Fault] = &[Fault::Freeze, Fault::Delay, Fault::CutIn, Fault::CutOut];
+const CRASHES: &[Fault] = &[Fault::Crash, Fault::CutBoth, Fault::Compound];
+const CUTS: &[Fault] = &[Fault::CutInbound, Fault::CutOutbound, Fault::CutBoth];
+const PAUSES: &[Fault] = &[
+    Fault::Pause,
+    Fault::Delay,
+    Fault::CutInbound,
+    Fault::CutOutbound,
+];
 
-/// Shows that the checks notice a protection that is switched off.
-fn assert_red(name: &str, plan: Plan, expected: fn(&Violation) -> bool) {
+/// Asserts that the checks detect a disabled protection.
+fn assert_detects(name: &str, plan: Plan, expected: fn(&Violation) -> bool) {
     let failed = first_violation(seeds(4000), plan);
-    println!("{name} off: {failed:?}");
-    let (_, violation) = failed.unwrap_or_else(|| panic!("nothing noticed {name} off"));
-    assert!(expected(&violation), "{name} off gave {violation:?}");
+    println!("{name} disabled: {failed:?}");
+    let (_, violation) =
+        failed.unwrap_or_else(|| panic!("no check detected that {name} was disabled"));
+    assert!(
+        expected(&violation),
+        "{name} disabled: unexpected violation {violation:?}"
+    );
 }
 
-fn loses_entries(violation: &Violation) -> bool {
+fn is_log_violation(violation: &Violation) -> bool {
     use Violation::{CommittedChanged, CommittedLost, LogsDiffer, StateDiffers, TwoLeadersInTerm};
     matches!(
         violation,
@@ -225,79 +239,80 @@
     )
 }
 
-fn serves_behind(violation: &Violation) -> bool {
+fn serves_stale_state(violation: &Violation) -> bool {
     matches!(violation, Violation::ServesBehind(..))
 }
 
 #[test]
 fn protection_sync_before_send() {
-    let plan = without(CRASHES, |p| p.sync_before_send = false);
-    assert_red("sync before send", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.sync_before_send = false);
+    assert_detects("sync before send", plan, is_log_violation);
 }
 
 #[test]
 fn protection_commit_after_own_sync() {
-    let plan = without(CRASHES, |p| p.commit_after_own_sync = false);
-    assert_red("own sync counts", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.commit_after_own_sync = false);
+    assert_detects("commit after own sync", plan, is_log_violation);
 }
 
 #[test]
 fn protection_log_check() {
-    let plan = without(CRASHES, |p| p.log_check = false);
-    assert_red("log check", plan, loses_entries);
+    let plan = plan_without(CRASHES, |p| p.log_check = false);
+    assert_detects("log check", plan, is_log_violation);
 }
 
 #[test]
 fn protection_identity_check() {
-    let plan = without(&[Fault::LostDisk], |p| p.identity_check = false);
-    assert_red("identity check", plan, |v| {
+    let plan = plan_without(&[Fault::LoseDisk], |p| p.identity_check = false);
+    assert_detects("identity check", plan, |v| {
         matches!(v, Violation::LostDiskVotes(..))
     });
 }
 
 #[test]
-fn protection_stickiness() {
-    // Without proposals a cut-off member stays up to date and can be elected.
-    let plan = without(CUTS, |p| p.stickiness = false);
+fn protection_leader_stickiness() {
+    // Without proposals, a member that is cut off stays up to date and can be
+    // elected.
+    let plan = plan_without(CUTS, |p| p.leader_stickiness = false);
     let plan = Plan {
-        client_pause: 5 * SECOND,
+        max_client_pause: 5 * SECOND,
         learners: 0,
         ..plan
     };
-    assert_red("stickiness", plan, |v| {
+    assert_detects("leader stickiness", plan, |v| {
         matches!(v, Violation::TwoLeaderLeases)
     });
 }
 
 #[test]
 fn protection_transfer_ends_lease() {
-    let plan = without(PAUSES, |p| p.transfer_ends_lease = false);
+    let plan = plan_without(PAUSES, |p| p.transfer_ends_lease = false);
     let plan = Plan {
-        cell: Some((Step::TimeoutNow, Fault::CutBoth)),
+        targeted_fault: Some((Step::TimeoutNow, Fault::CutBoth)),
         leadership_transfers: 4,
         random_faults: 0,
         slow_sync: (0.0, SECOND),
         ..plan
     };
-    assert_red("transfer ends lease", plan, |v| {
+    assert_detects("transfer ends lease", plan, |v| {
         matches!(v, Violation::TwoLeaderLeases)
     });
 }
 
 #[test]
 fn protection_lease_from_send() {
-    let plan = without(PAUSES, |p| p.lease_from_send = false);
-    assert_red("lease from send", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.lease_from_send = false);
+    assert_detects("lease from send", plan, serves_stale_state);
 }
 
 #[test]
 fn protection_apply_before_lease_resumes() {
-    let plan = without(PAUSES, |p| p.apply_before_lease_resumes = false);
-    assert_red("renewal gate", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.apply_before_lease_resumes = false);
+    assert_detects("apply before lease resumes", plan, serves_stale_state);
 }
 
 #[test]
 fn protection_inherited_leases() {
-    let plan = without(PAUSES, |p| p.inherited_leases = false);
-    assert_red("inherited leases", plan, serves_behind);
+    let plan = plan_without(PAUSES, |p| p.inherited_leases = false);
+    assert_detects("inherited leases", plan, serves_stale_state);
 }
--- a/crates/cleat-quorum/tests/simulation/fault.rs
+++ b/crates/cleat-quorum/tests/simulation/fault.rs
@@ -1,36 +1,46 @@
-//! The faults, and the named steps of the protocol at which they inject.
+//! Faults, and the protocol steps at which they are injected.
 
 use cleat_quorum::{Body, Message, Payload};
 use rand::RngExt;
 
-use super::{Conditions, MILLI, Micros, NORMAL, Occurrence, SECOND, World};
+use super::{FAULT_FREE, MILLI, Micros, NetworkConditions, Occurrence, SECOND, World};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    Kill,
-    LostDisk,
-    CutIn,
-    CutOut,
+    Crash,
+    LoseDisk,
+    CutInbound,
+    CutOutbound,
     CutBoth,
-    Freeze,
+    Pause,
     Duplicate,
     Delay,
     Reorder,
-    /// A kill, and another fault elsewhere while the first recovers.
-    Second,
+    /// A crash, and another fault on a random member soon after the first one
+    /// restarts.
+    Compound,
 }
 
 impl Fault {
     pub(crate) const ALL: [Fault; 10] = {
-        use Fault::{CutBoth, CutIn, CutOut, Delay, Duplicate};
-        use Fault::{Freeze, Kill, LostDisk, Reorder, Second};
+        use Fault::{Compound, Crash, LoseDisk, Pause, Reorder};
+        use Fault::{CutBoth, CutInbound, CutOutbound, Delay, Duplicate};
         [
-            Kill, LostDisk, CutIn, CutOut, CutBoth, Freeze, Duplicate, Delay, Reorder, Second,
+            Crash,
+            LoseDisk,
+            CutInbound,
+            CutOutbound,
+            CutBoth,
+            Pause,
+            Duplicate,
+            Delay,
+            Reorder,
+            Compound,
         ]
     };
 }
 
-/// The steps of the protocol.
+/// Steps of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Hello,
@@ -88,97 +98,99 @@
     payloads.any(|payload| matches!(payload, Payload::Membership(_)))
 }
 
-const DUPLICATING: Conditions = Conditions {
+const DUPLICATING: NetworkConditions = NetworkConditions {
     duplicate: 0.5,
-    ..NORMAL
+    ..FAULT_FREE
 };
-const DELAYING: Conditions = Conditions {
+const DELAYING: NetworkConditions = NetworkConditions {
     delay: 0.3,
     drop: 0.1,
-    ..NORMAL
+    ..FAULT_FREE
 };
-const REORDERING: Conditions = Conditions {
+const REORDERING: NetworkConditions = NetworkConditions {
     reorder: 0.7,
-    ..NORMAL
+    ..FAULT_FREE
 };
 
 impl World {
-    /// Lets a fault inject; false if it is beyond what may happen.
+    /// Injects a fault. Returns false if the fault is not possible, or is more
+    /// than the protocol tolerates.
     pub(super) fn inject(&mut self, at: usize, fault: Fault) -> bool {
-        let lasts = self.rng.random_range(50 * MILLI..4 * SECOND);
+        let fault_duration = self.rng.random_range(50 * MILLI..4 * SECOND);
         match fault {
-            Fault::Kill => self.kill(at, lasts),
-            Fault::LostDisk => {
-                if !self.may_lose_disk(at) {
+            Fault::Crash => self.crash(at, fault_duration),
+            Fault::LoseDisk => {
+                if !self.can_lose_disk(at) {
                     return false;
                 }
-                self.kill(at, lasts);
+                self.crash(at, fault_duration);
                 self.voter_disks_lost += u32::from(self.nodes[at].votes);
                 self.nodes[at].disk = super::node::Disk::default();
             }
-            Fault::CutIn => self.cut(at, true, false, lasts),
-            Fault::CutOut => self.cut(at, false, true, lasts),
-            Fault::CutBoth => self.cut(at, true, true, lasts),
-            Fault::Freeze => {
+            Fault::CutInbound => self.cut(at, true, false, fault_duration),
+            Fault::CutOutbound => self.cut(at, false, true, fault_duration),
+            Fault::CutBoth => self.cut(at, true, true, fault_duration),
+            Fault::Pause => {
                 if self.nodes[at].core.is_none() {
                     return false;
                 }
-                self.nodes[at].frozen = true;
-                self.after(lasts, Occurrence::Thaw(at));
+                self.nodes[at].paused = true;
+                self.after(fault_duration, Occurrence::Resume(at));
             }
-            Fault::Duplicate => self.set_conditions(DUPLICATING, lasts),
-            Fault::Delay => self.set_conditions(DELAYING, lasts),
-            Fault::Reorder => self.set_conditions(REORDERING, lasts),
-            Fault::Second => {
-                self.kill(at, lasts);
+            Fault::Duplicate => self.set_conditions(DUPLICATING, fault_duration),
+            Fault::Delay => self.set_conditions(DELAYING, fault_duration),
+            Fault::Reorder => self.set_conditions(REORDERING, fault_duration),
+            Fault::Compound => {
+                self.crash(at, fault_duration);
                 let node = self.rng.random_range(0..self.nodes.len());
                 let fault = Fault::ALL[self.rng.random_range(0..Fault::ALL.len() - 1)];
-                let soon = lasts + self.rng.random_range(0..SECOND);
-                self.after(soon, Occurrence::Inject(node, fault));
+                let delay = fault_duration + self.rng.random_range(0..SECOND);
+                self.after(delay, Occurrence::Inject(node, fault));
             }
         }
         true
     }
 
-    fn kill(&mut self, at: usize, lasts: Micros) {
+    fn crash(&mut self, at: usize, fault_duration: Micros) {
         let World { nodes, rng, .. } = self;
-        nodes[at].kill(rng);
-        self.after(lasts, Occurrence::Restart(at));
+        nodes[at].crash(rng);
+        self.after(fault_duration, Occurrence::Restart(at));
     }
 
-    fn cut(&mut self, at: usize, cut_in: bool, cut_out: bool, lasts: Micros) {
-        // Half of the cuts hit only some of the links.
-        let partly = self.rng.random_bool(0.5);
+    fn cut(&mut self, at: usize, inbound: bool, outbound: bool, fault_duration: Micros) {
+        // Half of the partitions affect only some of the links.
+        let partial = self.rng.random_bool(0.5);
         for other in 0..self.nodes.len() {
-            if partly && self.rng.random_bool(0.5) {
+            if partial && self.rng.random_bool(0.5) {
                 continue;
             }
             let id = self.nodes[other].id;
-            if cut_in {
-                self.nodes[at].cut_in.insert(id);
+            if inbound {
+                self.nodes[at].blocked_inbound.insert(id);
             }
-            if cut_out {
-                self.nodes[at].cut_out.insert(id);
+            if outbound {
+                self.nodes[at].blocked_outbound.insert(id);
             }
         }
-        self.after(lasts, Occurrence::Uncut(at));
+        self.after(fault_duration, Occurrence::RestoreLinks(at));
     }
 
-    fn set_conditions(&mut self, conditions: Conditions, lasts: Micros) {
+    fn set_conditions(&mut self, conditions: NetworkConditions, fault_duration: Micros) {
         self.conditions = conditions;
-        self.after(lasts, Occurrence::Normal);
+        self.after(fault_duration, Occurrence::RestoreNetwork);
     }
 
-    /// One voter at a time may lose its disk, and the next only once the
-    /// first votes again: more is beyond what the group can survive. Before
-    /// the genesis is made, one may; a genesis that names two lost disks has
-    /// no majority.
-    fn may_lose_disk(&self, at: usize) -> bool {
+    /// Whether this node may lose its disk. The group tolerates the loss of one
+    /// voter's disk at a time, and the next one only after the first voter
+    /// votes again. Before the bootstrap snapshot is created, only one voter
+    /// may lose its disk: a bootstrap snapshot that names two lost disks has no
+    /// majority.
+    fn can_lose_disk(&self, at: usize) -> bool {
         let lost = |node: &&super::node::Node| {
             let identity = node.disk.identity.unwrap_or_default();
-            node.votes && self.checker.lacks_vote(node.id, identity)
+            node.votes && self.checker.is_not_voter(node.id, identity)
         };
-        let sound = self.checker.knows_group() || self.voter_disks_lost == 0;
-        !self.nodes[at].votes || (sound && self.nodes.iter().filter(lost).count() == 0)
+        let tolerated = self.checker.is_bootstrapped() || self.voter_disks_lost == 0;
+        !self.nodes[at].votes || (tolerated && self.nodes.iter().filter(lost).count() == 0)
     }
 }
