--- a/crates/cleat-entry/examples/alone.rs
+++ b/crates/cleat-entry/examples/alone.rs
@@ -23,9 +23,9 @@
 }"#;
 
 /// Always in service, never with a quorum.
-struct Alone;
+struct AlwaysInService;
 
-impl Control for Alone {
+impl Control for AlwaysInService {
     fn in_service(&self) -> bool {
         true
     }
@@ -84,7 +84,7 @@
         seed: 7,
         limits: Limits::default(),
     };
-    let entry = Entry::bind(cfg, Arc::new(Alone)).await?;
+    let entry = Entry::bind(cfg, Arc::new(AlwaysInService)).await?;
     entry.update_routes(&world(target.parse()?));
     println!("{{\"address\":\"{}\"}}", entry.local_addr());
     std::future::pending().await
--- a/crates/cleat-entry/tests/admission.rs
+++ b/crates/cleat-entry/tests/admission.rs
@@ -10,7 +10,11 @@
 use support::{FakeControl, Fleet, Reply, Step, Target, entry, entry_with, eventually, get, post};
 use tokio::task::JoinSet;
 
-async fn many(address: std::net::SocketAddr, count: usize, headers: &'static str) -> Vec<Reply> {
+async fn send_many(
+    address: std::net::SocketAddr,
+    count: usize,
+    headers: &'static str,
+) -> Vec<Reply> {
     let mut calls = JoinSet::new();
     for _ in 0..count {
         calls.spawn(async move { get(address, "/dock/x", headers).await });
@@ -21,13 +25,17 @@
 #[tokio::test]
 async fn slots_never_exceeded() {
     let (a, b) = (slow_target().await, slow_target().await);
-    let fleet = Fleet::with(json!({"queue": {"length": 500}}), &[&a, &b], 3);
+    let fleet = Fleet::with_targets(json!({"queue": {"length": 500}}), &[&a, &b], 3);
     let (entry, _) = entry(&fleet).await;
-    let replies = many(entry.local_addr(), 60, "").await;
+    let replies = send_many(entry.local_addr(), 60, "").await;
     assert!(replies.iter().all(|reply| reply.status == 200));
     for target in [&a, &b] {
-        assert_eq!(target.most(), 3, "slots are used up and never exceeded");
-        assert!(target.connections_most() <= 3);
+        assert_eq!(
+            target.max_in_progress(),
+            3,
+            "slots are used up and never exceeded"
+        );
+        assert!(target.max_connections() <= 3);
     }
     assert_eq!(a.count() + b.count(), 60);
     assert!(entry.counters()["entry.waited"] > 0);
@@ -40,7 +48,7 @@
 #[tokio::test]
 async fn slots_shared_among_entries() {
     let target = slow_target().await;
-    let fleet = Fleet::with(json!({}), &[&target], 4);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 4);
     let names = ["e1", "e2", "e3"];
     let mut calls = JoinSet::new();
     let mut entries = Vec::new();
@@ -48,19 +56,19 @@
         let control = Arc::new(FakeControl::default());
         let entry = entry_with(&fleet, control, name, &names, support::limits()).await;
         let address = entry.local_addr();
-        calls.spawn(async move { many(address, 12, "").await });
+        calls.spawn(async move { send_many(address, 12, "").await });
         entries.push(entry);
     }
     let replies: Vec<Reply> = calls.join_all().await.into_iter().flatten().collect();
     assert!(replies.iter().all(|reply| reply.status == 200));
-    assert!(target.most() <= 4);
-    assert!(target.connections_most() <= 4);
+    assert!(target.max_in_progress() <= 4);
+    assert!(target.max_connections() <= 4);
 }
 
 #[tokio::test]
 async fn slots_kept_by_abandoned_requests() {
     let target = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let call = tokio::spawn(get(entry.local_addr(), "/dock/x", ""));
     eventually("it runs", || target.in_progress() == 1).await;
     call.abort();
@@ -74,7 +82,7 @@
 async fn queue_full_refused_at_once() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
     let terms = json!({"queue": {"length": 2}});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let started = Instant::now();
     let mut calls = JoinSet::new();
     for _ in 0..6 {
@@ -92,15 +100,15 @@
 }
 
 #[tokio::test]
-async fn queue_left_before_the_deadline_when_it_is_hopeless() {
+async fn queue_refuses_on_arrival_what_cannot_finish_in_time() {
     let target = Target::spawn(|_| Step::slow_ok(150, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     for _ in 0..3 {
         // The gate learns how long the work takes.
         get(address, "/dock/x", "").await;
     }
-    let replies = many(address, 8, "celerycleat-deadline-ms: 400\r\n").await;
+    let replies = send_many(address, 8, "celerycleat-deadline-ms: 400\r\n").await;
     let refused = replies.iter().filter(|reply| reply.status == 503).count();
     assert!((5..8).contains(&refused), "{refused}");
     for reply in replies.iter().filter(|reply| reply.status != 200) {
@@ -109,13 +117,13 @@
 }
 
 #[tokio::test]
-async fn queue_left_once_it_is_hopeless() {
+async fn queue_refuses_while_waiting_what_cannot_finish_in_time() {
     let target = Target::spawn(|head| match () {
         () if head.contains("/long") => Step::slow_ok(700, "own"),
         () => Step::slow_ok(300, "own"),
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     for _ in 0..3 {
         get(address, "/dock/x", "").await;
@@ -133,7 +141,7 @@
 async fn quota_refused_with_429() {
     let target = Target::ok("own").await;
     let terms = json!({"callers": {"school": {"quota": {"per_second": 1, "burst": 2}}}});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 8)).await;
     let mut summaries = Vec::new();
     for _ in 0..3 {
         let reply = get(
@@ -152,10 +160,10 @@
 #[tokio::test]
 async fn target_withdrawn_gets_nothing_new() {
     let (leaving, staying) = (slow_target().await, slow_target().await);
-    let mut fleet = Fleet::with(json!({}), &[&leaving, &staying], 4);
+    let mut fleet = Fleet::with_targets(json!({}), &[&leaving, &staying], 4);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
-    let running = tokio::spawn(many(address, 30, ""));
+    let running = tokio::spawn(send_many(address, 30, ""));
     eventually("both are used", || {
         leaving.count() > 2 && staying.count() > 2
     })
@@ -169,11 +177,11 @@
             .iter()
             .all(|r| r.summary() == "200 answered target's own")
     );
-    many(address, 10, "").await;
+    send_many(address, 10, "").await;
     // What had its slot before may arrive a little after.
     assert!(leaving.count() - begun <= 4);
     let settled = leaving.count();
-    many(address, 10, "").await;
+    send_many(address, 10, "").await;
     assert_eq!(leaving.count(), settled);
     eventually("connections are closed", || leaving.connections() == 0).await;
 }
@@ -181,7 +189,7 @@
 #[tokio::test]
 async fn target_withdrawn_while_others_wait() {
     let target = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let mut fleet = Fleet::with(json!({}), &[&target], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
@@ -201,10 +209,10 @@
 async fn target_announced_again_keeps_its_slots() {
     let old = Target::spawn(|_| Step::slow_ok(300, "old")).await;
     let new = Target::ok("new").await;
-    let mut fleet = Fleet::with(json!({}), &[&old], 2);
+    let mut fleet = Fleet::with_targets(json!({}), &[&old], 2);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
-    let running = tokio::spawn(many(address, 2, ""));
+    let running = tokio::spawn(send_many(address, 2, ""));
     eventually("its slots are used", || old.in_progress() == 2).await;
     fleet.withdraw("t0");
     entry.update_routes(&fleet.world);
@@ -224,9 +232,9 @@
 }
 
 #[tokio::test]
-async fn target_joined_serves_what_waits() {
+async fn target_joined_serves_waiting_requests() {
     let slow = Target::spawn(|_| Step::slow_ok(1_000, "slow")).await;
-    let mut fleet = Fleet::with(json!({}), &[&slow], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&slow], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
@@ -242,9 +250,9 @@
 }
 
 #[tokio::test]
-async fn service_removed_refuses_what_waits() {
+async fn service_removed_refuses_waiting_requests() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
-    let mut fleet = Fleet::with(json!({}), &[&target], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
@@ -260,9 +268,9 @@
 }
 
 #[tokio::test]
-async fn lease_lapsed_while_waiting_sends_nothing() {
+async fn lease_expired_while_waiting_sends_nothing() {
     let target = Target::spawn(|_| Step::slow_ok(100, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
     eventually("it runs", || target.in_progress() == 1).await;
@@ -284,18 +292,18 @@
 async fn retry_waits_for_another_target() {
     let cutting = Target::spawn(|_| vec![Step::Sleep(50), Step::Close]).await;
     let good = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&cutting, &good], 1)).await;
-    let replies = many(entry.local_addr(), 2, "").await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&cutting, &good], 1)).await;
+    let replies = send_many(entry.local_addr(), 2, "").await;
     // The slot of the good one was taken when the other cut its request.
     assert!(replies.iter().all(|reply| reply.text() == "own"));
     assert_eq!((cutting.count(), good.count()), (1, 2));
 }
 
 #[tokio::test]
-async fn retry_given_up_once_it_is_hopeless() {
+async fn retry_abandoned_once_it_cannot_finish_in_time() {
     let good = Target::spawn(|_| Step::slow_ok(1_000, "own")).await;
     let cutting = Target::spawn(|_| vec![Step::Sleep(50), Step::Close]).await;
-    let mut fleet = Fleet::with(json!({}), &[&good], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&good], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let long = tokio::spawn(get(address, "/dock/x", ""));
--- a/crates/cleat-entry/tests/answers.rs
+++ b/crates/cleat-entry/tests/answers.rs
@@ -14,7 +14,7 @@
 
 /// What a POST comes to at a target that plays `steps`, and whether the
 /// connection was used again by the next request.
-async fn post_against(steps: Vec<Step>) -> (String, bool) {
+async fn post_to_scripted_target(steps: Vec<Step>) -> (String, bool) {
     let target = Target::spawn(move |head| {
         if head.contains("x-next") {
             Step::ok("next")
@@ -24,10 +24,10 @@
     })
     .await;
     let terms = json!({"deadline_ms": 400});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
-    let again = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
-    assert_eq!(again.text(), "next", "the next request gets its own answer");
+    let next = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
+    assert_eq!(next.text(), "next", "the next request gets its own answer");
     let sends = target
         .requests()
         .iter()
@@ -38,14 +38,14 @@
 }
 
 async fn check(steps: Vec<Step>, expected: &str) {
-    let (summary, reused) = post_against(steps).await;
+    let (summary, reused) = post_to_scripted_target(steps).await;
     assert_eq!(summary, expected);
     assert!(!reused, "the connection must not be used again");
 }
 
 #[tokio::test]
 async fn answer_whole() {
-    let (summary, reused) = post_against(Step::ok("yes")).await;
+    let (summary, reused) = post_to_scripted_target(Step::ok("yes")).await;
     assert_eq!(summary, "200 answered target's own");
     assert!(reused);
 }
@@ -130,13 +130,13 @@
     let mut steps = Step::ok("own");
     steps.push(Step::Sleep(50));
     steps.push(Step::write(stray));
-    let (summary, reused) = post_against_paused(steps).await;
+    let (summary, reused) = post_and_pause(steps).await;
     assert_eq!(summary, "200 answered target's own");
     assert!(!reused, "the connection must not be used again");
 }
 
 /// As [`post_against`], but the next request comes after the last step.
-async fn post_against_paused(steps: Vec<Step>) -> (String, bool) {
+async fn post_and_pause(steps: Vec<Step>) -> (String, bool) {
     let target = Target::spawn(move |head| {
         if head.contains("x-next") {
             Step::ok("next")
@@ -145,12 +145,12 @@
         }
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
     eventually("the script ends", || target.in_progress() == 0).await;
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-    let again = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
-    assert_eq!(again.text(), "next");
+    let next = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
+    assert_eq!(next.text(), "next");
     (reply.summary(), target.accepted() == 1)
 }
 
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn answer_that_is_no_http() {
+async fn answer_that_is_not_http() {
     check(
         vec![Step::write("EHLO\r\n\r\n")],
         "502 unknown answer-malformed",
@@ -186,7 +186,7 @@
 async fn answer_after_informational() {
     let steps = "HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n\
                  HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
-    let (summary, reused) = post_against(vec![Step::write(steps)]).await;
+    let (summary, reused) = post_to_scripted_target(vec![Step::write(steps)]).await;
     assert_eq!(summary, "200 answered target's own");
     assert!(reused);
 }
@@ -195,7 +195,7 @@
 async fn answer_retried_when_idempotent() {
     let failing = Target::spawn(|_| vec![Step::Reset]).await;
     let good = Target::ok("good").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&failing, &good], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&failing, &good], 8)).await;
     for _ in 0..20 {
         let reply = get(entry.local_addr(), "/dock/x", "").await;
         assert_eq!(reply.summary(), "200 answered target's own");
@@ -210,7 +210,7 @@
 async fn answer_of_a_failing_target_when_all_fail() {
     let busy = "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 4\r\n\r\nbusy";
     let target = Target::spawn(move |_| vec![Step::write(busy)]).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let reply = get(entry.local_addr(), "/dock/x", "").await;
     assert_eq!(reply.summary(), "503 answered target's own");
     assert_eq!(reply.text(), "busy");
@@ -224,7 +224,7 @@
 async fn answer_from_another_target_when_unreachable() {
     let refusing = Target::refusing().await;
     let good = Target::ok("good").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&refusing, &good], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&refusing, &good], 8)).await;
     for _ in 0..10 {
         let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
         assert_eq!(reply.summary(), "200 answered target's own");
@@ -235,7 +235,7 @@
 #[tokio::test]
 async fn answer_not_run_when_all_unreachable() {
     let refusing = Target::refusing().await;
-    let (entry, _) = entry(&Fleet::with(one_try(), &[&refusing], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(one_try(), &[&refusing], 8)).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
     assert_eq!(reply.summary(), "503 not-run targets-unreachable");
     assert!(reply.header("retry-after").is_some());
@@ -249,7 +249,7 @@
         steps
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(one_try(), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(one_try(), &[&target], 1)).await;
     for _ in 0..5 {
         let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
         assert_eq!(reply.summary(), "200 answered target's own");
@@ -273,9 +273,9 @@
     let (entry, _) = entry(&fleet).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
     // Which of the two depends on whether the reset came before the write.
-    let honest = ["502 unknown target-cut", "503 not-run targets-unreachable"];
+    let allowed = ["502 unknown target-cut", "503 not-run targets-unreachable"];
     assert!(
-        honest.contains(&reply.summary().as_str()),
+        allowed.contains(&reply.summary().as_str()),
         "{}",
         reply.summary()
     );
@@ -292,49 +292,49 @@
         vec![Step::write(answer)]
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
-    let ask = async |method: &str| {
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
+    let send = async |method: &str| {
         let raw = format!("{method} /dock/x HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n");
         call(entry.local_addr(), &raw).await
     };
-    let head = ask("HEAD").await;
+    let head = send("HEAD").await;
     assert_eq!(head.summary(), "200 answered target's own");
     assert_eq!(head.header("content-length"), Some("512"));
-    assert_eq!(ask("DELETE").await.summary(), "204 answered target's own");
-    assert_eq!(ask("GET").await.summary(), "304 answered target's own");
+    assert_eq!(send("DELETE").await.summary(), "204 answered target's own");
+    assert_eq!(send("GET").await.summary(), "304 answered target's own");
     assert_eq!(target.accepted(), 1, "the connection was kept");
 }
 
-fn big(length: usize, sent: usize) -> Vec<Step> {
+fn large_response(length: usize, sent: usize) -> Vec<Step> {
     let body = "x".repeat(sent);
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
     vec![Step::write(&head)]
 }
 
-fn big_chunked(sent: usize, end: bool) -> Vec<Step> {
+fn large_chunked_response(sent: usize, end: bool) -> Vec<Step> {
     let body = "x".repeat(sent);
     let end = if end { "0\r\n\r\n" } else { "" };
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     vec![Step::write(&format!("{head}{sent:x}\r\n{body}\r\n{end}"))]
 }
 
-const BIG: usize = 600_000;
+const LARGE: usize = 600_000;
 
 #[tokio::test]
 async fn answer_streamed_whole() {
     let target = Target::spawn(|head| {
         if head.contains("/chunked") {
-            big_chunked(BIG, true)
+            large_chunked_response(LARGE, true)
         } else {
-            big(BIG, BIG)
+            large_response(LARGE, LARGE)
         }
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let reply = get(entry.local_addr(), "/dock/x", "").await;
-    assert_eq!((reply.outcome(), reply.body.len()), ("answered", BIG));
+    assert_eq!((reply.outcome(), reply.body.len()), ("answered", LARGE));
     let reply = get(entry.local_addr(), "/dock/chunked", "").await;
-    assert!(reply.looks_whole() && reply.body.len() > BIG);
+    assert!(reply.is_complete() && reply.body.len() > LARGE);
     assert_eq!(entry.counters()["entry.streamed"], 2);
     assert_eq!(target.accepted(), 1, "the connection was kept");
 }
@@ -343,17 +343,17 @@
 async fn answer_streamed_and_cut() {
     let target = Target::spawn(|head| {
         let mut steps = match () {
-            () if head.contains("/chunked") => big_chunked(BIG, false),
-            () => big(BIG, BIG - 1),
+            () if head.contains("/chunked") => large_chunked_response(LARGE, false),
+            () => large_response(LARGE, LARGE - 1),
         };
         steps.push(Step::Close);
         steps
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     for path in ["/dock/x", "/dock/chunked"] {
         let reply = get(entry.local_addr(), path, "").await;
-        assert!(!reply.looks_whole(), "{path}");
+        assert!(!reply.is_complete(), "{path}");
         assert!(!reply.body.is_empty(), "{path}");
     }
     let raw = "GET /dock/chunked HTTP/1.0\r\n\r\n";
@@ -364,29 +364,29 @@
 #[tokio::test]
 async fn answer_streamed_past_the_deadline() {
     let target = Target::spawn(|_| {
-        let mut steps = big(BIG, BIG - 1);
+        let mut steps = large_response(LARGE, LARGE - 1);
         steps.push(Step::Sleep(5_000));
         steps
     })
     .await;
     let terms = json!({"deadline_ms": 300});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let reply = get(entry.local_addr(), "/dock/x", "").await;
-    assert!(!reply.looks_whole());
+    assert!(!reply.is_complete());
 }
 
 #[tokio::test]
 async fn answer_streamed_to_a_caller_that_stops_reading() {
     let target = Target::spawn(|head| {
         if head.contains("/huge") {
-            big(30_000_000, 30_000_000)
+            large_response(30_000_000, 30_000_000)
         } else {
             Step::ok("own")
         }
     })
     .await;
     let terms = json!({"deadline_ms": 300});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let mut stream = support::open(entry.local_addr()).await;
     let raw = b"GET /dock/huge HTTP/1.1\r\n\r\n";
     tokio::io::AsyncWriteExt::write_all(&mut stream, raw)
@@ -410,7 +410,7 @@
 #[tokio::test]
 async fn answer_memory_bounded() {
     let target = Target::spawn(|_| Step::ok(&"x".repeat(20_000))).await;
-    let fleet = Fleet::with(json!({}), &[&target], 4);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 4);
     let control = std::sync::Arc::default();
     let limits = cleat_entry::Limits {
         response_memory_bytes: 10_000,
--- a/crates/cleat-entry/tests/choice.rs
+++ b/crates/cleat-entry/tests/choice.rs
@@ -11,11 +11,11 @@
 const BURST: usize = 60;
 
 #[tokio::test]
-async fn choice_spares_a_target_far_slower_than_most() {
+async fn choice_avoids_a_target_far_slower_than_the_others() {
     let quick = || Target::spawn(|_| Step::slow_ok(100, "quick"));
     let (a, b, c) = (quick().await, quick().await, quick().await);
     let slow = Target::spawn(|_| Step::slow_ok(1_000, "slow")).await;
-    let fleet = Fleet::with(json!({}), &[&a, &b, &c, &slow], 64);
+    let fleet = Fleet::with_targets(json!({}), &[&a, &b, &c, &slow], 64);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     for target in [&a, &b, &c, &slow] {
--- a/crates/cleat-entry/tests/drain.rs
+++ b/crates/cleat-entry/tests/drain.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 #[tokio::test]
-async fn drain_finishes_what_runs() {
+async fn drain_finishes_requests_in_progress() {
     let target = Target::spawn(|head| {
         if head.contains("/big") {
             let body = "x".repeat(600_000);
@@ -27,7 +27,7 @@
         }
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let idle = open(address).await;
     let plain = tokio::spawn(get(address, "/dock/x", ""));
@@ -38,7 +38,7 @@
     assert_eq!(target.in_progress(), 0, "it waits for what runs");
     assert_eq!(plain.await.unwrap().text(), "own");
     let big = big.await.unwrap();
-    assert!(big.looks_whole() && big.body.len() == 600_000);
+    assert!(big.is_complete() && big.body.len() == 600_000);
     assert!(
         TcpStream::connect(address).await.is_err(),
         "no longer listening"
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn drain_waits_for_work_without_caller() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let key = "idempotency-key: k1\r\n";
     let call = tokio::spawn(post(entry.local_addr(), "/dock/x", key, "boat"));
     eventually("it runs", || target.in_progress() == 1).await;
@@ -68,9 +68,9 @@
 }
 
 #[tokio::test]
-async fn drain_answers_what_has_connected() {
+async fn drain_serves_connections_in_the_backlog() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let limits = Limits {
         max_connections: 1,
         ..support::limits()
@@ -90,7 +90,7 @@
 
 /// Sends on one connection until told to close it; gives the number of
 /// requests sent and of answers read.
-async fn keep_asking(address: SocketAddr) -> (u32, u32) {
+async fn send_until_closed(address: SocketAddr) -> (u32, u32) {
     let mut stream = open(address).await;
     let (mut sent, mut answered) = (0, 0);
     loop {
@@ -123,9 +123,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_under_load_loses_nothing() {
+async fn drain_under_load_loses_no_request() {
     let target = Target::spawn(|_| Step::slow_ok(3, "own")).await;
-    let fleet = Fleet::with(json!({}), &[&target], 64);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 64);
     let limits = Limits {
         drain_delay: Duration::from_millis(300),
         ..support::limits()
@@ -135,7 +135,7 @@
     let address = entry.local_addr();
     let mut callers = JoinSet::new();
     for _ in 0..32 {
-        callers.spawn(keep_asking(address));
+        callers.spawn(send_until_closed(address));
     }
     eventually("there is load", || target.count() > 500).await;
     let (ready, ()) = tokio::join!(
@@ -159,7 +159,7 @@
         vec![Step::write(&head)]
     })
     .await;
-    let fleet = Fleet::with(json!({}), &[&target], 1);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let limits = Limits {
         caller_write_timeout: Duration::from_millis(200),
         ..support::limits()
--- a/crates/cleat-entry/tests/forward.rs
+++ b/crates/cleat-entry/tests/forward.rs
@@ -11,7 +11,7 @@
     let answer = "HTTP/1.1 201 Created\r\ncontent-length: 2\r\nx-own: 1\r\nconnection: x-hop\r\n\
                   x-hop: 1\r\nkeep-alive: 5\r\ncelerycleat-outcome: not-run\r\n\r\nhi";
     let target = Target::spawn(move |_| vec![Step::write(answer)]).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let headers = "x-end: 1\r\nconnection: x-drop\r\nx-drop: 1\r\nte: trailers\r\n\
                    celerycleat-deadline-ms: 900\r\ncelerycleat-outcome: answered\r\n\
                    traceparent: 00-0123456789abcdef0123456789abcdef-0123456789abcdef-00\r\n";
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn forward_root_and_health() {
     let target = Target::ok("x").await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     assert_eq!(get(address, "/dock", "").await.status, 200);
     assert!(target.requests()[0].starts_with("GET / HTTP/1.1"));
--- a/crates/cleat-entry/tests/input.rs
+++ b/crates/cleat-entry/tests/input.rs
@@ -11,7 +11,7 @@
 async fn check(raw: &str, expected: &str) {
     let target = Target::ok("own").await;
     let terms = json!({"body_limit_bytes": 1000});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 8)).await;
     let reply = call(entry.local_addr(), raw).await;
     assert_eq!(reply.summary(), expected, "{raw}");
     assert_eq!(target.count(), 0, "nothing is forwarded");
@@ -32,10 +32,10 @@
 
 #[tokio::test]
 async fn input_unknown_service() {
-    let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nconnection: close\r\n\r\n");
-    check(&ask("/jetty/x"), "404 not-run unknown-service").await;
-    check(&ask("/"), "404 not-run unknown-service").await;
-    check(&ask("/-/other"), "404 not-run unknown-service").await;
+    let request_line = |path: &str| format!("GET {path} HTTP/1.1\r\nconnection: close\r\n\r\n");
+    check(&request_line("/jetty/x"), "404 not-run unknown-service").await;
+    check(&request_line("/"), "404 not-run unknown-service").await;
+    check(&request_line("/-/other"), "404 not-run unknown-service").await;
     check(
         "CONNECT a:1 HTTP/1.1\r\n\r\n",
         "400 not-run unsupported-target",
@@ -128,7 +128,7 @@
         vec![Step::write(&head), Step::Sleep(100), Step::write(last)]
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let raw = "GET /dock/x HTTP/1.1\r\nhost: t\r\n\r\nGET /dock/y\r\n\r\n";
     let reply = call(entry.local_addr(), raw).await;
     assert_eq!((reply.status, reply.outcome()), (200, "answered"));
@@ -160,7 +160,7 @@
     // passed on has one framing, and hyper ends the connection, so nothing can
     // be smuggled.
     let target = Target::ok("own").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let raw = "GET /dock/x HTTP/1.1\r\n\r\n\
                POST /dock/x HTTP/1.1\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n\
                4\r\nboat\r\n0\r\n\r\nGET /dock/smuggled HTTP/1.1\r\n\r\n";
@@ -179,7 +179,7 @@
 #[tokio::test]
 async fn input_head_too_slow() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let limits = cleat_entry::Limits {
         header_read_timeout: std::time::Duration::from_millis(200),
         ..support::limits()
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn input_refusals_spread_the_returns() {
+async fn input_refusals_vary_the_retry_after() {
     let (entry, control) = entry(&Fleet::new(json!({}))).await;
     control
         .in_service
@@ -228,7 +228,7 @@
 #[tokio::test]
 async fn input_body_memory_bounded() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let limits = cleat_entry::Limits {
         request_memory_bytes: 10,
         ..support::limits()
--- a/crates/cleat-entry/tests/keys.rs
+++ b/crates/cleat-entry/tests/keys.rs
@@ -10,7 +10,7 @@
 use cleat_entry::Entry;
 use cleat_world::{ClaimKey, KeyTable, Settlement};
 use serde_json::json;
-use support::{FakeControl, Fleet, Script, Step, Target, entry, entry_with, eventually, post};
+use support::{Behaviour, FakeControl, Fleet, Step, Target, entry, entry_with, eventually, post};
 
 const KEY: &str = "idempotency-key: k1\r\ncelerycleat-caller: school\r\n";
 
@@ -19,7 +19,7 @@
 }
 
 /// Two entries over one control.
-async fn pair(fleet: &Fleet) -> (Entry<FakeControl>, Entry<FakeControl>, Arc<FakeControl>) {
+async fn two_entries(fleet: &Fleet) -> (Entry<FakeControl>, Entry<FakeControl>, Arc<FakeControl>) {
     let control = Arc::new(FakeControl::default());
     let bind = async |name| {
         entry_with(
@@ -42,7 +42,7 @@
 async fn key_sent_again_replays() {
     let answer = "HTTP/1.1 201 Created\r\ncontent-length: 4\r\nx-boat: 7\r\n\r\nours";
     let target = Target::spawn(move |_| vec![Step::write(answer)]).await;
-    let (first, second, _) = pair(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (first, second, _) = two_entries(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let reply = send(&first).await;
     assert_eq!(
         (reply.status, reply.header("celerycleat-replayed")),
@@ -60,9 +60,9 @@
 }
 
 #[tokio::test]
-async fn key_sent_at_once_everywhere() {
+async fn key_sent_concurrently_to_both_entries() {
     let target = Target::spawn(|_| Step::slow_ok(150, "own")).await;
-    let (first, second, _) = pair(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (first, second, _) = two_entries(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let replies = tokio::join!(send(&first), send(&second), send(&first), send(&second));
     for reply in [replies.0, replies.1, replies.2, replies.3] {
         assert_eq!((reply.status, reply.text().as_str()), (200, "own"));
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn key_of_another_request() {
     let target = Target::ok("own").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     send(&entry).await;
     let address = entry.local_addr();
     let other = post(address, "/dock/x", KEY, "ship").await;
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn key_of_a_cut_request_never_runs_again() {
     let target = Target::spawn(|_| vec![Step::Close]).await;
-    let (first, second, _) = pair(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (first, second, _) = two_entries(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     assert_eq!(send(&first).await.summary(), "502 unknown target-cut");
     for entry in [&second, &first] {
         let again = send(entry).await.summary();
@@ -101,8 +101,8 @@
 async fn key_of_a_refused_request_runs_later() {
     let refusing = Target::refusing().await;
     let good = Target::ok("own").await;
-    let mut fleet = Fleet::with(json!({"retry": {"tries": 1}}), &[&refusing], 8);
-    let (first, second, control) = pair(&fleet).await;
+    let mut fleet = Fleet::with_targets(json!({"retry": {"tries": 1}}), &[&refusing], 8);
+    let (first, second, control) = two_entries(&fleet).await;
     assert_eq!(
         send(&first).await.summary(),
         "503 not-run targets-unreachable"
@@ -121,11 +121,11 @@
 }
 
 #[tokio::test]
-async fn key_settled_late_spares_a_later_claim() {
+async fn key_settled_late_leaves_a_later_claim_alone() {
     let refusing = Target::refusing().await;
     let slow = Target::spawn(|_| Step::slow_ok(300, "own")).await;
-    let mut fleet = Fleet::with(json!({"retry": {"tries": 1}}), &[&refusing], 8);
-    let (first, second, control) = pair(&fleet).await;
+    let mut fleet = Fleet::with_targets(json!({"retry": {"tries": 1}}), &[&refusing], 8);
+    let (first, second, control) = two_entries(&fleet).await;
     let refused = send(&first).await.summary();
     assert_eq!(refused, "503 not-run targets-unreachable");
     eventually("it is settled", || settled(&control).len() == 1).await;
@@ -151,43 +151,43 @@
     let not_run = "503 not-run idempotency-key-not-claimed";
     let unknown = "504 unknown idempotency-key-not-looked-up";
     let cases = [
-        (Script::Refuses, not_run),
-        (Script::LosesAnswer, not_run),
-        (Script::Hangs, unknown),
+        (Behaviour::Refuses, not_run),
+        (Behaviour::LosesReply, not_run),
+        (Behaviour::Hangs, unknown),
     ];
-    for (script, summary) in cases {
-        let (entry, control) = entry(&Fleet::with(terms.clone(), &[&target], 8)).await;
-        *control.claim_script.lock().unwrap() = script;
+    for (behaviour, summary) in cases {
+        let (entry, control) = entry(&Fleet::with_targets(terms.clone(), &[&target], 8)).await;
+        *control.claim_behaviour.lock().unwrap() = behaviour;
         let reply = send(&entry).await;
-        assert_eq!(reply.summary(), summary, "{script:?}");
+        assert_eq!(reply.summary(), summary, "{behaviour:?}");
         assert!(reply.header("retry-after").is_some());
         assert_eq!(target.count(), 0);
         // A claim that may stand is given back.
-        if script != Script::Refuses {
+        if behaviour != Behaviour::Refuses {
             eventually("it is settled", || {
                 settled(&control) == [Settlement::NotRun]
             })
             .await;
         }
-        *control.claim_script.lock().unwrap() = Script::Works;
+        *control.claim_behaviour.lock().unwrap() = Behaviour::Works;
         assert_eq!(send(&entry).await.status, 200);
         assert_eq!(target.count(), 1);
-        target.forget();
+        target.clear_requests();
     }
 }
 
 #[tokio::test]
 async fn key_not_claimed_leaves_the_first_claim_alone() {
     let target = Target::spawn(|_| Step::slow_ok(400, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let first = tokio::spawn(post(address, "/dock/x", KEY, "boat"));
     eventually("it runs", || target.in_progress() == 1).await;
-    *control.claim_script.lock().unwrap() = Script::LosesAnswer;
+    *control.claim_behaviour.lock().unwrap() = Behaviour::LosesReply;
     let hurried = format!("{KEY}celerycleat-deadline-ms: 100\r\n");
     let second = post(address, "/dock/x", &hurried, "boat").await;
     assert_eq!(second.summary(), "504 unknown idempotency-key-in-progress");
-    *control.claim_script.lock().unwrap() = Script::Works;
+    *control.claim_behaviour.lock().unwrap() = Behaviour::Works;
     assert_eq!(first.await.unwrap().status, 200);
     assert_eq!(
         send(&entry).await.header("celerycleat-replayed"),
@@ -198,15 +198,15 @@
 }
 
 #[tokio::test]
-async fn key_settled_until_it_stands() {
+async fn key_settlement_retried_until_committed() {
     let target = Target::ok("own").await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
-    *control.settle_script.lock().unwrap() = Script::Refuses;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
+    *control.settle_behaviour.lock().unwrap() = Behaviour::Refuses;
     assert_eq!(send(&entry).await.status, 200, "the answer does not wait");
     let again = tokio::spawn(post(entry.local_addr(), "/dock/x", KEY, "boat"));
     tokio::time::sleep(Duration::from_millis(150)).await;
     assert!(!again.is_finished());
-    *control.settle_script.lock().unwrap() = Script::Works;
+    *control.settle_behaviour.lock().unwrap() = Behaviour::Works;
     assert_eq!(
         again.await.unwrap().header("celerycleat-replayed"),
         Some("true")
@@ -217,7 +217,7 @@
 #[tokio::test]
 async fn key_of_an_answer_too_large_to_keep() {
     let target = Target::spawn(|_| Step::ok(&"x".repeat(20_000))).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     assert_eq!(send(&entry).await.body.len(), 20_000);
     let again = send(&entry).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-answer-not-kept");
@@ -227,7 +227,7 @@
 #[tokio::test]
 async fn key_refused_when_the_table_is_full() {
     let target = Target::ok("own").await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     control.terms.lock().unwrap().most = 0;
     assert_eq!(
         send(&entry).await.summary(),
@@ -237,9 +237,9 @@
 }
 
 #[tokio::test]
-async fn key_without_need_claims_nothing() {
+async fn key_of_an_idempotent_request_not_claimed() {
     let target = Target::ok("own").await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let headers = format!("{KEY}celerycleat-idempotent: true\r\n");
     assert_eq!(
         post(entry.local_addr(), "/dock/x", &headers, "boat")
@@ -251,9 +251,9 @@
 }
 
 #[tokio::test]
-async fn key_goes_on_when_its_caller_goes() {
+async fn key_request_continues_when_its_caller_disconnects() {
     let target = Target::spawn(|_| Step::slow_ok(150, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let call = tokio::spawn(post(entry.local_addr(), "/dock/x", KEY, "boat"));
     eventually("it runs", || target.in_progress() == 1).await;
     call.abort();
@@ -264,7 +264,7 @@
 }
 
 /// An entry in a runtime of its own, killed with all its tasks.
-fn kill_after(fleet: &Fleet, control: &Arc<FakeControl>, until: impl Fn() -> bool) {
+fn kill_entry_when(fleet: &Fleet, control: &Arc<FakeControl>, until: impl Fn() -> bool) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let entry = runtime.block_on(entry_with(
         fleet,
@@ -284,9 +284,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn key_of_an_entry_killed_before_the_answer() {
     let target = Target::spawn(|_| Step::slow_ok(500, "own")).await;
-    let fleet = Fleet::with(json!({"deadline_ms": 300}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({"deadline_ms": 300}), &[&target], 8);
     let control = Arc::new(FakeControl::default());
-    tokio::task::block_in_place(|| kill_after(&fleet, &control, || target.in_progress() == 1));
+    tokio::task::block_in_place(|| kill_entry_when(&fleet, &control, || target.in_progress() == 1));
     let names = ["e1", "e2"];
     let other = entry_with(
         &fleet,
@@ -308,11 +308,11 @@
 #[tokio::test]
 async fn key_of_an_entry_killed_between_claim_and_send() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({"deadline_ms": 300}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({"deadline_ms": 300}), &[&target], 8);
     let (entry, control) = entry(&fleet).await;
     let claim = ClaimKey {
         key: KeyTable::scoped("dock", "school", "k1"),
-        digest: probe_digest(&fleet).await,
+        digest: digest_of_request(&fleet).await,
         entry: "e9".into(),
         life: 1,
         number: 0,
@@ -327,9 +327,9 @@
 }
 
 /// The digest that entries compute for [`send`].
-async fn probe_digest(fleet: &Fleet) -> u64 {
+async fn digest_of_request(fleet: &Fleet) -> u64 {
     let (entry, control) = entry(fleet).await;
-    *control.claim_script.lock().unwrap() = Script::Refuses;
+    *control.claim_behaviour.lock().unwrap() = Behaviour::Refuses;
     send(&entry).await;
     let digest = control.last_digest.lock().unwrap();
     digest.unwrap()
--- a/crates/cleat-entry/tests/matrix.rs
+++ b/crates/cleat-entry/tests/matrix.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::SeqCst;
 
-use matrix_support::{Cell, Checked, Fault, Kind, Step, World, ensure, until};
+use matrix_support::{Cell, CheckResult, Fault, Kind, Step, TestBed, ensure, wait_until};
 use tokio::sync::Semaphore;
 
 const STEPS: [Step; 9] = [
@@ -36,56 +36,59 @@
     Fault::Duplicate,
     Fault::Second,
 ];
-const AT_ONCE: usize = 24;
+const MAX_CONCURRENT_CELLS: usize = 24;
 /// Runs a cell; the end of each send, or the invariant that broke.
-async fn run(cell: Cell) -> Checked<String> {
-    let mut world = World::new(cell).await;
-    let script = Arc::clone(&world.script);
+async fn run_cell(cell: Cell) -> CheckResult<String> {
+    let mut test_bed = TestBed::new(cell).await;
+    let scenario = Arc::clone(&test_bed.scenario);
     for taken in (1..=2).filter(|_| cell.step == Step::Queued) {
-        world.send(&world.first, "block");
-        until("a slot is taken", || script.count("ran", "block") == taken).await?;
+        test_bed.send(&test_bed.first, "block");
+        wait_until("a slot is taken", || {
+            scenario.count("ran", "block") == taken
+        })
+        .await?;
     }
-    let probe = world.send(&world.first, "probe");
-    world.at_step().await?;
-    let twin = world.strike().await?;
+    let probe = test_bed.send(&test_bed.first, "probe");
+    test_bed.wait_for_step().await?;
+    let duplicate = test_bed.apply_fault().await?;
     // A frozen target is frozen until the answer is here.
     let ended = probe.await.unwrap();
-    let mut ends = vec![world.check(&ended, "probe", 0)?];
-    if let Some(twin) = twin {
+    let mut outcomes = vec![test_bed.check(&ended, "probe", 0)?];
+    if let Some(duplicate) = duplicate {
         let id = if cell.kind == Kind::Keyed {
             "probe"
         } else {
             "twin"
         };
-        ends.push(world.check(&twin.await.unwrap(), id, 0)?);
+        outcomes.push(test_bed.check(&duplicate.await.unwrap(), id, 0)?);
     }
-    script.go.send_replace(true);
-    let open = cell.kind == Kind::Keyed && ends[0] == "unknown";
+    scenario.resume.send_replace(true);
+    let open = cell.kind == Kind::Keyed && outcomes[0] == "unknown";
     if open || cell.kills_instance() || matches!(ended, Err("gone")) {
-        world.send_again(&mut ends).await?;
+        test_bed.resend(&mut outcomes).await?;
     }
-    let tries = world.first.counters()["entry.tries"];
-    ensure(!cell.strikes_retry() || tries >= 2, "no retry")?;
-    let struck = script.struck.load(SeqCst);
-    let twice = cell.strikes_retry() && !cell.kills_all();
-    ensure(!twice || struck == 2, "the retry was not struck")?;
-    world.check_rest().await?;
-    let once = cell.kind == Kind::Get || script.count("ran", "probe") <= 1;
+    let tries = test_bed.first.counters()["entry.tries"];
+    ensure(!cell.faults_retry() || tries >= 2, "no retry")?;
+    let fault_count = scenario.fault_count.load(SeqCst);
+    let twice = cell.faults_retry() && !cell.kills_all_targets();
+    ensure(!twice || fault_count == 2, "the retry was not struck")?;
+    test_bed.check_resources_released().await?;
+    let once = cell.kind == Kind::Get || scenario.count("ran", "probe") <= 1;
     ensure(once, "ran twice")?;
-    let not_run = ends.iter().all(|end| end == "not-run");
+    let not_run = outcomes.iter().all(|end| end == "not-run");
     ensure(
-        !not_run || script.count("saw", "probe") == 0,
+        !not_run || scenario.count("saw", "probe") == 0,
         "not-run, but seen later",
     )?;
     let harmless = matches!(cell.fault, Fault::Delay | Fault::Duplicate);
-    let answered = ends.iter().all(|end| end == "answered");
+    let answered = outcomes.iter().all(|end| end == "answered");
     ensure(answered || !harmless, "a harmless fault did harm")?;
-    Ok(ends.join(", "))
+    Ok(outcomes.join(", "))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn request_every_step_and_fault() {
-    let places = Arc::new(Semaphore::new(AT_ONCE));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CELLS));
     let mut running = Vec::new();
     for kind in [Kind::Keyed, Kind::Get] {
         // Without a key there is no claim.
@@ -97,21 +100,21 @@
                     step: *step,
                     fault,
                 };
-                let places = Arc::clone(&places);
+                let permits = Arc::clone(&permits);
                 let work = async move {
-                    let _place = places.acquire().await.unwrap();
-                    run(cell).await
+                    let _permit = permits.acquire().await.unwrap();
+                    run_cell(cell).await
                 };
                 running.push((cell, tokio::spawn(work)));
             }
         }
     }
-    let mut red = 0;
+    let mut failed = 0;
     for (Cell { kind, step, fault }, task) in running {
         let result = task.await.unwrap_or_else(|e| Err(e.to_string()));
-        red += usize::from(result.is_err());
+        failed += usize::from(result.is_err());
         let text = result.unwrap_or_else(|broken| format!("RED: {broken}"));
         println!("{kind:?} | {step:?} | {fault:?} | {text}");
     }
-    assert_eq!(red, 0, "cells are red, see the table");
+    assert_eq!(failed, 0, "cells are red, see the table");
 }
--- a/crates/cleat-entry/tests/matrix_support/caller.rs
+++ b/crates/cleat-entry/tests/matrix_support/caller.rs
@@ -5,14 +5,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::{Script, Step};
+use super::{Scenario, Step};
 use crate::support::Reply;
 
 /// More than a target's receive buffer: its head arrives without it.
 pub const BODY: usize = 512 * 1_024;
 
 /// One answer and nothing after it, or how it failed to come.
-pub type Ended = Result<Reply, &'static str>;
+pub type SendResult = Result<Reply, &'static str>;
 
 /// Sends a request and reads to the end; a probe with a script can be struck
 /// in mid-body.
@@ -20,8 +20,8 @@
     stream: &mut TcpStream,
     id: &str,
     keyed: bool,
-    script: Option<Arc<Script>>,
-) -> Ended {
+    scenario: Option<Arc<Scenario>>,
+) -> SendResult {
     let (method, key) = if keyed {
         ("POST", "idempotency-key: k\r\n")
     } else {
@@ -37,8 +37,8 @@
     let mut bytes = Vec::new();
     // An early answer or a reset ends the sending.
     let _ = stream.write_all(&[head.as_bytes(), half].concat()).await;
-    if let Some(script) = script {
-        script.reach(Step::Received).await;
+    if let Some(scenario) = scenario {
+        scenario.pause_at(Step::Received).await;
     }
     let _ = stream.write_all(rest).await;
     let _ = stream.read_to_end(&mut bytes).await;
--- a/crates/cleat-entry/tests/matrix_support/mod.rs
+++ b/crates/cleat-entry/tests/matrix_support/mod.rs
@@ -2,11 +2,11 @@
 #![allow(clippy::unwrap_used, unreachable_pub)]
 
 mod caller;
-mod script;
+mod scenario;
 mod target;
-mod world;
+mod test_bed;
 
-pub use caller::{BODY, Ended, exchange};
-pub use script::{Cell, Fault, Gated, Kind, Script, Step};
+pub use caller::{BODY, SendResult, exchange};
+pub use scenario::{Cell, Fault, Kind, PausingControl, Scenario, Step};
 pub use target::{Mode, Target, own_answer};
-pub use world::{Checked, World, ensure, until};
+pub use test_bed::{CheckResult, TestBed, ensure, wait_until};
--- a/crates/cleat-entry/tests/matrix_support/script.rs
+++ b/crates/cleat-entry/tests/matrix_support/scenario.rs
@@ -56,75 +56,79 @@
 
 impl Cell {
     /// Whether a target has the request.
-    pub fn at_target(self) -> bool {
+    pub fn is_at_target(self) -> bool {
         (Step::HeadSent..=Step::AnswerBody).contains(&self.step)
     }
 
     /// Whether the second fault strikes the retry of the same request.
-    pub fn strikes_retry(self) -> bool {
-        self.fault == Fault::Second && self.kind == Kind::Get && self.at_target()
+    pub fn faults_retry(self) -> bool {
+        self.fault == Fault::Second && self.kind == Kind::Get && self.is_at_target()
     }
 
     /// Whether the retry finds no target alive.
-    pub fn kills_all(self) -> bool {
-        self.strikes_retry() && self.step >= Step::AnswerHead
+    pub fn kills_all_targets(self) -> bool {
+        self.faults_retry() && self.step >= Step::AnswerHead
     }
 
     pub fn kills_instance(self) -> bool {
-        self.fault == Fault::KillInstance || self.fault == Fault::Second && !self.strikes_retry()
+        self.fault == Fault::KillInstance || self.fault == Fault::Second && !self.faults_retry()
     }
 
-    pub fn is_silent(self) -> bool {
+    pub fn hangs(self) -> bool {
         matches!(self.fault, Fault::Freeze | Fault::BlackHole)
     }
 }
 
-pub struct Script {
+pub struct Scenario {
     pub cell: Cell,
     /// Where the probe is struck and how often it still is.
-    plan: Mutex<(Step, u32)>,
-    pub struck: AtomicU32,
-    pub go: watch::Sender<bool>,
+    planned: Mutex<(Step, u32)>,
+    pub fault_count: AtomicU32,
+    pub resume: watch::Sender<bool>,
     /// The target that met the probe last.
-    pub probed_target: Mutex<usize>,
+    pub probe_target: Mutex<usize>,
     /// Cloned by each exchange at a target.
     pub busy: Arc<()>,
     log: Mutex<Vec<String>>,
 }
 
-impl Script {
-    pub fn new(cell: Cell) -> Script {
-        let twice = cell.strikes_retry() && !cell.kills_all();
+impl Scenario {
+    pub fn new(cell: Cell) -> Scenario {
+        let twice = cell.faults_retry() && !cell.kills_all_targets();
         let strikes = 1 + u32::from(twice);
-        Script {
+        Scenario {
             cell,
-            plan: Mutex::new((cell.step, strikes)),
-            struck: AtomicU32::new(0),
-            go: watch::Sender::new(false),
-            probed_target: Mutex::default(),
+            planned: Mutex::new((cell.step, strikes)),
+            fault_count: AtomicU32::new(0),
+            resume: watch::Sender::new(false),
+            probe_target: Mutex::default(),
             busy: Arc::default(),
             log: Mutex::default(),
         }
     }
 
     /// Has the probe struck once more.
-    pub fn plan(&self, step: Step) {
-        *self.plan.lock().unwrap() = (step, 1);
+    pub fn plan_fault(&self, step: Step) {
+        *self.planned.lock().unwrap() = (step, 1);
     }
 
     /// Called where the probe comes by. If the fault is planned there, waits
     /// until it is in force.
-    pub async fn reach(&self, step: Step) -> bool {
-        match &mut *self.plan.lock().unwrap() {
+    pub async fn pause_at(&self, step: Step) -> bool {
+        match &mut *self.planned.lock().unwrap() {
             (planned, left) if *planned == step && *left > 0 => *left -= 1,
             _ => return false,
         }
-        self.struck.fetch_add(1, SeqCst);
-        self.go.subscribe().wait_for(|go| *go).await.unwrap();
+        self.fault_count.fetch_add(1, SeqCst);
+        self.resume
+            .subscribe()
+            .wait_for(|resume| *resume)
+            .await
+            .unwrap();
         true
     }
 
-    pub fn note(&self, what: &str, id: &str) {
+    pub fn record(&self, what: &str, id: &str) {
         self.log.lock().unwrap().push(format!("{what} {id}"));
     }
 
@@ -141,24 +145,24 @@
 }
 
 /// Consensus that stops at the probe's claim and settlement.
-pub struct Gated {
+pub struct PausingControl {
     pub inner: FakeControl,
-    pub script: Arc<Script>,
+    pub scenario: Arc<Scenario>,
 }
 
-impl Control for Gated {
+impl Control for PausingControl {
     fn in_service(&self) -> bool {
         self.inner.in_service()
     }
 
     async fn claim(&self, claim: ClaimKey) -> Result<KeyAnswer, ClaimError> {
         let answer = self.inner.claim(claim).await;
-        self.script.reach(Step::Claimed).await;
+        self.scenario.pause_at(Step::Claimed).await;
         answer
     }
 
     async fn settle(&self, settle: SettleKey) -> Result<KeyAnswer, ClaimError> {
-        self.script.reach(Step::Settled).await;
+        self.scenario.pause_at(Step::Settled).await;
         self.inner.settle(settle).await
     }
 
--- a/crates/cleat-entry/tests/matrix_support/target.rs
+++ b/crates/cleat-entry/tests/matrix_support/target.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 
-use super::{Fault, Kind, Script, Step};
+use super::{Fault, Kind, Scenario, Step};
 
 /// Small, so that a large body can't hide in it.
 const RECEIVE_BUFFER: u32 = 4_096;
@@ -22,7 +22,7 @@
     /// Accepts, reads and writes nothing.
     Frozen,
     /// Reads everything and answers nothing.
-    Hole,
+    BlackHole,
     /// Resets every connection.
     Resets,
     Dead,
@@ -36,7 +36,7 @@
 }
 
 impl Target {
-    pub async fn spawn(number: usize, script: &Arc<Script>, mode: Mode) -> Target {
+    pub async fn spawn(number: usize, scenario: &Arc<Scenario>, mode: Mode) -> Target {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
         socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
@@ -50,7 +50,7 @@
         let mode = Arc::new(watch::Sender::new(mode));
         let server = Server {
             number,
-            script: Arc::clone(script),
+            scenario: Arc::clone(scenario),
             mode: Arc::clone(&mode),
         };
         tokio::spawn(listen(listener, server));
@@ -70,7 +70,7 @@
 #[derive(Clone)]
 struct Server {
     number: usize,
-    script: Arc<Script>,
+    scenario: Arc<Scenario>,
     mode: Arc<watch::Sender<Mode>>,
 }
 
@@ -78,7 +78,7 @@
     let accept = async {
         loop {
             server
-                .until(|m| !matches!(m, Mode::Full | Mode::Frozen))
+                .wait_for_mode(|m| !matches!(m, Mode::Full | Mode::Frozen))
                 .await;
             let (stream, _) = listener.accept().await.unwrap();
             tokio::spawn(serve(stream, server.clone()));
@@ -86,16 +86,16 @@
     };
     tokio::select! {
         () = accept => {}
-        _ = server.until(|m| *m == Mode::Dead) => {}
+        _ = server.wait_for_mode(|m| *m == Mode::Dead) => {}
     }
 }
 
 async fn serve(mut stream: TcpStream, server: Server) {
-    let strike = tokio::select! {
-        strike = server.run(&mut stream) => strike.unwrap_or(Mode::Open),
-        mode = server.until(|m| matches!(m, Mode::Dead | Mode::Resets)) => mode,
+    let new_mode = tokio::select! {
+        new_mode = server.run(&mut stream) => new_mode.unwrap_or(Mode::Open),
+        mode = server.wait_for_mode(|m| matches!(m, Mode::Dead | Mode::Resets)) => mode,
     };
-    match strike {
+    match new_mode {
         Mode::Resets => stream.set_zero_linger().unwrap(),
         Mode::Dead => drop(server.mode.send_replace(Mode::Dead)),
         _ => {}
@@ -103,7 +103,7 @@
 }
 
 impl Server {
-    async fn until(&self, modes: impl FnMut(&Mode) -> bool) -> Mode {
+    async fn wait_for_mode(&self, modes: impl FnMut(&Mode) -> bool) -> Mode {
         *self.mode.subscribe().wait_for(modes).await.unwrap()
     }
 
@@ -113,16 +113,16 @@
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
                 head.push(stream.read_u8().await?);
-                self.ready(stream).await?;
+                self.wait_while_frozen(stream).await?;
             }
-            let _busy = Arc::clone(&self.script.busy);
+            let _busy = Arc::clone(&self.scenario.busy);
             let head = String::from_utf8(head).unwrap().to_ascii_lowercase();
             let field = |name: &str| head.lines().find_map(|l| l.strip_prefix(name)).unwrap();
             let (id, length) = (field("x-id: "), field("content-length: "));
-            self.script.note("saw", id);
-            let strike = self.exchange(stream, id, length.parse().unwrap()).await?;
-            if let Some(strike) = strike {
-                return Ok(strike);
+            self.scenario.record("saw", id);
+            let new_mode = self.exchange(stream, id, length.parse().unwrap()).await?;
+            if let Some(new_mode) = new_mode {
+                return Ok(new_mode);
             }
         }
     }
@@ -149,50 +149,60 @@
         for (step, text) in parts {
             if step == Step::BodySent {
                 s.read_exact(&mut vec![0; length]).await?;
-                self.script.note("ran", id);
+                self.scenario.record("ran", id);
             }
-            self.ready(s).await?;
+            self.wait_while_frozen(s).await?;
             s.write_all(text.as_bytes()).await?;
-            if let Some(strike) = self.strike(s, id, step).await? {
-                return Ok(Some(strike));
+            if let Some(new_mode) = self.apply_fault(s, id, step).await? {
+                return Ok(Some(new_mode));
             }
         }
         Ok(None)
     }
 
     /// Meets the fault if it is planned for this step.
-    async fn strike(&self, s: &mut TcpStream, id: &str, step: Step) -> io::Result<Option<Mode>> {
+    async fn apply_fault(
+        &self,
+        s: &mut TcpStream,
+        id: &str,
+        step: Step,
+    ) -> io::Result<Option<Mode>> {
         if id == "block" && step == Step::BodySent {
-            self.script.go.subscribe().wait_for(|go| *go).await.unwrap();
+            self.scenario
+                .resume
+                .subscribe()
+                .wait_for(|resume| *resume)
+                .await
+                .unwrap();
         }
-        let cell = self.script.cell;
+        let cell = self.scenario.cell;
         let settles = step == Step::Settled && cell.kind == Kind::Keyed;
         if id != "probe" || settles {
             return Ok(None);
         }
-        *self.script.probed_target.lock().unwrap() = self.number;
-        if !self.script.reach(step).await {
+        *self.scenario.probe_target.lock().unwrap() = self.number;
+        if !self.scenario.pause_at(step).await {
             return Ok(None);
         }
         match cell.fault {
             Fault::KillTarget => Ok(Some(Mode::Dead)),
             Fault::Reset | Fault::Second => Ok(Some(Mode::Resets)),
-            Fault::BlackHole => swallow(s).await.map(|()| None),
+            Fault::BlackHole => discard_all(s).await.map(|()| None),
             _ => Ok(None),
         }
     }
 
     /// Waits while it is frozen; ends if it swallows.
-    async fn ready(&self, stream: &mut TcpStream) -> io::Result<()> {
-        match self.until(|m| *m != Mode::Frozen).await {
-            Mode::Hole => swallow(stream).await,
+    async fn wait_while_frozen(&self, stream: &mut TcpStream) -> io::Result<()> {
+        match self.wait_for_mode(|m| *m != Mode::Frozen).await {
+            Mode::BlackHole => discard_all(stream).await,
             _ => Ok(()),
         }
     }
 }
 
 /// Reads until the other side closes.
-async fn swallow(stream: &mut TcpStream) -> io::Result<()> {
+async fn discard_all(stream: &mut TcpStream) -> io::Result<()> {
     let mut buf = [0; 4_096];
     while stream.read(&mut buf).await? > 0 {}
     Err(io::ErrorKind::UnexpectedEof.into())
--- a/crates/cleat-entry/tests/matrix_support/world.rs
+++ b/crates/cleat-entry/tests/matrix_support/test_bed.rs
@@ -14,37 +14,38 @@
 use tokio::time::{sleep, timeout};
 
 use super::{
-    BODY, Cell, Ended, Fault, Gated, Kind, Mode, Script, Step, Target, exchange, own_answer,
+    BODY, Cell, Fault, Kind, Mode, PausingControl, Scenario, SendResult, Step, Target, exchange,
+    own_answer,
 };
 use crate::support::{self, FakeControl, Fleet};
 
 /// The deadline in cells whose fault says nothing, and in all others.
-const SHORT: Duration = Duration::from_millis(700);
-const LONG: Duration = Duration::from_secs(20);
+const SHORT_DEADLINE: Duration = Duration::from_millis(700);
+const LONG_DEADLINE: Duration = Duration::from_secs(20);
 /// An answer after this missed its short deadline.
-const LATE_SHORT: Duration = Duration::from_secs(3);
+const SHORT_DEADLINE_TIMEOUT: Duration = Duration::from_secs(3);
 /// An answer after this waited for its long deadline.
-const LATE: Duration = Duration::from_secs(7);
+const LONG_DEADLINE_TIMEOUT: Duration = Duration::from_secs(7);
 const DELAY: Duration = Duration::from_millis(100);
 
 /// What was checked, or the invariant that broke.
-pub type Checked<T = ()> = Result<T, String>;
+pub type CheckResult<T = ()> = Result<T, String>;
 
 /// The targets, entries and control of one cell.
-pub struct World {
+pub struct TestBed {
     cell: Cell,
-    pub script: Arc<Script>,
-    control: Arc<Gated>,
+    pub scenario: Arc<Scenario>,
+    control: Arc<PausingControl>,
     fleet: Fleet,
     targets: Vec<Target>,
-    pub first: Entry<Gated>,
+    pub first: Entry<PausingControl>,
     /// The first entry's own, so that it can be killed.
     runtime: Option<Runtime>,
-    second: Entry<Gated>,
+    second: Entry<PausingControl>,
     reset_caller: watch::Sender<bool>,
 }
 
-async fn bind(name: &str, control: Arc<Gated>) -> Entry<Gated> {
+async fn bind(name: &str, control: Arc<PausingControl>) -> Entry<PausingControl> {
     let cfg = EntryConfig {
         name: name.into(),
         data_centre: "dc1".into(),
@@ -62,25 +63,29 @@
     Entry::bind(cfg, control).await.unwrap()
 }
 
-impl World {
-    pub async fn new(cell: Cell) -> World {
-        let script = Arc::new(Script::new(cell));
+impl TestBed {
+    pub async fn new(cell: Cell) -> TestBed {
+        let scenario = Arc::new(Scenario::new(cell));
         let full = cell.step == Step::Connecting;
         let mode = if full { Mode::Full } else { Mode::Open };
-        let deadline = if cell.is_silent() { SHORT } else { LONG };
+        let deadline = if cell.hangs() {
+            SHORT_DEADLINE
+        } else {
+            LONG_DEADLINE
+        };
         let deadline = u64::try_from(deadline.as_millis()).unwrap();
         let mut fleet = Fleet::new(json!({"deadline_ms": deadline}));
         let mut targets = Vec::new();
         for number in 0..2 {
-            let target = Target::spawn(number, &script, mode).await;
+            let target = Target::spawn(number, &scenario, mode).await;
             // One slot for each entry.
             fleet.announce(&format!("t{number}"), target.address, 2);
             targets.push(target);
         }
         let inner = FakeControl::default();
-        let control = Arc::new(Gated {
+        let control = Arc::new(PausingControl {
             inner,
-            script: Arc::clone(&script),
+            scenario: Arc::clone(&scenario),
         });
         let runtime = Runtime::new().unwrap();
         let first = runtime
@@ -91,9 +96,9 @@
         first.update_routes(&fleet.world);
         second.update_routes(&fleet.world);
         let (runtime, reset_caller) = (Some(runtime), watch::Sender::new(false));
-        World {
+        TestBed {
             cell,
-            script,
+            scenario,
             control,
             fleet,
             targets,
@@ -105,19 +110,23 @@
     }
 
     /// Sends a request; the first send of the probe can be struck in mid-body.
-    pub fn send(&self, entry: &Entry<Gated>, id: &'static str) -> JoinHandle<Ended> {
+    pub fn send(&self, entry: &Entry<PausingControl>, id: &'static str) -> JoinHandle<SendResult> {
         let first = id == "probe" && entry.local_addr() == self.first.local_addr();
-        let script = first.then(|| Arc::clone(&self.script));
+        let scenario = first.then(|| Arc::clone(&self.scenario));
         let mut reset = self.reset_caller.subscribe();
         let keyed = self.cell.kind == Kind::Keyed && id == "probe";
         let address = entry.local_addr();
-        let silent = self.cell.is_silent();
-        let late = if silent { LATE_SHORT } else { LATE };
+        let silent = self.cell.hangs();
+        let late = if silent {
+            SHORT_DEADLINE_TIMEOUT
+        } else {
+            LONG_DEADLINE_TIMEOUT
+        };
         tokio::spawn(async move {
             let mut stream = support::open(address).await;
             let reset = async { drop(reset.wait_for(|reset| *reset && first).await) };
             let ended = tokio::select! {
-                ended = timeout(late, exchange(&mut stream, id, keyed, script)) => ended,
+                ended = timeout(late, exchange(&mut stream, id, keyed, scenario)) => ended,
                 () = reset => Ok(Err("gone")),
             };
             stream.set_zero_linger().unwrap();
@@ -126,14 +135,14 @@
     }
 
     /// Waits until the probe stands at the cell's step.
-    pub async fn at_step(&self) -> Checked {
+    pub async fn wait_for_step(&self) -> CheckResult {
         let count = |name: &str| self.first.counters()[name];
-        let struck = || self.script.struck.load(SeqCst) == 1;
-        until("the probe is at its step", || match self.cell.step {
+        let is_paused = || self.scenario.fault_count.load(SeqCst) == 1;
+        wait_until("the probe is at its step", || match self.cell.step {
             Step::Queued => count("entry.waited") == 1,
             Step::Connecting => count("entry.tries") == 1,
-            Step::Received => struck() && count("entry.requests") == 1,
-            _ => struck(),
+            Step::Received => is_paused() && count("entry.requests") == 1,
+            _ => is_paused(),
         })
         .await
     }
@@ -146,76 +155,76 @@
 
     /// Puts the fault in force and lets go on what it leaves. Returns the
     /// duplicate, if that is the fault.
-    pub async fn strike(&mut self) -> Checked<Option<JoinHandle<Ended>>> {
-        let (at_target, step) = (self.cell.at_target(), self.cell.step);
+    pub async fn apply_fault(&mut self) -> CheckResult<Option<JoinHandle<SendResult>>> {
+        let (is_at_target, step) = (self.cell.is_at_target(), self.cell.step);
         let connecting = step == Step::Connecting;
-        let mut twin = None;
+        let mut duplicate = None;
         match self.cell.fault {
-            _ if self.cell.kills_instance() => self.kill().await?,
+            _ if self.cell.kills_instance() => self.kill_first_entry().await?,
             Fault::Delay => sleep(DELAY).await,
-            Fault::Duplicate => twin = Some(self.duplicate().await?),
-            Fault::Second if self.cell.kills_all() => self.kill_targets().await?,
+            Fault::Duplicate => duplicate = Some(self.send_duplicate().await?),
+            Fault::Second if self.cell.kills_all_targets() => self.kill_targets().await?,
             // A target strikes by itself.
-            Fault::Freeze if at_target => return Ok(None),
-            _ if at_target => {}
+            Fault::Freeze if is_at_target => return Ok(None),
+            _ if is_at_target => {}
             Fault::KillTarget => self.kill_targets().await?,
             Fault::Reset if step >= Step::Connecting => self.set_targets(Mode::Resets),
             Fault::Reset => drop(self.reset_caller.send_replace(true)),
             Fault::Freeze if !connecting => self.set_targets(Mode::Frozen),
-            Fault::BlackHole if !connecting => self.set_targets(Mode::Hole),
+            Fault::BlackHole if !connecting => self.set_targets(Mode::BlackHole),
             _ => {}
         }
         let opens = matches!(self.cell.fault, Fault::Delay | Fault::Duplicate);
         if connecting && (opens || self.cell.kills_instance()) {
             self.set_targets(Mode::Open);
         }
-        self.script.go.send_replace(true);
-        Ok(twin)
+        self.scenario.resume.send_replace(true);
+        Ok(duplicate)
     }
 
     /// Kills all, last the one that has the probe: its retry finds none.
-    async fn kill_targets(&self) -> Checked {
-        let last = *self.script.probed_target.lock().unwrap();
+    async fn kill_targets(&self) -> CheckResult {
+        let last = *self.scenario.probe_target.lock().unwrap();
         for target in [&self.targets[1 - last], &self.targets[last]] {
             target.mode.send_replace(Mode::Dead);
-            refuses(target.address).await?;
+            wait_until_refused(target.address).await?;
         }
         Ok(())
     }
 
-    async fn kill(&mut self) -> Checked {
+    async fn kill_first_entry(&mut self) -> CheckResult {
         self.runtime.take().unwrap().shutdown_background();
-        refuses(self.first.local_addr()).await?;
+        wait_until_refused(self.first.local_addr()).await?;
         // The replicated state learns that the life is over.
         let mut table = self.control.inner.table.lock().unwrap();
         table.end_other_lives("e1", 2);
         Ok(())
     }
 
-    async fn duplicate(&self) -> Checked<JoinHandle<Ended>> {
+    async fn send_duplicate(&self) -> CheckResult<JoinHandle<SendResult>> {
         let keyed = self.cell.kind == Kind::Keyed;
-        let twin = self.send(&self.second, if keyed { "probe" } else { "twin" });
+        let duplicate = self.send(&self.second, if keyed { "probe" } else { "twin" });
         let came = || self.second.counters()["entry.requests"] == 1;
-        until("the duplicate came", came).await?;
+        wait_until("the duplicate came", came).await?;
         // Time enough to run, were it not held.
         sleep(DELAY).await;
-        Ok(twin)
+        Ok(duplicate)
     }
 
     /// The invariants of one answer; a body that targets saw `before` it was
     /// sent says nothing about it.
-    pub fn check(&self, ended: &Ended, id: &str, before: usize) -> Checked<String> {
+    pub fn check(&self, ended: &SendResult, id: &str, before: usize) -> CheckResult<String> {
         let reply = match ended {
             Ok(reply) => reply,
             Err("hung") => return Err("no final answer in time".into()),
             Err(broken) => return Ok((*broken).into()),
         };
-        ensure(reply.looks_whole(), "more came than one answer")?;
-        let saw = self.script.count("saw", id);
+        ensure(reply.is_complete(), "more came than one answer")?;
+        let saw = self.scenario.count("saw", id);
         match reply.outcome() {
             "answered" => {
                 ensure(reply.text() == own_answer(id), "not its own whole answer")?;
-                ensure(self.script.count("ran", id) > 0, "answered without a run")?;
+                ensure(self.scenario.count("ran", id) > 0, "answered without a run")?;
             }
             "not-run" => {
                 ensure(
@@ -233,29 +242,29 @@
     }
 
     /// The caller comes again through the other entry, if need be twice.
-    pub async fn send_again(&self, ends: &mut Vec<String>) -> Checked {
+    pub async fn resend(&self, outcomes: &mut Vec<String>) -> CheckResult {
         let second = self.cell.fault == Fault::Second;
         let keyed = self.cell.kind == Kind::Keyed;
-        let claims = &self.control.inner.claim_script;
+        let claims = &self.control.inner.claim_behaviour;
         if second && keyed {
-            *claims.lock().unwrap() = support::Script::LosesAnswer;
-            ends.push(self.send_once_more().await?);
+            *claims.lock().unwrap() = support::Behaviour::LosesReply;
+            outcomes.push(self.resend_once().await?);
             ensure(
                 self.second.counters()["entry.claims"] == 1,
                 "no second strike",
             )?;
-            *claims.lock().unwrap() = support::Script::Works;
+            *claims.lock().unwrap() = support::Behaviour::Works;
         } else if second {
-            self.script.plan(Step::BodySent);
+            self.scenario.plan_fault(Step::BodySent);
         }
-        let struck = self.script.struck.load(SeqCst);
-        ends.push(self.send_once_more().await?);
-        let again = self.script.struck.load(SeqCst) - struck;
+        let fault_count = self.scenario.fault_count.load(SeqCst);
+        outcomes.push(self.resend_once().await?);
+        let again = self.scenario.fault_count.load(SeqCst) - fault_count;
         ensure(again == u32::from(second && !keyed), "no second strike")
     }
 
-    async fn send_once_more(&self) -> Checked<String> {
-        let saw = self.script.count("saw", "probe");
+    async fn resend_once(&self) -> CheckResult<String> {
+        let saw = self.scenario.count("saw", "probe");
         let ended = self.send(&self.second, "probe").await.unwrap();
         // Under a key that a target saw, "not run" would be a lie.
         let before = if self.cell.kind == Kind::Keyed {
@@ -267,44 +276,47 @@
     }
 
     /// Every slot, byte and key is given back.
-    pub async fn check_rest(&mut self) -> Checked {
-        let struck = *self.script.probed_target.lock().unwrap();
-        let alive = [struck, 1 - struck]
+    pub async fn check_resources_released(&mut self) -> CheckResult {
+        let probe_target = *self.scenario.probe_target.lock().unwrap();
+        let alive = [probe_target, 1 - probe_target]
             .into_iter()
             .find(|t| !self.targets[*t].is_dead());
         for target in [0, 1].into_iter().filter(|t| Some(*t) != alive) {
             self.fleet.withdraw(&format!("t{target}"));
         }
         if alive.is_none() {
-            let fresh = Target::spawn(2, &self.script, Mode::Open).await;
+            let fresh = Target::spawn(2, &self.scenario, Mode::Open).await;
             self.fleet.announce("t2", fresh.address, 2);
             self.targets.push(fresh);
         }
         for target in self.targets.iter().filter(|t| !t.is_dead()) {
             target.mode.send_replace(Mode::Open);
         }
-        until("targets rest", || Arc::strong_count(&self.script.busy) == 1).await?;
+        wait_until("targets rest", || {
+            Arc::strong_count(&self.scenario.busy) == 1
+        })
+        .await?;
         let entries = [&self.first, &self.second];
         for entry in entries
             .into_iter()
             .skip(usize::from(self.cell.kills_instance()))
         {
             entry.update_routes(&self.fleet.world);
-            self.check_next(entry).await?;
-            let drained = timeout(LATE, entry.drain()).await;
+            self.check_next_request(entry).await?;
+            let drained = timeout(LONG_DEADLINE_TIMEOUT, entry.drain()).await;
             drained.map_err(|_| "work is left")?;
             ensure(
                 entry.counters()["entry.answer_bytes_held"] == 0,
                 "memory is left",
             )?;
         }
-        until("the key is settled", || !self.is_pending()).await
+        wait_until("the key is settled", || !self.is_key_pending()).await
     }
 
     /// The next request is served by the one target, with its one slot.
-    async fn check_next(&self, entry: &Entry<Gated>) -> Checked {
+    async fn check_next_request(&self, entry: &Entry<PausingControl>) -> CheckResult {
         for _ in 0..20 {
-            let before = self.script.count("saw", "next");
+            let before = self.scenario.count("saw", "next");
             let next = self.send(entry, "next").await.unwrap();
             if self.check(&next, "next", before)? == "answered" {
                 return Ok(());
@@ -314,7 +326,7 @@
         Err("the next request is not served".into())
     }
 
-    fn is_pending(&self) -> bool {
+    fn is_key_pending(&self) -> bool {
         let digest = *self.control.inner.last_digest.lock().unwrap();
         let key = KeyTable::scoped("dock", "school", "k");
         let table = self.control.inner.table.lock().unwrap();
@@ -323,7 +335,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for TestBed {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -332,12 +344,12 @@
     }
 }
 
-pub fn ensure(holds: bool, what: &str) -> Checked {
+pub fn ensure(holds: bool, what: &str) -> CheckResult {
     if holds { Ok(()) } else { Err(what.into()) }
 }
 
 /// Waits until a kill is complete.
-async fn refuses(address: SocketAddr) -> Checked {
+async fn wait_until_refused(address: SocketAddr) -> CheckResult {
     for _ in 0..100 {
         let connect = tokio::net::TcpStream::connect(address);
         if matches!(timeout(DELAY, connect).await, Ok(Err(_))) {
@@ -349,7 +361,7 @@
 }
 
 /// Polls until `check` holds.
-pub async fn until(what: &str, mut check: impl FnMut() -> bool) -> Checked {
+pub async fn wait_until(what: &str, mut check: impl FnMut() -> bool) -> CheckResult {
     for _ in 0..2_000 {
         if check() {
             return Ok(());
--- a/crates/cleat-entry/tests/refused_keys.rs
+++ b/crates/cleat-entry/tests/refused_keys.rs
@@ -9,11 +9,11 @@
 
 use cleat_entry::{Entry, Limits};
 use serde_json::json;
-use support::{FakeControl, Fleet, Reply, Script, Step, Target, entry, entry_with, eventually};
+use support::{Behaviour, FakeControl, Fleet, Reply, Step, Target, entry, entry_with, eventually};
 use support::{get, limits, post};
 
 const KEY: &str = "idempotency-key: k1\r\ncelerycleat-caller: school\r\n";
-const FREE: &str = "503 not-run not-in-service";
+const NOT_IN_SERVICE: &str = "503 not-run not-in-service";
 const NOT_LOOKED_UP: &str = "504 unknown idempotency-key-not-looked-up";
 
 async fn send(entry: &Entry<FakeControl>) -> Reply {
@@ -21,7 +21,7 @@
 }
 
 /// An entry that takes no request, and the first one's control.
-async fn out_of_service(
+async fn entry_out_of_service(
     fleet: &Fleet,
     first: &FakeControl,
 ) -> (Entry<FakeControl>, Arc<FakeControl>) {
@@ -35,10 +35,10 @@
 #[tokio::test]
 async fn refused_key_that_is_free() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
-    let (second, control) = out_of_service(&fleet, &FakeControl::default()).await;
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
+    let (second, control) = entry_out_of_service(&fleet, &FakeControl::default()).await;
     let reply = send(&second).await;
-    assert_eq!(reply.summary(), FREE);
+    assert_eq!(reply.summary(), NOT_IN_SERVICE);
     assert!(reply.header("retry-after").is_some());
     assert_eq!(target.count(), 0);
     assert!(
@@ -50,11 +50,11 @@
 #[tokio::test]
 async fn refused_key_that_ran_replays() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let (first, control) = entry(&fleet).await;
     assert_eq!(send(&first).await.status, 200);
     eventually("it is settled", || control.settled().len() == 1).await;
-    let (second, _) = out_of_service(&fleet, &control).await;
+    let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await;
     assert_eq!(again.header("celerycleat-replayed"), Some("true"));
     assert_eq!(
@@ -70,17 +70,17 @@
 #[tokio::test]
 async fn refused_key_in_progress_or_cut() {
     let target = Target::spawn(|_| vec![Step::Sleep(150), Step::Close]).await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let (first, control) = entry(&fleet).await;
     let cut = tokio::spawn(post(first.local_addr(), "/dock/x", KEY, "boat"));
     eventually("it runs", || target.in_progress() == 1).await;
-    let (second, _) = out_of_service(&fleet, &control).await;
+    let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await;
     assert_eq!(again.summary(), "504 unknown idempotency-key-in-progress");
     assert!(again.header("retry-after").is_some());
     cut.await.unwrap();
     eventually("it is settled", || control.settled().len() == 1).await;
-    let (second, _) = out_of_service(&fleet, &control).await;
+    let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-outcome-unknown");
 }
@@ -88,21 +88,21 @@
 #[tokio::test]
 async fn refused_key_that_cannot_be_looked_up() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
-    for script in [Script::Refuses, Script::Hangs] {
-        let (second, control) = out_of_service(&fleet, &FakeControl::default()).await;
-        *control.look_up_script.lock().unwrap() = script;
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
+    for behaviour in [Behaviour::Refuses, Behaviour::Hangs] {
+        let (second, control) = entry_out_of_service(&fleet, &FakeControl::default()).await;
+        *control.look_up_behaviour.lock().unwrap() = behaviour;
         let reply = send(&second).await;
         assert_eq!(reply.summary(), NOT_LOOKED_UP);
         assert!(reply.header("retry-after").is_some());
         // What needs no key, or can run twice, is told without a look-up.
         assert_eq!(
             get(second.local_addr(), "/dock/x", "").await.summary(),
-            FREE
+            NOT_IN_SERVICE
         );
         let idempotent = format!("{KEY}celerycleat-idempotent: true\r\n");
         let reply = post(second.local_addr(), "/dock/x", &idempotent, "boat").await;
-        assert_eq!(reply.summary(), FREE);
+        assert_eq!(reply.summary(), NOT_IN_SERVICE);
     }
     assert_eq!(target.count(), 0);
 }
@@ -110,17 +110,17 @@
 #[tokio::test]
 async fn refused_key_whose_claim_fails() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({"deadline_ms": 300}), &[&target], 8);
-    for script in [Script::Refuses, Script::Hangs] {
+    let fleet = Fleet::with_targets(json!({"deadline_ms": 300}), &[&target], 8);
+    for behaviour in [Behaviour::Refuses, Behaviour::Hangs] {
         let (entry, control) = entry(&fleet).await;
-        *control.claim_script.lock().unwrap() = Script::Refuses;
-        *control.look_up_script.lock().unwrap() = script;
+        *control.claim_behaviour.lock().unwrap() = Behaviour::Refuses;
+        *control.look_up_behaviour.lock().unwrap() = behaviour;
         assert_eq!(send(&entry).await.summary(), NOT_LOOKED_UP);
     }
     // A claim whose answer and taking back are both lost.
     let (entry, control) = entry(&fleet).await;
-    *control.claim_script.lock().unwrap() = Script::LosesAnswer;
-    *control.settle_script.lock().unwrap() = Script::Refuses;
+    *control.claim_behaviour.lock().unwrap() = Behaviour::LosesReply;
+    *control.settle_behaviour.lock().unwrap() = Behaviour::Refuses;
     let reply = send(&entry).await.summary();
     assert_eq!(reply, "504 unknown idempotency-key-in-progress");
     assert_eq!(target.count(), 0);
@@ -130,7 +130,7 @@
 async fn refused_key_of_a_request_not_read_whole() {
     let target = Target::ok("own").await;
     let terms = json!({"body_limit_bytes": 4});
-    let mut fleet = Fleet::with(terms, &[&target], 8);
+    let mut fleet = Fleet::with_targets(terms, &[&target], 8);
     let small = Limits {
         request_memory_bytes: 2,
         ..limits()
--- a/crates/cleat-entry/tests/support/caller.rs
+++ b/crates/cleat-entry/tests/support/caller.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether its framing says that it is whole.
-    pub fn looks_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         match self.header("content-length") {
             Some(length) => self.body.len() == length.parse::<usize>().unwrap(),
             None => self.body.ends_with(b"0\r\n\r\n"),
--- a/crates/cleat-entry/tests/support/control.rs
+++ b/crates/cleat-entry/tests/support/control.rs
@@ -9,12 +9,12 @@
 
 /// What a call comes to instead of its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Script {
+pub enum Behaviour {
     Works,
     /// Nothing is changed.
     Refuses,
     /// It is changed, but the answer is lost.
-    LosesAnswer,
+    LosesReply,
     /// Neither.
     Hangs,
 }
@@ -22,9 +22,9 @@
 pub struct FakeControl {
     pub in_service: AtomicBool,
     pub claims: AtomicU32,
-    pub claim_script: Mutex<Script>,
-    pub settle_script: Mutex<Script>,
-    pub look_up_script: Mutex<Script>,
+    pub claim_behaviour: Mutex<Behaviour>,
+    pub settle_behaviour: Mutex<Behaviour>,
+    pub look_up_behaviour: Mutex<Behaviour>,
     pub settlements: Mutex<Vec<SettleKey>>,
     pub table: Mutex<KeyTable>,
     pub terms: Mutex<KeyTerms>,
@@ -37,9 +37,9 @@
         FakeControl {
             in_service: AtomicBool::new(true),
             claims: AtomicU32::new(0),
-            claim_script: Mutex::new(Script::Works),
-            settle_script: Mutex::new(Script::Works),
-            look_up_script: Mutex::new(Script::Works),
+            claim_behaviour: Mutex::new(Behaviour::Works),
+            settle_behaviour: Mutex::new(Behaviour::Works),
+            look_up_behaviour: Mutex::new(Behaviour::Works),
             settlements: Mutex::default(),
             table: Mutex::default(),
             terms: Mutex::default(),
@@ -69,13 +69,13 @@
     async fn claim(&self, claim: ClaimKey) -> Result<KeyAnswer, ClaimError> {
         self.claims.fetch_add(1, Ordering::SeqCst);
         *self.last_digest.lock().unwrap() = Some(claim.digest);
-        let script = *self.claim_script.lock().unwrap();
+        let behaviour = *self.claim_behaviour.lock().unwrap();
         // As a quorum write: the rest happens after a while.
         tokio::time::sleep(Duration::from_millis(2)).await;
-        if script == Script::Refuses {
+        if behaviour == Behaviour::Refuses {
             return Err(ClaimError::NotClaimed);
         }
-        if script == Script::Hangs {
+        if behaviour == Behaviour::Hangs {
             std::future::pending::<()>().await;
         }
         let terms = *self.terms.lock().unwrap();
@@ -84,33 +84,33 @@
             .lock()
             .unwrap()
             .claim(claim, terms, self.now_ms());
-        if script == Script::LosesAnswer {
+        if behaviour == Behaviour::LosesReply {
             return Err(ClaimError::OutcomeUnknown);
         }
         Ok(answer)
     }
 
     async fn settle(&self, settle: SettleKey) -> Result<KeyAnswer, ClaimError> {
-        let script = *self.settle_script.lock().unwrap();
+        let behaviour = *self.settle_behaviour.lock().unwrap();
         tokio::time::sleep(Duration::from_millis(2)).await;
-        if script == Script::Refuses {
+        if behaviour == Behaviour::Refuses {
             return Err(ClaimError::NotClaimed);
         }
         self.settlements.lock().unwrap().push(settle.clone());
         let answer = self.table.lock().unwrap().settle(settle);
-        if script == Script::LosesAnswer {
+        if behaviour == Behaviour::LosesReply {
             return Err(ClaimError::OutcomeUnknown);
         }
         Ok(answer)
     }
 
     async fn look_up(&self, key: &str, digest: u64) -> Result<Option<KeyAnswer>, ClaimError> {
-        let script = *self.look_up_script.lock().unwrap();
+        let behaviour = *self.look_up_behaviour.lock().unwrap();
         tokio::time::sleep(Duration::from_millis(2)).await;
-        match script {
-            Script::Works => Ok(self.table.lock().unwrap().look_up(key, digest)),
-            Script::Hangs => std::future::pending().await,
-            Script::Refuses | Script::LosesAnswer => Err(ClaimError::OutcomeUnknown),
+        match behaviour {
+            Behaviour::Works => Ok(self.table.lock().unwrap().look_up(key, digest)),
+            Behaviour::Hangs => std::future::pending().await,
+            Behaviour::Refuses | Behaviour::LosesReply => Err(ClaimError::OutcomeUnknown),
         }
     }
 }
--- a/crates/cleat-entry/tests/support/fleet.rs
+++ b/crates/cleat-entry/tests/support/fleet.rs
@@ -78,7 +78,7 @@
     }
 
     /// A fleet whose one service has these targets, `t0`, `t1`…
-    pub fn with(terms: Value, targets: &[&Target], slots: u32) -> Fleet {
+    pub fn with_targets(terms: Value, targets: &[&Target], slots: u32) -> Fleet {
         let mut fleet = Fleet::new(terms);
         for (i, target) in targets.iter().enumerate() {
             fleet.announce(&format!("t{i}"), target.address, slots);
--- a/crates/cleat-entry/tests/support/mod.rs
+++ b/crates/cleat-entry/tests/support/mod.rs
@@ -7,7 +7,7 @@
 mod target;
 
 pub use caller::{Reply, call, get, open, post};
-pub use control::{FakeControl, Script};
+pub use control::{Behaviour, FakeControl};
 pub use fleet::{Fleet, entry, entry_with, limits};
 pub use target::{Step, Target};
 
--- a/crates/cleat-entry/tests/support/target.rs
+++ b/crates/cleat-entry/tests/support/target.rs
@@ -36,21 +36,21 @@
     }
 }
 
-type Scripted = dyn Fn(&str) -> Vec<Step> + Send + Sync;
+type ScriptFn = dyn Fn(&str) -> Vec<Step> + Send + Sync;
 
 #[derive(Default)]
-struct Seen {
+struct Statistics {
     requests: Mutex<Vec<String>>,
-    now: AtomicU32,
-    most: AtomicU32,
+    in_progress: AtomicU32,
+    max_in_progress: AtomicU32,
     connections: AtomicU32,
-    connections_most: AtomicU32,
+    max_connections: AtomicU32,
     accepted: AtomicU32,
 }
 
 pub struct Target {
     pub address: SocketAddr,
-    seen: Arc<Seen>,
+    stats: Arc<Statistics>,
     listening: tokio::task::JoinHandle<()>,
 }
 
@@ -59,9 +59,9 @@
     pub async fn spawn(script: impl Fn(&str) -> Vec<Step> + Send + Sync + 'static) -> Target {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Seen::default());
-        let script: Arc<Scripted> = Arc::new(script);
-        let shared = Arc::clone(&seen);
+        let stats = Arc::new(Statistics::default());
+        let script: Arc<ScriptFn> = Arc::new(script);
+        let shared = Arc::clone(&stats);
         let listening = tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
@@ -72,7 +72,7 @@
         });
         Target {
             address,
-            seen,
+            stats,
             listening,
         }
     }
@@ -95,39 +95,39 @@
 
     /// Heads and bodies of all requests.
     pub fn requests(&self) -> Vec<String> {
-        self.seen.requests.lock().unwrap().clone()
+        self.stats.requests.lock().unwrap().clone()
     }
 
     pub fn count(&self) -> usize {
-        self.seen.requests.lock().unwrap().len()
+        self.stats.requests.lock().unwrap().len()
     }
 
     /// Counts from nothing again.
-    pub fn forget(&self) {
-        self.seen.requests.lock().unwrap().clear();
+    pub fn clear_requests(&self) {
+        self.stats.requests.lock().unwrap().clear();
     }
 
     /// The most requests in progress at once.
-    pub fn most(&self) -> u32 {
-        self.seen.most.load(Ordering::SeqCst)
+    pub fn max_in_progress(&self) -> u32 {
+        self.stats.max_in_progress.load(Ordering::SeqCst)
     }
 
     pub fn in_progress(&self) -> u32 {
-        self.seen.now.load(Ordering::SeqCst)
+        self.stats.in_progress.load(Ordering::SeqCst)
     }
 
     /// The most connections open at once.
-    pub fn connections_most(&self) -> u32 {
-        self.seen.connections_most.load(Ordering::SeqCst)
+    pub fn max_connections(&self) -> u32 {
+        self.stats.max_connections.load(Ordering::SeqCst)
     }
 
     pub fn connections(&self) -> u32 {
-        self.seen.connections.load(Ordering::SeqCst)
+        self.stats.connections.load(Ordering::SeqCst)
     }
 
     /// Connections ever accepted.
     pub fn accepted(&self) -> u32 {
-        self.seen.accepted.load(Ordering::SeqCst)
+        self.stats.accepted.load(Ordering::SeqCst)
     }
 }
 
@@ -137,48 +137,50 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, seen: &Seen, script: &Scripted) {
-    let open = seen.connections.fetch_add(1, Ordering::SeqCst) + 1;
-    seen.connections_most.fetch_max(open, Ordering::SeqCst);
+async fn serve(mut stream: TcpStream, stats: &Statistics, script: &ScriptFn) {
+    let open = stats.connections.fetch_add(1, Ordering::SeqCst) + 1;
+    stats.max_connections.fetch_max(open, Ordering::SeqCst);
     while let Some(request) = read_request(&mut stream).await {
-        let now = seen.now.fetch_add(1, Ordering::SeqCst) + 1;
-        seen.most.fetch_max(now, Ordering::SeqCst);
-        seen.requests.lock().unwrap().push(request.clone());
-        let goes_on = act(&mut stream, script(&request), seen).await;
-        if !goes_on {
+        let in_progress = stats.in_progress.fetch_add(1, Ordering::SeqCst) + 1;
+        stats
+            .max_in_progress
+            .fetch_max(in_progress, Ordering::SeqCst);
+        stats.requests.lock().unwrap().push(request.clone());
+        let stays_open = run_steps(&mut stream, script(&request), stats).await;
+        if !stays_open {
             break;
         }
     }
-    seen.connections.fetch_sub(1, Ordering::SeqCst);
+    stats.connections.fetch_sub(1, Ordering::SeqCst);
 }
 
 /// Plays the script; the request stops counting before its last byte leaves.
-async fn act(stream: &mut TcpStream, steps: Vec<Step>, seen: &Seen) -> bool {
+async fn run_steps(stream: &mut TcpStream, steps: Vec<Step>, stats: &Statistics) -> bool {
     let last = steps.len();
-    let mut counts = true;
-    let mut goes_on = true;
+    let mut is_counted = true;
+    let mut stays_open = true;
     for (i, step) in steps.into_iter().enumerate() {
         if i + 1 == last {
-            seen.now.fetch_sub(1, Ordering::SeqCst);
-            counts = false;
+            stats.in_progress.fetch_sub(1, Ordering::SeqCst);
+            is_counted = false;
         }
         match step {
-            Step::Write(bytes) => goes_on = stream.write_all(&bytes).await.is_ok(),
+            Step::Write(bytes) => stays_open = stream.write_all(&bytes).await.is_ok(),
             Step::Sleep(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Step::Close => goes_on = false,
+            Step::Close => stays_open = false,
             Step::Reset => {
                 stream.set_zero_linger().unwrap();
-                goes_on = false;
+                stays_open = false;
             }
         }
-        if !goes_on {
+        if !stays_open {
             break;
         }
     }
-    if counts {
-        seen.now.fetch_sub(1, Ordering::SeqCst);
+    if is_counted {
+        stats.in_progress.fetch_sub(1, Ordering::SeqCst);
     }
-    goes_on
+    stays_open
 }
 
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
--- a/crates/cleat-entry/tests/trace.rs
+++ b/crates/cleat-entry/tests/trace.rs
@@ -24,7 +24,7 @@
     let telemetry = Telemetry::start(&settings).unwrap();
 
     let target = Target::ok("own").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let traced = format!("idempotency-key: k\r\ntraceparent: 00-{TRACE}-b7ad6b7169203331-01\r\n");
     assert_eq!(post(address, "/dock/x", &traced, "boat").await.status, 200);
