--- a/crates/cleat-entry/examples/alone.rs
+++ b/crates/cleat-entry/examples/alone.rs
@@ -1,7 +1,8 @@
-//! One entry without consensus, to measure the request path by itself.
+//! Runs one entry without consensus, to measure the request path in isolation.
 //!
 //! `cargo run --release -p cleat-entry --example alone -- TARGET` serves the
-//! service `dock` at the address TARGET and prints where callers connect.
+//! service `dock` with the target at the address TARGET and prints the address
+//! to send requests to.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -22,7 +23,7 @@
     "services": {"dock": {"pool": "runners", "deadline_ms": 10000}}
 }"#;
 
-/// Always in service, never with a quorum.
+/// A control that is always in service but never has a quorum.
 struct AlwaysInService;
 
 impl Control for AlwaysInService {
--- a/crates/cleat-entry/tests/admission.rs
+++ b/crates/cleat-entry/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Slots, queues, and targets that come and go.
+//! Tests admission, queueing, retries, and targets that join or leave.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -33,7 +33,7 @@
         assert_eq!(
             target.max_in_progress(),
             3,
-            "slots are used up and never exceeded"
+            "all slots are used, but no more"
         );
         assert!(target.max_connections() <= 3);
     }
@@ -70,9 +70,10 @@
     let target = Target::spawn(|_| Step::slow_ok(200, "own")).await;
     let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let call = tokio::spawn(get(entry.local_addr(), "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     call.abort();
-    // Its connection is closed before the next one opens.
+    // The connection of the aborted request is closed before the next one
+    // opens.
     let reply = get(entry.local_addr(), "/dock/x", "").await;
     assert_eq!(reply.status, 200);
     assert_eq!(target.accepted(), 2);
@@ -105,7 +106,7 @@
     let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     for _ in 0..3 {
-        // The gate learns how long the work takes.
+        // The admission controller measures the service time.
         get(address, "/dock/x", "").await;
     }
     let replies = send_many(address, 8, "celerycleat-deadline-ms: 400\r\n").await;
@@ -129,11 +130,15 @@
         get(address, "/dock/x", "").await;
     }
     let long = tokio::spawn(get(address, "/dock/long", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let reply = get(address, "/dock/x", "celerycleat-deadline-ms: 800\r\n").await;
     assert_eq!(reply.summary(), "503 not-run cannot-finish-in-time");
     assert_eq!(entry.counters()["entry.waited"], 1);
-    assert_eq!(target.in_progress(), 1, "it is told before a slot is free");
+    assert_eq!(
+        target.in_progress(),
+        1,
+        "it is refused before a slot is free"
+    );
     assert_eq!(long.await.unwrap().status, 200);
 }
 
@@ -164,7 +169,7 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let running = tokio::spawn(send_many(address, 30, ""));
-    eventually("both are used", || {
+    eventually("both targets are in use", || {
         leaving.count() > 2 && staying.count() > 2
     })
     .await;
@@ -178,12 +183,12 @@
             .all(|r| r.summary() == "200 answered target's own")
     );
     send_many(address, 10, "").await;
-    // What had its slot before may arrive a little after.
+    // Requests that acquired their slots before may arrive slightly later.
     assert!(leaving.count() - begun <= 4);
     let settled = leaving.count();
     send_many(address, 10, "").await;
     assert_eq!(leaving.count(), settled);
-    eventually("connections are closed", || leaving.connections() == 0).await;
+    eventually("the connections are closed", || leaving.connections() == 0).await;
 }
 
 #[tokio::test]
@@ -193,13 +198,17 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.withdraw("t0");
     entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
-    assert_eq!(first.await.unwrap().status, 200, "what runs finishes");
+    assert_eq!(
+        first.await.unwrap().status,
+        200,
+        "a running request finishes"
+    );
     let later = get(address, "/dock/x", "").await;
     assert_eq!(later.summary(), "503 not-run no-target");
     assert_eq!(target.count(), 1);
@@ -213,14 +222,14 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let running = tokio::spawn(send_many(address, 2, ""));
-    eventually("its slots are used", || old.in_progress() == 2).await;
+    eventually("all slots are in use", || old.in_progress() == 2).await;
     fleet.withdraw("t0");
     entry.update_routes(&fleet.world);
     fleet.announce("t0", new.address, 2);
     entry.update_routes(&fleet.world);
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
-    assert_eq!(new.count(), 0, "requests begun before still count");
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
+    assert_eq!(new.count(), 0, "requests started earlier still count");
     assert!(
         running
             .await
@@ -238,14 +247,18 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || slow.in_progress() == 1).await;
+    eventually("the request is at the target", || slow.in_progress() == 1).await;
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     let quick = Target::ok("quick").await;
     fleet.announce("t1", quick.address, 1);
     entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().text(), "quick");
-    assert_eq!(slow.in_progress(), 1, "it did not wait for the slow one");
+    assert_eq!(
+        slow.in_progress(),
+        1,
+        "the request did not wait for the slow target"
+    );
     assert_eq!(first.await.unwrap().text(), "slow");
 }
 
@@ -256,9 +269,9 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(post(address, "/dock/x", "", "boat"));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.configure(&[("jetty", json!({}))]);
     entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
@@ -273,9 +286,9 @@
     let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(post(address, "/dock/x", "", "boat"));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     control
         .in_service
         .store(false, std::sync::atomic::Ordering::SeqCst);
@@ -294,7 +307,8 @@
     let good = Target::spawn(|_| Step::slow_ok(200, "own")).await;
     let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&cutting, &good], 1)).await;
     let replies = send_many(entry.local_addr(), 2, "").await;
-    // The slot of the good one was taken when the other cut its request.
+    // The only slot of the good target was in use when the other target closed
+    // its connection, so the retry had to wait.
     assert!(replies.iter().all(|reply| reply.text() == "own"));
     assert_eq!((cutting.count(), good.count()), (1, 2));
 }
@@ -307,7 +321,7 @@
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let long = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || good.in_progress() == 1).await;
+    eventually("the request is at the target", || good.in_progress() == 1).await;
     fleet.announce("t1", cutting.address, 1);
     entry.update_routes(&fleet.world);
     let hurried = get(address, "/dock/x", "celerycleat-deadline-ms: 400\r\n").await;
--- a/crates/cleat-entry/tests/answers.rs
+++ b/crates/cleat-entry/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers: every way in which a target fails to give one.
+//! Tests that only complete responses are forwarded as such, for each way in
+//! which a target may fail to send one.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -12,8 +13,8 @@
     serde_json::from_str(ONE_TRY).unwrap()
 }
 
-/// What a POST comes to at a target that plays `steps`, and whether the
-/// connection was used again by the next request.
+/// Returns the summary of the response to a POST at a target that runs `steps`,
+/// and whether the next request used the same connection.
 async fn post_to_scripted_target(steps: Vec<Step>) -> (String, bool) {
     let target = Target::spawn(move |head| {
         if head.contains("x-next") {
@@ -27,7 +28,11 @@
     let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
     let next = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
-    assert_eq!(next.text(), "next", "the next request gets its own answer");
+    assert_eq!(
+        next.text(),
+        "next",
+        "the next request gets its own response"
+    );
     let sends = target
         .requests()
         .iter()
@@ -135,7 +140,8 @@
     assert!(!reused, "the connection must not be used again");
 }
 
-/// As [`post_against`], but the next request comes after the last step.
+/// Like [`post_to_scripted_target`], but sends the next request after the last
+/// step.
 async fn post_and_pause(steps: Vec<Step>) -> (String, bool) {
     let target = Target::spawn(move |head| {
         if head.contains("x-next") {
@@ -147,7 +153,7 @@
     .await;
     let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
-    eventually("the script ends", || target.in_progress() == 0).await;
+    eventually("the script has ended", || target.in_progress() == 0).await;
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     let next = get(entry.local_addr(), "/dock/y", "x-next: 1\r\n").await;
     assert_eq!(next.text(), "next");
@@ -214,7 +220,7 @@
     let reply = get(entry.local_addr(), "/dock/x", "").await;
     assert_eq!(reply.summary(), "503 answered target's own");
     assert_eq!(reply.text(), "busy");
-    assert_eq!(target.count(), 3, "an idempotent request is tried again");
+    assert_eq!(target.count(), 3, "an idempotent request is retried");
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
     assert_eq!(reply.summary(), "503 answered target's own");
     assert_eq!(target.count(), 4);
@@ -253,7 +259,10 @@
     for _ in 0..5 {
         let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
         assert_eq!(reply.summary(), "200 answered target's own");
-        eventually("the target closes", || target.connections() == 0).await;
+        eventually("the target has closed the connection", || {
+            target.connections() == 0
+        })
+        .await;
     }
     assert_eq!(target.count(), 5);
 }
@@ -272,7 +281,7 @@
     fleet.announce("t", address, 8);
     let (entry, _) = entry(&fleet).await;
     let reply = post(entry.local_addr(), "/dock/x", "", "boat").await;
-    // Which of the two depends on whether the reset came before the write.
+    // The outcome depends on whether the reset arrives before the write.
     let allowed = ["502 unknown target-cut", "503 not-run targets-unreachable"];
     assert!(
         allowed.contains(&reply.summary().as_str()),
@@ -302,7 +311,7 @@
     assert_eq!(head.header("content-length"), Some("512"));
     assert_eq!(send("DELETE").await.summary(), "204 answered target's own");
     assert_eq!(send("GET").await.summary(), "304 answered target's own");
-    assert_eq!(target.accepted(), 1, "the connection was kept");
+    assert_eq!(target.accepted(), 1, "the connection was reused");
 }
 
 fn large_response(length: usize, sent: usize) -> Vec<Step> {
@@ -336,7 +345,7 @@
     let reply = get(entry.local_addr(), "/dock/chunked", "").await;
     assert!(reply.is_complete() && reply.body.len() > LARGE);
     assert_eq!(entry.counters()["entry.streamed"], 2);
-    assert_eq!(target.accepted(), 1, "the connection was kept");
+    assert_eq!(target.accepted(), 1, "the connection was reused");
 }
 
 #[tokio::test]
@@ -392,7 +401,10 @@
     tokio::io::AsyncWriteExt::write_all(&mut stream, raw)
         .await
         .unwrap();
-    eventually("it is streamed", || entry.counters()["entry.streamed"] == 1).await;
+    eventually("the response is streamed", || {
+        entry.counters()["entry.streamed"] == 1
+    })
+    .await;
     let mut reply = get(entry.local_addr(), "/dock/x", "").await;
     for _ in 0..50 {
         if reply.status == 200 {
@@ -400,11 +412,7 @@
         }
         reply = get(entry.local_addr(), "/dock/x", "").await;
     }
-    assert_eq!(
-        reply.text(),
-        "own",
-        "the slot is given back at the deadline"
-    );
+    assert_eq!(reply.text(), "own", "the slot is released at the deadline");
 }
 
 #[tokio::test]
@@ -421,5 +429,5 @@
     assert_eq!((reply.outcome(), reply.body.len()), ("answered", 20_000));
     assert_eq!(entry.counters()["entry.streamed"], 1);
     let held = || entry.counters()["entry.answer_bytes_held"];
-    eventually("the memory is given back", || held() == 0).await;
+    eventually("the memory is released", || held() == 0).await;
 }
--- a/crates/cleat-entry/tests/choice.rs
+++ b/crates/cleat-entry/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which target gets a request, by what was measured of each.
+//! Tests the choice of a target by its measured latency.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -7,7 +7,7 @@
 use support::{Fleet, Step, Target, entry, get};
 use tokio::task::JoinSet;
 
-/// Many at once, so that the quick targets look busy.
+/// Enough concurrent requests to make the fast targets look busy.
 const BURST: usize = 60;
 
 #[tokio::test]
@@ -31,6 +31,6 @@
     while let Some(reply) = burst.join_next().await {
         assert_eq!(reply.unwrap().status, 200);
     }
-    // The others have room for all.
+    // The other targets have enough free capacity for all requests.
     assert_eq!(slow.count(), before);
 }
--- a/crates/cleat-entry/tests/drain.rs
+++ b/crates/cleat-entry/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop loses nothing and cuts off nothing.
+//! Tests that a planned shutdown loses no request and truncates no response.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -32,10 +32,17 @@
     let idle = open(address).await;
     let plain = tokio::spawn(get(address, "/dock/x", ""));
     let big = tokio::spawn(get(address, "/dock/big", ""));
-    eventually("both run", || target.count() == 2).await;
+    eventually("both requests are at the target", || target.count() == 2).await;
     let drained = tokio::time::timeout(Duration::from_secs(10), entry.drain()).await;
-    assert!(drained.is_ok(), "an unused connection does not hold it up");
-    assert_eq!(target.in_progress(), 0, "it waits for what runs");
+    assert!(
+        drained.is_ok(),
+        "an idle connection does not delay draining"
+    );
+    assert_eq!(
+        target.in_progress(),
+        0,
+        "draining waits for requests in progress"
+    );
     assert_eq!(plain.await.unwrap().text(), "own");
     let big = big.await.unwrap();
     assert!(big.is_complete() && big.body.len() == 600_000);
@@ -47,7 +54,7 @@
     assert_eq!(
         idle.read(&mut [0]).await.unwrap(),
         0,
-        "unused connections close"
+        "idle connections are closed"
     );
 }
 
@@ -57,7 +64,7 @@
     let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let key = "idempotency-key: k1\r\n";
     let call = tokio::spawn(post(entry.local_addr(), "/dock/x", key, "boat"));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     call.abort();
     entry.drain().await;
     let settlements = control.settled();
@@ -83,13 +90,13 @@
     let _idle = open(address).await;
     let unaccepted = tokio::spawn(get(address, "/dock/x", ""));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(target.count(), 1, "the only place is taken");
+    assert_eq!(target.count(), 1, "the only permitted connection is in use");
     entry.drain().await;
     assert_eq!(unaccepted.await.unwrap().status, 200);
 }
 
-/// Sends on one connection until told to close it; gives the number of
-/// requests sent and of answers read.
+/// Sends requests on one connection until a response asks to close it. Returns
+/// the number of requests sent and of responses received.
 async fn send_until_closed(address: SocketAddr) -> (u32, u32) {
     let mut stream = open(address).await;
     let (mut sent, mut answered) = (0, 0);
@@ -137,7 +144,7 @@
     for _ in 0..32 {
         callers.spawn(send_until_closed(address));
     }
-    eventually("there is load", || target.count() > 500).await;
+    eventually("the entry is under load", || target.count() > 500).await;
     let (ready, ()) = tokio::join!(
         async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -145,7 +152,7 @@
         },
         entry.drain()
     );
-    assert_eq!(ready, 503, "not ready at once, but still answering");
+    assert_eq!(ready, 503, "not ready at once, but still responding");
     for (sent, answered) in callers.join_all().await {
         assert_eq!(sent, answered);
     }
@@ -171,7 +178,10 @@
         .write_all(b"GET /dock/x HTTP/1.1\r\n\r\n")
         .await
         .unwrap();
-    eventually("it is streamed", || entry.counters()["entry.streamed"] == 1).await;
+    eventually("the response is streamed", || {
+        entry.counters()["entry.streamed"] == 1
+    })
+    .await;
     let drained = tokio::time::timeout(Duration::from_secs(10), entry.drain()).await;
     assert!(drained.is_ok());
 }
--- a/crates/cleat-entry/tests/forward.rs
+++ b/crates/cleat-entry/tests/forward.rs
@@ -1,4 +1,5 @@
-//! The plain path: what a target and a caller see of each other.
+//! Tests which parts of a request a target receives, and which parts of its
+//! response the caller receives.
 #![allow(clippy::unwrap_used)]
 
 mod support;
--- a/crates/cleat-entry/tests/input.rs
+++ b/crates/cleat-entry/tests/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: a typed answer, nothing forwarded, nothing crashed.
+//! Tests that invalid requests get the right problem response, are not
+//! forwarded and do not crash the entry.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -7,14 +8,15 @@
 use support::{Fleet, Step, Target, call, entry, get, post};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A request and what it comes to, at a service whose target counts.
+/// Sends `raw` to a service with one target and checks that the response has
+/// the summary `expected` and that the target received no request.
 async fn check(raw: &str, expected: &str) {
     let target = Target::ok("own").await;
     let terms = json!({"body_limit_bytes": 1000});
     let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 8)).await;
     let reply = call(entry.local_addr(), raw).await;
     assert_eq!(reply.summary(), expected, "{raw}");
-    assert_eq!(target.count(), 0, "nothing is forwarded");
+    assert_eq!(target.count(), 0, "the target receives no request");
     if reply.outcome() == "not-run" {
         let retry_after: u64 = reply.header("retry-after").unwrap().parse().unwrap();
         assert!(retry_after >= 1);
@@ -22,7 +24,7 @@
         assert_eq!(media_type, Some("application/problem+json"));
     }
     let after = get(entry.local_addr(), "/dock/x", "").await;
-    assert_eq!(after.status, 200, "the entry goes on");
+    assert_eq!(after.status, 200, "the entry still serves requests");
 }
 
 async fn check_header(header: &str, expected: &str) {
@@ -81,7 +83,7 @@
 async fn input_headers_too_large() {
     let header = format!("x-large: {}", "x".repeat(40_000));
     check_header(&header, "431 not-run headers-too-large").await;
-    // Far beyond the limit hyper refuses before a handler sees it.
+    // hyper rejects headers far above the limit before a handler receives them.
     let header = format!("x-large: {}", "x".repeat(200_000));
     check_header(&header, "431 not-run headers-too-large").await;
     let many = "x: 1\r\n".repeat(200);
@@ -108,7 +110,7 @@
 
 #[tokio::test]
 async fn input_conflicting_lengths() {
-    // hyper refuses these before a handler sees them.
+    // hyper rejects these before a handler receives them.
     let two = "POST /dock/x HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab";
     check(two, "400 not-run malformed-request").await;
     let bad = "POST /dock/x HTTP/1.1\r\ncontent-length: -1\r\n\r\n";
@@ -119,7 +121,8 @@
 
 #[tokio::test]
 async fn input_malformed_after_an_answer() {
-    // The last bytes of the answer look like what hyper says of a bad head.
+    // The last bytes of the response equal an automatic response of hyper to a
+    // malformed head. They must not be replaced.
     let last = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
     let target = Target::spawn(move |_| {
         let begun = "x".repeat(300_000);
@@ -133,7 +136,7 @@
     let reply = call(entry.local_addr(), raw).await;
     assert_eq!((reply.status, reply.outcome()), (200, "answered"));
     let text = reply.text();
-    assert_eq!(text.matches(last).count(), 1, "the answer is left as it is");
+    assert_eq!(text.matches(last).count(), 1, "the response is unchanged");
     assert_eq!(
         text.matches("urn:celerycleat:problem:malformed-request")
             .count(),
@@ -156,9 +159,9 @@
 
 #[tokio::test]
 async fn input_length_beside_coding_pipelined() {
-    // hyper drops the length, and a pipelined head is not looked at. What is
-    // passed on has one framing, and hyper ends the connection, so nothing can
-    // be smuggled.
+    // hyper removes the length, and the head of a pipelined request is not
+    // inspected. The forwarded request has only one framing, and hyper closes
+    // the connection, so no request can be smuggled.
     let target = Target::ok("own").await;
     let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let raw = "GET /dock/x HTTP/1.1\r\n\r\n\
@@ -169,7 +172,7 @@
     assert_eq!(
         text.matches("http/1.1 200").count(),
         2,
-        "two answers, then the end"
+        "two responses, then the connection is closed"
     );
     assert_eq!(target.count(), 2);
     assert!(target.requests()[1].contains("content-length: 4\r\n"));
@@ -190,7 +193,7 @@
     let mut read = Vec::new();
     let request = b"GET /dock/x HTTP/1.1\r\nhost: t\r\n\r\n";
     for _ in 0..6 {
-        // Each request begins the time anew.
+        // The timeout restarts with each request.
         tokio::time::sleep(std::time::Duration::from_millis(80)).await;
         stream.write_all(request).await.unwrap();
         while !read.ends_with(b"own") {
@@ -239,6 +242,6 @@
     assert_eq!(reply.summary(), "503 not-run memory-full");
     for _ in 0..3 {
         let reply = post(entry.local_addr(), "/dock/x", "", "ten bytes.").await;
-        assert_eq!(reply.status, 200, "the memory is given back");
+        assert_eq!(reply.status, 200, "the memory is released");
     }
 }
--- a/crates/cleat-entry/tests/keys.rs
+++ b/crates/cleat-entry/tests/keys.rs
@@ -1,4 +1,5 @@
-//! At most once: idempotency keys through faults of control and of entries.
+//! Tests that requests with an idempotency key run at most once, despite
+//! failures of control and of entries.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -18,7 +19,7 @@
     post(entry.local_addr(), "/dock/x", KEY, "boat").await
 }
 
-/// Two entries over one control.
+/// Two entries with the same control.
 async fn two_entries(fleet: &Fleet) -> (Entry<FakeControl>, Entry<FakeControl>, Arc<FakeControl>) {
     let control = Arc::new(FakeControl::default());
     let bind = async |name| {
@@ -107,7 +108,7 @@
         send(&first).await.summary(),
         "503 not-run targets-unreachable"
     );
-    eventually("it is settled", || {
+    eventually("the key is settled", || {
         settled(&control) == [Settlement::NotRun]
     })
     .await;
@@ -128,13 +129,13 @@
     let (first, second, control) = two_entries(&fleet).await;
     let refused = send(&first).await.summary();
     assert_eq!(refused, "503 not-run targets-unreachable");
-    eventually("it is settled", || settled(&control).len() == 1).await;
+    eventually("the key is settled", || settled(&control).len() == 1).await;
     fleet.withdraw("t0");
     fleet.announce("t1", slow.address, 8);
     first.update_routes(&fleet.world);
     second.update_routes(&fleet.world);
     let running = tokio::spawn(post(first.local_addr(), "/dock/x", KEY, "boat"));
-    eventually("it runs", || slow.in_progress() == 1).await;
+    eventually("the request is at the target", || slow.in_progress() == 1).await;
     let late = control.settlements.lock().unwrap()[0].clone();
     control.table.lock().unwrap().settle(late);
     let again = send(&second).await;
@@ -147,7 +148,7 @@
 async fn key_not_claimed_sends_nothing() {
     let target = Target::ok("own").await;
     let terms = json!({"deadline_ms": 300});
-    // Only a look-up, or the claim taken back, shows that the key was free.
+    // A lookup or a withdrawn claim is needed to prove that the key was free.
     let not_run = "503 not-run idempotency-key-not-claimed";
     let unknown = "504 unknown idempotency-key-not-looked-up";
     let cases = [
@@ -162,9 +163,9 @@
         assert_eq!(reply.summary(), summary, "{behaviour:?}");
         assert!(reply.header("retry-after").is_some());
         assert_eq!(target.count(), 0);
-        // A claim that may stand is given back.
+        // A claim that may have been committed is withdrawn.
         if behaviour != Behaviour::Refuses {
-            eventually("it is settled", || {
+            eventually("the key is settled", || {
                 settled(&control) == [Settlement::NotRun]
             })
             .await;
@@ -182,7 +183,7 @@
     let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let first = tokio::spawn(post(address, "/dock/x", KEY, "boat"));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     *control.claim_behaviour.lock().unwrap() = Behaviour::LosesReply;
     let hurried = format!("{KEY}celerycleat-deadline-ms: 100\r\n");
     let second = post(address, "/dock/x", &hurried, "boat").await;
@@ -202,7 +203,11 @@
     let target = Target::ok("own").await;
     let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     *control.settle_behaviour.lock().unwrap() = Behaviour::Refuses;
-    assert_eq!(send(&entry).await.status, 200, "the answer does not wait");
+    assert_eq!(
+        send(&entry).await.status,
+        200,
+        "the response does not wait for the settlement"
+    );
     let again = tokio::spawn(post(entry.local_addr(), "/dock/x", KEY, "boat"));
     tokio::time::sleep(Duration::from_millis(150)).await;
     assert!(!again.is_finished());
@@ -255,15 +260,16 @@
     let target = Target::spawn(|_| Step::slow_ok(150, "own")).await;
     let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let call = tokio::spawn(post(entry.local_addr(), "/dock/x", KEY, "boat"));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     call.abort();
-    eventually("it is settled", || settled(&control).len() == 1).await;
+    eventually("the key is settled", || settled(&control).len() == 1).await;
     let again = send(&entry).await;
     assert_eq!((again.status, again.text().as_str()), (200, "own"));
     assert_eq!(target.count(), 1);
 }
 
-/// An entry in a runtime of its own, killed with all its tasks.
+/// Runs an entry in its own runtime and kills it with all its tasks as soon as
+/// `until` holds.
 fn kill_entry_when(fleet: &Fleet, control: &Arc<FakeControl>, until: impl Fn() -> bool) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let entry = runtime.block_on(entry_with(
@@ -298,7 +304,8 @@
     .await;
     let again = send(&other).await.summary();
     assert_eq!(again, "504 unknown idempotency-key-in-progress");
-    // The killed entry starts anew and ends the claims of its earlier life.
+    // The killed entry restarts, which ends the claims of its earlier
+    // incarnation.
     control.table.lock().unwrap().end_other_lives("e1", 2);
     let again = send(&other).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-outcome-unknown");
@@ -320,13 +327,14 @@
     };
     let terms = *control.terms.lock().unwrap();
     control.table.lock().unwrap().claim(claim, terms, 0);
-    // Its hold has ended, and nobody knows whether it was sent.
+    // The hold of the claim has ended, and it is unknown whether the request
+    // was sent.
     let again = send(&entry).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-outcome-unknown");
     assert_eq!(target.count(), 0);
 }
 
-/// The digest that entries compute for [`send`].
+/// The digest that entries compute for the request of [`send`].
 async fn digest_of_request(fleet: &Fleet) -> u64 {
     let (entry, control) = entry(fleet).await;
     *control.claim_behaviour.lock().unwrap() = Behaviour::Refuses;
--- a/crates/cleat-entry/tests/matrix.rs
+++ b/crates/cleat-entry/tests/matrix.rs
@@ -1,9 +1,11 @@
-//! The fault matrix of a request: each step × each fault × each kind.
+//! The fault matrix of a request: each step × each fault × each kind of
+//! request.
 //!
-//! Before a target has the request, a fault of targets strikes them all and a
-//! reset strikes the caller's connection; afterwards they strike the target
-//! that has it. A second fault strikes the retry or, after a kill of the
-//! instance, the request sent again.
+//! Until a target has received the request, faults of targets apply to all
+//! targets, and a reset applies to the connection of the caller. Afterwards,
+//! they apply to the target that received it. A second fault applies to the
+//! retry or, if the instance was killed, to the request that the caller sends
+//! again.
 #![allow(clippy::unwrap_used)]
 
 mod matrix_support;
@@ -37,7 +39,7 @@
     Fault::Second,
 ];
 const MAX_CONCURRENT_CELLS: usize = 24;
-/// Runs a cell; the end of each send, or the invariant that broke.
+/// Runs a cell. Returns the result of each send, or the violated invariant.
 async fn run_cell(cell: Cell) -> CheckResult<String> {
     let mut test_bed = TestBed::new(cell).await;
     let scenario = Arc::clone(&test_bed.scenario);
@@ -51,7 +53,7 @@
     let probe = test_bed.send(&test_bed.first, "probe");
     test_bed.wait_for_step().await?;
     let duplicate = test_bed.apply_fault().await?;
-    // A frozen target is frozen until the answer is here.
+    // A frozen target stays frozen until the response has arrived.
     let ended = probe.await.unwrap();
     let mut outcomes = vec![test_bed.check(&ended, "probe", 0)?];
     if let Some(duplicate) = duplicate {
@@ -71,18 +73,24 @@
     ensure(!cell.faults_retry() || tries >= 2, "no retry")?;
     let fault_count = scenario.fault_count.load(SeqCst);
     let twice = cell.faults_retry() && !cell.kills_all_targets();
-    ensure(!twice || fault_count == 2, "the retry was not struck")?;
+    ensure(
+        !twice || fault_count == 2,
+        "no fault was applied to the retry",
+    )?;
     test_bed.check_resources_released().await?;
     let once = cell.kind == Kind::Get || scenario.count("ran", "probe") <= 1;
     ensure(once, "ran twice")?;
     let not_run = outcomes.iter().all(|end| end == "not-run");
     ensure(
         !not_run || scenario.count("saw", "probe") == 0,
-        "not-run, but seen later",
+        "not-run, but a target saw it later",
     )?;
     let harmless = matches!(cell.fault, Fault::Delay | Fault::Duplicate);
     let answered = outcomes.iter().all(|end| end == "answered");
-    ensure(answered || !harmless, "a harmless fault did harm")?;
+    ensure(
+        answered || !harmless,
+        "a delay or a duplicate made the request fail",
+    )?;
     Ok(outcomes.join(", "))
 }
 
@@ -91,7 +99,7 @@
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CELLS));
     let mut running = Vec::new();
     for kind in [Kind::Keyed, Kind::Get] {
-        // Without a key there is no claim.
+        // Requests without a key have no claim.
         let has = |step: &&Step| kind == Kind::Keyed || **step != Step::Claimed;
         for step in STEPS.iter().filter(has) {
             for fault in FAULTS {
@@ -116,5 +124,5 @@
         let text = result.unwrap_or_else(|broken| format!("RED: {broken}"));
         println!("{kind:?} | {step:?} | {fault:?} | {text}");
     }
-    assert_eq!(failed, 0, "cells are red, see the table");
+    assert_eq!(failed, 0, "cells failed, see the table");
 }
--- a/crates/cleat-entry/tests/matrix_support/caller.rs
+++ b/crates/cleat-entry/tests/matrix_support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that tells a broken answer from a whole one.
+//! A caller that distinguishes complete from truncated responses.
 
 use std::sync::Arc;
 
@@ -8,14 +8,15 @@
 use super::{Scenario, Step};
 use crate::support::Reply;
 
-/// More than a target's receive buffer: its head arrives without it.
+/// Larger than the receive buffer of a target, so that the target reads the
+/// head before the body was sent completely.
 pub const BODY: usize = 512 * 1_024;
 
-/// One answer and nothing after it, or how it failed to come.
+/// A single response, or why there is none.
 pub type SendResult = Result<Reply, &'static str>;
 
-/// Sends a request and reads to the end; a probe with a script can be struck
-/// in mid-body.
+/// Sends a request and reads until the connection is closed. With a scenario,
+/// pauses in the middle of the body at [`Step::Received`].
 pub async fn exchange(
     stream: &mut TcpStream,
     id: &str,
@@ -35,7 +36,7 @@
     );
     let (half, rest) = body.split_at(body.len() / 2);
     let mut bytes = Vec::new();
-    // An early answer or a reset ends the sending.
+    // Sending fails after an early response or a reset.
     let _ = stream.write_all(&[head.as_bytes(), half].concat()).await;
     if let Some(scenario) = scenario {
         scenario.pause_at(Step::Received).await;
--- a/crates/cleat-entry/tests/matrix_support/mod.rs
+++ b/crates/cleat-entry/tests/matrix_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the cells of the fault matrix run on.
+//! The test bed of the fault matrix.
 #![allow(clippy::unwrap_used, unreachable_pub)]
 
 mod caller;
--- a/crates/cleat-entry/tests/matrix_support/scenario.rs
+++ b/crates/cleat-entry/tests/matrix_support/scenario.rs
@@ -1,4 +1,4 @@
-//! Where a cell's fault strikes, and what the targets saw.
+//! When the fault of a cell is applied, and what the targets observed.
 
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -9,22 +9,22 @@
 
 use crate::support::FakeControl;
 
-/// A step of a request, in order.
+/// The steps of a request, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// The instance has the head and half of the body.
+    /// The instance received the head and half of the body.
     Received,
-    /// The claim stands; its answer is on the way.
+    /// The claim was committed, but its result has not arrived.
     Claimed,
     Queued,
     Connecting,
-    /// The target read no more than the head.
+    /// The target read only the head.
     HeadSent,
     BodySent,
     AnswerHead,
     /// The target wrote half of the body.
     AnswerBody,
-    /// The answer is whole; a settlement is on the way.
+    /// The response is complete, but the settlement has not been committed.
     Settled,
 }
 
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Not idempotent, with a key.
+    /// Not idempotent, with an idempotency key.
     Keyed,
     Get,
 }
@@ -55,17 +55,17 @@
 }
 
 impl Cell {
-    /// Whether a target has the request.
+    /// Whether a target has received the request.
     pub fn is_at_target(self) -> bool {
         (Step::HeadSent..=Step::AnswerBody).contains(&self.step)
     }
 
-    /// Whether the second fault strikes the retry of the same request.
+    /// Whether the second fault applies to the retry of the same request.
     pub fn faults_retry(self) -> bool {
         self.fault == Fault::Second && self.kind == Kind::Get && self.is_at_target()
     }
 
-    /// Whether the retry finds no target alive.
+    /// Whether no target is alive at the time of the retry.
     pub fn kills_all_targets(self) -> bool {
         self.faults_retry() && self.step >= Step::AnswerHead
     }
@@ -81,11 +81,11 @@
 
 pub struct Scenario {
     pub cell: Cell,
-    /// Where the probe is struck and how often it still is.
+    /// The step at which the probe is paused for the fault, and how many times.
     planned: Mutex<(Step, u32)>,
     pub fault_count: AtomicU32,
     pub resume: watch::Sender<bool>,
-    /// The target that met the probe last.
+    /// The target that received the probe last.
     pub probe_target: Mutex<usize>,
     /// Cloned by each exchange at a target.
     pub busy: Arc<()>,
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Has the probe struck once more.
+    /// Plans one more fault.
     pub fn plan_fault(&self, step: Step) {
         *self.planned.lock().unwrap() = (step, 1);
     }
 
-    /// Called where the probe comes by. If the fault is planned there, waits
-    /// until it is in force.
+    /// Called when the probe reaches `step`. If the fault is planned for this
+    /// step, waits until it is applied and returns `true`.
     pub async fn pause_at(&self, step: Step) -> bool {
         match &mut *self.planned.lock().unwrap() {
             (planned, left) if *planned == step && *left > 0 => *left -= 1,
@@ -132,7 +132,8 @@
         self.log.lock().unwrap().push(format!("{what} {id}"));
     }
 
-    /// How often targets "saw" the head of a request or "ran" it.
+    /// How many times targets received the head of a request ("saw") or its
+    /// complete body ("ran").
     pub fn count(&self, what: &str, id: &str) -> usize {
         let line = format!("{what} {id}");
         self.log
@@ -144,7 +145,7 @@
     }
 }
 
-/// Consensus that stops at the probe's claim and settlement.
+/// A control that pauses at the claim and settlement of the probe.
 pub struct PausingControl {
     pub inner: FakeControl,
     pub scenario: Arc<Scenario>,
--- a/crates/cleat-entry/tests/matrix_support/target.rs
+++ b/crates/cleat-entry/tests/matrix_support/target.rs
@@ -1,4 +1,4 @@
-//! A target that is struck at the steps of the probe.
+//! A target that applies faults at the steps of the probe.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 
 use super::{Fault, Kind, Scenario, Step};
 
-/// Small, so that a large body can't hide in it.
+/// Small, so that it can't contain a large body.
 const RECEIVE_BUFFER: u32 = 4_096;
 
-/// What a target does with its connections.
+/// How a target handles its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     Open,
-    /// Accepts nothing; the backlog is full.
+    /// Accepts no connection; its backlog is full.
     Full,
-    /// Accepts, reads and writes nothing.
+    /// Accepts no connection, reads nothing and writes nothing.
     Frozen,
-    /// Reads everything and answers nothing.
+    /// Reads everything but sends no response.
     BlackHole,
-    /// Resets every connection.
+    /// Resets all connections.
     Resets,
     Dead,
 }
@@ -31,7 +31,7 @@
 pub struct Target {
     pub address: SocketAddr,
     pub mode: Arc<watch::Sender<Mode>>,
-    /// Fills the backlog.
+    /// The connection that fills the backlog.
     _filler: Option<TcpStream>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// What a connection needs of its target.
+/// The state of the target that each connection needs.
 #[derive(Clone)]
 struct Server {
     number: usize,
@@ -107,7 +107,7 @@
         *self.mode.subscribe().wait_for(modes).await.unwrap()
     }
 
-    /// Serves requests until one is struck so that its connection ends.
+    /// Serves requests until a fault ends the connection.
     async fn run(&self, stream: &mut TcpStream) -> io::Result<Mode> {
         loop {
             let mut head = Vec::new();
@@ -160,7 +160,8 @@
         Ok(None)
     }
 
-    /// Meets the fault if it is planned for this step.
+    /// If a fault is planned for this step, applies it. Returns the new mode if
+    /// the connection has to end.
     async fn apply_fault(
         &self,
         s: &mut TcpStream,
@@ -192,7 +193,8 @@
         }
     }
 
-    /// Waits while it is frozen; ends if it swallows.
+    /// Waits while the target is frozen. In the mode [`Mode::BlackHole`], reads
+    /// until the connection is closed and fails.
     async fn wait_while_frozen(&self, stream: &mut TcpStream) -> io::Result<()> {
         match self.wait_for_mode(|m| *m != Mode::Frozen).await {
             Mode::BlackHole => discard_all(stream).await,
@@ -201,14 +203,14 @@
     }
 }
 
-/// Reads until the other side closes.
+/// Reads and discards everything until the other side closes the connection.
 async fn discard_all(stream: &mut TcpStream) -> io::Result<()> {
     let mut buf = [0; 4_096];
     while stream.read(&mut buf).await? > 0 {}
     Err(io::ErrorKind::UnexpectedEof.into())
 }
 
-/// The answer to this request and to no other.
+/// A response that only belongs to the request `id`.
 pub fn own_answer(id: &str) -> String {
     format!("own:{id}:{}", "x".repeat(2_000))
 }
--- a/crates/cleat-entry/tests/matrix_support/test_bed.rs
+++ b/crates/cleat-entry/tests/matrix_support/test_bed.rs
@@ -1,4 +1,4 @@
-//! One cell's world, its fault and its invariants.
+//! The test bed of one cell: applies the fault and checks the invariants.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,16 +19,17 @@
 };
 use crate::support::{self, FakeControl, Fleet};
 
-/// The deadline in cells whose fault says nothing, and in all others.
+/// The deadline in cells whose fault is a target that stops responding. The
+/// others use [`LONG_DEADLINE`].
 const SHORT_DEADLINE: Duration = Duration::from_millis(700);
 const LONG_DEADLINE: Duration = Duration::from_secs(20);
-/// An answer after this missed its short deadline.
+/// A response that takes longer than this missed the short deadline.
 const SHORT_DEADLINE_TIMEOUT: Duration = Duration::from_secs(3);
-/// An answer after this waited for its long deadline.
+/// A response that takes longer than this waited for the long deadline.
 const LONG_DEADLINE_TIMEOUT: Duration = Duration::from_secs(7);
 const DELAY: Duration = Duration::from_millis(100);
 
-/// What was checked, or the invariant that broke.
+/// The result of a check, or the violated invariant.
 pub type CheckResult<T = ()> = Result<T, String>;
 
 /// The targets, entries and control of one cell.
@@ -39,7 +40,8 @@
     fleet: Fleet,
     targets: Vec<Target>,
     pub first: Entry<PausingControl>,
-    /// The first entry's own, so that it can be killed.
+    /// The runtime of the first entry, separate so that the entry can be
+    /// killed.
     runtime: Option<Runtime>,
     second: Entry<PausingControl>,
     reset_caller: watch::Sender<bool>,
@@ -55,7 +57,7 @@
         seed: 7,
         limits: Limits {
             connect_timeout: Duration::from_secs(3),
-            // Too little for two bodies.
+            // Not enough for two bodies.
             request_memory_bytes: BODY * 3 / 2,
             ..support::limits()
         },
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Sends a request; the first send of the probe can be struck in mid-body.
+    /// Sends a request. The first probe is paused in the middle of its body if
+    /// the fault applies there.
     pub fn send(&self, entry: &Entry<PausingControl>, id: &'static str) -> JoinHandle<SendResult> {
         let first = id == "probe" && entry.local_addr() == self.first.local_addr();
         let scenario = first.then(|| Arc::clone(&self.scenario));
@@ -134,7 +137,7 @@
         })
     }
 
-    /// Waits until the probe stands at the cell's step.
+    /// Waits until the probe has reached the step of the cell.
     pub async fn wait_for_step(&self) -> CheckResult {
         let count = |name: &str| self.first.counters()[name];
         let is_paused = || self.scenario.fault_count.load(SeqCst) == 1;
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Puts the fault in force and lets go on what it leaves. Returns the
-    /// duplicate, if that is the fault.
+    /// Applies the fault and resumes everything that it does not affect.
+    /// Returns the duplicate request if that is the fault.
     pub async fn apply_fault(&mut self) -> CheckResult<Option<JoinHandle<SendResult>>> {
         let (is_at_target, step) = (self.cell.is_at_target(), self.cell.step);
         let connecting = step == Step::Connecting;
@@ -164,7 +167,7 @@
             Fault::Delay => sleep(DELAY).await,
             Fault::Duplicate => duplicate = Some(self.send_duplicate().await?),
             Fault::Second if self.cell.kills_all_targets() => self.kill_targets().await?,
-            // A target strikes by itself.
+            // The target applies this fault by itself.
             Fault::Freeze if is_at_target => return Ok(None),
             _ if is_at_target => {}
             Fault::KillTarget => self.kill_targets().await?,
@@ -182,7 +185,8 @@
         Ok(duplicate)
     }
 
-    /// Kills all, last the one that has the probe: its retry finds none.
+    /// Kills all targets, the one with the probe last, so that its retry finds
+    /// no target alive.
     async fn kill_targets(&self) -> CheckResult {
         let last = *self.scenario.probe_target.lock().unwrap();
         for target in [&self.targets[1 - last], &self.targets[last]] {
@@ -195,7 +199,7 @@
     async fn kill_first_entry(&mut self) -> CheckResult {
         self.runtime.take().unwrap().shutdown_background();
         wait_until_refused(self.first.local_addr()).await?;
-        // The replicated state learns that the life is over.
+        // The replicated state registers the end of the incarnation.
         let mut table = self.control.inner.table.lock().unwrap();
         table.end_other_lives("e1", 2);
         Ok(())
@@ -205,35 +209,35 @@
         let keyed = self.cell.kind == Kind::Keyed;
         let duplicate = self.send(&self.second, if keyed { "probe" } else { "twin" });
         let came = || self.second.counters()["entry.requests"] == 1;
-        wait_until("the duplicate came", came).await?;
-        // Time enough to run, were it not held.
+        wait_until("the duplicate arrived", came).await?;
+        // Long enough for the duplicate to run if nothing prevented it.
         sleep(DELAY).await;
         Ok(duplicate)
     }
 
-    /// The invariants of one answer; a body that targets saw `before` it was
-    /// sent says nothing about it.
+    /// Checks the invariants of one response. If targets had already seen the
+    /// body `before` times, those do not count for this request.
     pub fn check(&self, ended: &SendResult, id: &str, before: usize) -> CheckResult<String> {
         let reply = match ended {
             Ok(reply) => reply,
-            Err("hung") => return Err("no final answer in time".into()),
+            Err("hung") => return Err("no final response in time".into()),
             Err(broken) => return Ok((*broken).into()),
         };
-        ensure(reply.is_complete(), "more came than one answer")?;
+        ensure(reply.is_complete(), "more bytes than one response")?;
         let saw = self.scenario.count("saw", id);
         match reply.outcome() {
             "answered" => {
-                ensure(reply.text() == own_answer(id), "not its own whole answer")?;
-                ensure(self.scenario.count("ran", id) > 0, "answered without a run")?;
-            }
-            "not-run" => {
                 ensure(
-                    reply.header("retry-after").is_some(),
-                    "no time to come back",
+                    reply.text() == own_answer(id),
+                    "not the complete response to this request",
                 )?;
+                ensure(self.scenario.count("ran", id) > 0, "answered, but not run")?;
+            }
+            "not-run" => {
+                ensure(reply.header("retry-after").is_some(), "no Retry-After")?;
                 ensure(
                     saw == before,
-                    &format!("not-run, but seen: {}", reply.summary()),
+                    &format!("not-run, but a target saw it: {}", reply.summary()),
                 )?;
             }
             outcome => ensure(outcome == "unknown", outcome)?,
@@ -241,7 +245,8 @@
         Ok(reply.outcome().into())
     }
 
-    /// The caller comes again through the other entry, if need be twice.
+    /// Sends the request again through the other entry, twice if the second
+    /// fault applies to its claim.
     pub async fn resend(&self, outcomes: &mut Vec<String>) -> CheckResult {
         let second = self.cell.fault == Fault::Second;
         let keyed = self.cell.kind == Kind::Keyed;
@@ -251,7 +256,7 @@
             outcomes.push(self.resend_once().await?);
             ensure(
                 self.second.counters()["entry.claims"] == 1,
-                "no second strike",
+                "the second fault was not applied",
             )?;
             *claims.lock().unwrap() = support::Behaviour::Works;
         } else if second {
@@ -260,13 +265,16 @@
         let fault_count = self.scenario.fault_count.load(SeqCst);
         outcomes.push(self.resend_once().await?);
         let again = self.scenario.fault_count.load(SeqCst) - fault_count;
-        ensure(again == u32::from(second && !keyed), "no second strike")
+        ensure(
+            again == u32::from(second && !keyed),
+            "the second fault was not applied",
+        )
     }
 
     async fn resend_once(&self) -> CheckResult<String> {
         let saw = self.scenario.count("saw", "probe");
         let ended = self.send(&self.second, "probe").await.unwrap();
-        // Under a key that a target saw, "not run" would be a lie.
+        // With a key that a target has seen, "not run" would be wrong.
         let before = if self.cell.kind == Kind::Keyed {
             0
         } else {
@@ -275,7 +283,7 @@
         self.check(&ended, "probe", before)
     }
 
-    /// Every slot, byte and key is given back.
+    /// Checks that all slots, memory and keys were released.
     pub async fn check_resources_released(&mut self) -> CheckResult {
         let probe_target = *self.scenario.probe_target.lock().unwrap();
         let alive = [probe_target, 1 - probe_target]
@@ -292,7 +300,7 @@
         for target in self.targets.iter().filter(|t| !t.is_dead()) {
             target.mode.send_replace(Mode::Open);
         }
-        wait_until("targets rest", || {
+        wait_until("no exchange is in progress at a target", || {
             Arc::strong_count(&self.scenario.busy) == 1
         })
         .await?;
@@ -304,16 +312,17 @@
             entry.update_routes(&self.fleet.world);
             self.check_next_request(entry).await?;
             let drained = timeout(LONG_DEADLINE_TIMEOUT, entry.drain()).await;
-            drained.map_err(|_| "work is left")?;
+            drained.map_err(|_| "the entry did not drain in time")?;
             ensure(
                 entry.counters()["entry.answer_bytes_held"] == 0,
-                "memory is left",
+                "response memory is still in use",
             )?;
         }
         wait_until("the key is settled", || !self.is_key_pending()).await
     }
 
-    /// The next request is served by the one target, with its one slot.
+    /// Checks that the next request is served by the remaining target with its
+    /// only slot.
     async fn check_next_request(&self, entry: &Entry<PausingControl>) -> CheckResult {
         for _ in 0..20 {
             let before = self.scenario.count("saw", "next");
@@ -323,7 +332,7 @@
             }
             sleep(DELAY).await;
         }
-        Err("the next request is not served".into())
+        Err("the next request was not served".into())
     }
 
     fn is_key_pending(&self) -> bool {
@@ -348,7 +357,8 @@
     if holds { Ok(()) } else { Err(what.into()) }
 }
 
-/// Waits until a kill is complete.
+/// Waits until connections to `address` are refused, so that the kill is
+/// complete.
 async fn wait_until_refused(address: SocketAddr) -> CheckResult {
     for _ in 0..100 {
         let connect = tokio::net::TcpStream::connect(address);
@@ -357,7 +367,7 @@
         }
         sleep(Duration::from_millis(5)).await;
     }
-    Err("connections are not refused".into())
+    Err("connections are still accepted".into())
 }
 
 /// Polls until `check` holds.
--- a/crates/cleat-entry/tests/refused_keys.rs
+++ b/crates/cleat-entry/tests/refused_keys.rs
@@ -1,5 +1,7 @@
-//! What a request with a key is told if it is refused before its claim: an
-//! earlier send of it may have run through another instance.
+//! Tests the response to a request with an idempotency key that is rejected
+//! before its claim. An earlier request with the key may have run through
+//! another instance, so the response must not say "not run" unless the key is
+//! known to be free.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -20,7 +22,8 @@
     post(entry.local_addr(), "/dock/x", KEY, "boat").await
 }
 
-/// An entry that takes no request, and the first one's control.
+/// An entry that is out of service, with a copy of the first entry's keys, and
+/// its control.
 async fn entry_out_of_service(
     fleet: &Fleet,
     first: &FakeControl,
@@ -53,7 +56,7 @@
     let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let (first, control) = entry(&fleet).await;
     assert_eq!(send(&first).await.status, 200);
-    eventually("it is settled", || control.settled().len() == 1).await;
+    eventually("the key is settled", || control.settled().len() == 1).await;
     let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await;
     assert_eq!(again.header("celerycleat-replayed"), Some("true"));
@@ -61,7 +64,7 @@
         (again.outcome(), again.text().as_str()),
         ("answered", "own")
     );
-    // Another request under the key gets nobody's answer.
+    // A different request with the same key must not get the stored response.
     let other = post(second.local_addr(), "/dock/x", KEY, "ship").await;
     assert_eq!(other.summary(), "422 not-run idempotency-key-reused");
     assert_eq!(target.count(), 1);
@@ -73,13 +76,13 @@
     let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let (first, control) = entry(&fleet).await;
     let cut = tokio::spawn(post(first.local_addr(), "/dock/x", KEY, "boat"));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await;
     assert_eq!(again.summary(), "504 unknown idempotency-key-in-progress");
     assert!(again.header("retry-after").is_some());
     cut.await.unwrap();
-    eventually("it is settled", || control.settled().len() == 1).await;
+    eventually("the key is settled", || control.settled().len() == 1).await;
     let (second, _) = entry_out_of_service(&fleet, &control).await;
     let again = send(&second).await.summary();
     assert_eq!(again, "502 unknown idempotency-key-outcome-unknown");
@@ -95,7 +98,8 @@
         let reply = send(&second).await;
         assert_eq!(reply.summary(), NOT_LOOKED_UP);
         assert!(reply.header("retry-after").is_some());
-        // What needs no key, or can run twice, is told without a look-up.
+        // Requests that have no key or are idempotent are rejected without a
+        // lookup.
         assert_eq!(
             get(second.local_addr(), "/dock/x", "").await.summary(),
             NOT_IN_SERVICE
@@ -117,7 +121,7 @@
         *control.look_up_behaviour.lock().unwrap() = behaviour;
         assert_eq!(send(&entry).await.summary(), NOT_LOOKED_UP);
     }
-    // A claim whose answer and taking back are both lost.
+    // The results of the claim and of its withdrawal are both lost.
     let (entry, control) = entry(&fleet).await;
     *control.claim_behaviour.lock().unwrap() = Behaviour::LosesReply;
     *control.settle_behaviour.lock().unwrap() = Behaviour::Refuses;
@@ -153,7 +157,7 @@
     ];
     assert_eq!(send_all().await, free);
     assert_eq!(send(&first).await.status, 200);
-    eventually("it is settled", || control.settled().len() == 1).await;
+    eventually("the key is settled", || control.settled().len() == 1).await;
     let unknown = "502 unknown idempotency-key-outcome-unknown";
     assert_eq!(send_all().await, [unknown; 3]);
     fleet.configure(&[("other", json!({}))]);
--- a/crates/cleat-entry/tests/support/caller.rs
+++ b/crates/cleat-entry/tests/support/caller.rs
@@ -1,11 +1,11 @@
-//! A caller that sees every byte.
+//! A caller that receives responses as raw bytes.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer as it came, up to the end of the connection.
+/// A response as received until the connection was closed.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -33,7 +33,7 @@
         self.header("celerycleat-outcome").unwrap_or("none")
     }
 
-    /// Status and outcome, and for our own answers their type.
+    /// The status, the outcome and, for problem responses, the type.
     pub fn summary(&self) -> String {
         let ours: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let kind = ours["type"].as_str().unwrap_or("target's own");
@@ -41,7 +41,7 @@
         format!("{} {} {kind}", self.status, self.outcome())
     }
 
-    /// Whether its framing says that it is whole.
+    /// Whether the response is complete according to its framing.
     pub fn is_complete(&self) -> bool {
         match self.header("content-length") {
             Some(length) => self.body.len() == length.parse::<usize>().unwrap(),
@@ -58,12 +58,12 @@
     TcpStream::connect(address).await.unwrap()
 }
 
-/// Sends raw bytes and reads to the end of the connection.
+/// Sends raw bytes and reads until the connection is closed.
 pub async fn call(address: SocketAddr, raw: &str) -> Reply {
     let mut stream = open(address).await;
     stream.write_all(raw.as_bytes()).await.unwrap();
     let mut bytes = Vec::new();
-    // A reset ends the answer as well.
+    // A reset also ends the response.
     let _ = stream.read_to_end(&mut bytes).await;
     Reply::parse(&bytes)
 }
--- a/crates/cleat-entry/tests/support/control.rs
+++ b/crates/cleat-entry/tests/support/control.rs
@@ -1,4 +1,4 @@
-//! Consensus in one map, with faults.
+//! A control with an in-memory table of keys that can simulate failures.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -7,15 +7,15 @@
 use cleat_entry::{ClaimError, Control};
 use cleat_world::{ClaimKey, KeyAnswer, KeyTable, KeyTerms, SettleKey, Settlement};
 
-/// What a call comes to instead of its answer.
+/// The behaviour of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
     Works,
-    /// Nothing is changed.
+    /// Fails without any effect.
     Refuses,
-    /// It is changed, but the answer is lost.
+    /// Takes effect, but its result is lost.
     LosesReply,
-    /// Neither.
+    /// Has no effect and never returns.
     Hangs,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl FakeControl {
-    /// What was settled, in order.
+    /// The settlements, in the order in which they were made.
     pub fn settled(&self) -> Vec<Settlement> {
         let settlements = self.settlements.lock().unwrap();
         settlements.iter().map(|s| s.settlement.clone()).collect()
@@ -70,7 +70,7 @@
         self.claims.fetch_add(1, Ordering::SeqCst);
         *self.last_digest.lock().unwrap() = Some(claim.digest);
         let behaviour = *self.claim_behaviour.lock().unwrap();
-        // As a quorum write: the rest happens after a while.
+        // Like a quorum write, the call takes effect after a delay.
         tokio::time::sleep(Duration::from_millis(2)).await;
         if behaviour == Behaviour::Refuses {
             return Err(ClaimError::NotClaimed);
--- a/crates/cleat-entry/tests/support/fleet.rs
+++ b/crates/cleat-entry/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A replicated state and entries that serve it.
+//! A replicated state and the entries that use it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 }
 
 impl Fleet {
-    /// One service `dock` with `terms` laid over a deadline of two seconds.
+    /// A fleet with one service `dock`, whose configuration is `terms` merged
+    /// into a deadline of two seconds.
     pub fn new(terms: Value) -> Fleet {
         let mut fleet = Fleet {
             world: World::default(),
@@ -77,7 +78,7 @@
         self.apply(CommandBody::Withdraw(Withdraw { name, cause }));
     }
 
-    /// A fleet whose one service has these targets, `t0`, `t1`…
+    /// A fleet with one service and the targets `t0`, `t1`…
     pub fn with_targets(terms: Value, targets: &[&Target], slots: u32) -> Fleet {
         let mut fleet = Fleet::new(terms);
         for (i, target) in targets.iter().enumerate() {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Bounds that suit tests: nothing lingers.
+/// Limits for tests: draining takes no delay.
 pub fn limits() -> Limits {
     Limits {
         drain_delay: Duration::ZERO,
@@ -101,7 +102,7 @@
     }
 }
 
-/// The only entry, in service.
+/// A single entry, which is in service.
 pub async fn entry(fleet: &Fleet) -> (Entry<FakeControl>, Arc<FakeControl>) {
     let control = Arc::new(FakeControl::default());
     let entry = entry_with(fleet, Arc::clone(&control), "e1", &["e1"], limits()).await;
--- a/crates/cleat-entry/tests/support/mod.rs
+++ b/crates/cleat-entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted targets, a scripted control and a plain caller.
+//! Scripted targets, a scripted control and a simple caller.
 #![allow(clippy::unwrap_used, dead_code, unreachable_pub, unused_imports)]
 
 mod caller;
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-/// Polls until `check` holds; panics after ten seconds.
+/// Polls until `check` holds. Panics after ten seconds.
 pub async fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     for _ in 0..1_000 {
         if check() {
--- a/crates/cleat-entry/tests/support/target.rs
+++ b/crates/cleat-entry/tests/support/target.rs
@@ -1,4 +1,4 @@
-//! A target that does byte by byte what a script says.
+//! A target that follows a script, byte by byte.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// One thing a target does with a request.
+/// One step of the script for a request.
 #[derive(Debug, Clone)]
 pub enum Step {
     Write(Vec<u8>),
@@ -22,7 +22,7 @@
         Step::Write(text.as_bytes().to_vec())
     }
 
-    /// A whole answer.
+    /// A complete response.
     pub fn ok(body: &str) -> Vec<Step> {
         let length = body.len();
         let text = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
@@ -55,7 +55,7 @@
 }
 
 impl Target {
-    /// `script` maps the head of a request, with its body, to what is done.
+    /// `script` maps the head and body of a request to the steps to run.
     pub async fn spawn(script: impl Fn(&str) -> Vec<Step> + Send + Sync + 'static) -> Target {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -77,12 +77,12 @@
         }
     }
 
-    /// A target that always answers `body`.
+    /// A target that always responds with `body`.
     pub async fn ok(body: &'static str) -> Target {
         Target::spawn(move |_| Step::ok(body)).await
     }
 
-    /// An address that refuses connections.
+    /// A target whose address refuses connections.
     pub async fn refusing() -> Target {
         let target = Target::ok("").await;
         target.listening.abort();
@@ -93,7 +93,7 @@
         target
     }
 
-    /// Heads and bodies of all requests.
+    /// The heads and bodies of all requests.
     pub fn requests(&self) -> Vec<String> {
         self.stats.requests.lock().unwrap().clone()
     }
@@ -102,12 +102,12 @@
         self.stats.requests.lock().unwrap().len()
     }
 
-    /// Counts from nothing again.
+    /// Restarts counting requests.
     pub fn clear_requests(&self) {
         self.stats.requests.lock().unwrap().clear();
     }
 
-    /// The most requests in progress at once.
+    /// The maximum number of concurrent requests.
     pub fn max_in_progress(&self) -> u32 {
         self.stats.max_in_progress.load(Ordering::SeqCst)
     }
@@ -116,7 +116,7 @@
         self.stats.in_progress.load(Ordering::SeqCst)
     }
 
-    /// The most connections open at once.
+    /// The maximum number of concurrent connections.
     pub fn max_connections(&self) -> u32 {
         self.stats.max_connections.load(Ordering::SeqCst)
     }
@@ -125,7 +125,7 @@
         self.stats.connections.load(Ordering::SeqCst)
     }
 
-    /// Connections ever accepted.
+    /// The number of connections accepted so far.
     pub fn accepted(&self) -> u32 {
         self.stats.accepted.load(Ordering::SeqCst)
     }
@@ -154,7 +154,8 @@
     stats.connections.fetch_sub(1, Ordering::SeqCst);
 }
 
-/// Plays the script; the request stops counting before its last byte leaves.
+/// Runs the script. The request is no longer counted as in progress before its
+/// last byte is sent.
 async fn run_steps(stream: &mut TcpStream, steps: Vec<Step>, stats: &Statistics) -> bool {
     let last = steps.len();
     let mut is_counted = true;
--- a/crates/cleat-entry/tests/trace.rs
+++ b/crates/cleat-entry/tests/trace.rs
@@ -1,5 +1,5 @@
-//! One trace through the hops of a request; a process starts telemetry once, so
-//! this is one test.
+//! Tests the trace of a request through all its steps. There is only one test,
+//! because telemetry can be started only once per process.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -56,7 +56,7 @@
     assert_eq!(
         spans.len(),
         HOPS.len() + 1,
-        "the untraced ones left nothing"
+        "untraced requests record no spans"
     );
 
     let sent = target.requests();
@@ -64,7 +64,7 @@
     assert!(sent[0].contains(&format!("traceparent: 00-{TRACE}-{id}-01\r\n")));
     assert!(
         sent[1].contains("-b7ad6b7169203331-00"),
-        "passed on as it came"
+        "forwarded unchanged"
     );
     assert!(!sent[2].contains("traceparent"));
 }
