--- a/crates/cleat-entry/src/entry/caller_connection.rs
+++ b/crates/cleat-entry/src/entry/caller_connection.rs
@@ -20,7 +20,8 @@
     busy: AtomicUsize,
     /// The number of requests passed to handlers.
     request_count: AtomicU64,
-    /// The bytes received since the last request was passed to a handler.
+    /// The bytes received since the connection was last busy, which contain the
+    /// head of the current request.
     head: Mutex<Vec<u8>>,
 }
 
--- a/crates/cleat-entry/src/entry/entry.rs
+++ b/crates/cleat-entry/src/entry/entry.rs
@@ -84,7 +84,7 @@
     }
 
     /// Replaces the services and targets by those of `world`. After the call,
-    /// no request starts by the previous ones. Cheap if neither has changed.
+    /// no new request uses the previous ones. Cheap if neither has changed.
     pub fn update_routes(&self, world: &World) {
         self.shared.update_routes(world);
     }
--- a/crates/cleat-entry/src/route/updater.rs
+++ b/crates/cleat-entry/src/route/updater.rs
@@ -55,8 +55,8 @@
     }
 
     /// Returns the routes of `world`, or `None` if they did not change since
-    /// the previous call. After the call, no request starts by anything that
-    /// `world` no longer contains.
+    /// the previous call. After the call, no new request uses a service or
+    /// target that `world` no longer contains.
     pub(crate) fn update(
         &mut self,
         world: &World,
@@ -166,15 +166,15 @@
         let announcement = &announced.announcement;
         let cap = announcement.slots.min(announcement.connections);
         let service = &self.service_slots[&announcement.service];
-        let known = self.slots.get(name).cloned();
-        let slots = match known {
+        let existing = self.slots.get(name).cloned();
+        let slots = match existing {
             Some(slots) if Arc::ptr_eq(slots.service(), service) => {
                 service.set_cap(name, cap, fresh);
                 slots
             }
-            moved => {
+            other_service => {
                 let slots = Arc::new(service.add_target(name, cap, fresh));
-                if let Some(previous) = moved {
+                if let Some(previous) = other_service {
                     previous.service().remove_target(name);
                     service.withhold_home_slots(slots.key());
                 }
@@ -203,9 +203,9 @@
         let announcement = &announced.announcement;
         let id = (Box::from(name), announcement.address);
         let is_unchanged = |target: &Arc<Target>| Arc::ptr_eq(&target.slots, &slots);
-        let known = previous.get(&id).is_some_and(is_unchanged);
-        let known = known.then(|| previous.swap_remove(&id)).flatten();
-        let target = known.unwrap_or_else(|| {
+        let existing = previous.get(&id).is_some_and(is_unchanged);
+        let existing = existing.then(|| previous.swap_remove(&id)).flatten();
+        let target = existing.unwrap_or_else(|| {
             let local = announcement.data_centre == cfg.data_centre;
             Arc::new(Target::new(
                 name.into(),
@@ -222,11 +222,11 @@
     /// Refuses the waiting requests of removed services.
     fn close_removed(&mut self, routes: &Routes) {
         self.services.retain(|name, state| {
-            let kept = routes.services.contains_key(name);
-            if !kept {
+            let exists = routes.services.contains_key(name);
+            if !exists {
                 state.close();
             }
-            kept
+            exists
         });
     }
 }
--- a/crates/cleat-entry/src/service/admission.rs
+++ b/crates/cleat-entry/src/service/admission.rs
@@ -9,7 +9,7 @@
 use super::queued::QueuedRequest;
 use super::{ServiceState, Slot};
 
-/// The immediate result of a request for a slot.
+/// The immediate result of admission.
 enum Admission {
     Started(Slot),
     Waiting(QueuedRequest),
@@ -27,7 +27,7 @@
         deadline: Instant,
         on_wait: impl FnOnce(),
     ) -> Result<Slot, Refusal> {
-        match self.request_slot(caller, deadline)? {
+        match self.try_admit(caller, deadline)? {
             Admission::Started(slot) => Ok(slot),
             Admission::Waiting(waiting) => {
                 on_wait();
@@ -36,11 +36,7 @@
         }
     }
 
-    fn request_slot(
-        self: &Arc<Self>,
-        caller: &str,
-        deadline: Instant,
-    ) -> Result<Admission, Refusal> {
+    fn try_admit(self: &Arc<Self>, caller: &str, deadline: Instant) -> Result<Admission, Refusal> {
         let now = self.now();
         let ticket = self.next_ticket();
         let arrival = Arrival {
--- a/crates/cleat-entry/src/service/inner.rs
+++ b/crates/cleat-entry/src/service/inner.rs
@@ -216,10 +216,10 @@
 
     fn assign_to_retries(&mut self, service: &Arc<ServiceState>, now: Duration) {
         while let Some(exclude) = self.retries.next_excluded_target(now) {
-            let Some(target) = self.acquire_slot(exclude.as_ref()) else {
+            let Some(acquired) = self.acquire_slot(exclude.as_ref()) else {
                 return;
             };
-            let slot = Slot::new(Arc::clone(service), target, now);
+            let slot = Slot::new(Arc::clone(service), acquired, now);
             let tx = self.retries.pop_first();
             hand_over(tx, slot);
         }
@@ -232,16 +232,16 @@
         now: Duration,
     ) {
         while self.admission.waiting() > 0 {
-            let Some(target) = self.acquire_slot(None) else {
+            let Some(acquired) = self.acquire_slot(None) else {
                 return;
             };
-            let released = self.admission.slot_freed(sample.take(), now);
-            for (ticket, refusal) in released.refused {
+            let dequeued = self.admission.slot_freed(sample.take(), now);
+            for (ticket, refusal) in dequeued.refused {
                 self.refuse_ticket(ticket, refusal);
             }
-            let ticket = released.start;
+            let ticket = dequeued.start;
             let tx = ticket.and_then(|ticket| self.waiting.remove(&ticket));
-            hand_over(tx, Slot::new(Arc::clone(service), target, now));
+            hand_over(tx, Slot::new(Arc::clone(service), acquired, now));
         }
     }
 
@@ -254,8 +254,8 @@
 }
 
 /// Passes a slot to a waiting request. If the receiver was dropped, the slot is
-/// released here, because dropping the slot would try to take the lock that the
-/// caller holds.
+/// released here, because dropping the slot would try to take the lock of the
+/// service, which is already held.
 fn hand_over(tx: Option<oneshot::Sender<WaitResult>>, slot: Slot) {
     let unsent = match tx {
         Some(tx) => tx.send(WaitResult::Start(slot)).err(),
--- a/crates/cleat-entry/src/service/retry.rs
+++ b/crates/cleat-entry/src/service/retry.rs
@@ -107,8 +107,8 @@
         }
         inner.refresh_candidates(now);
         let exclude = inner.has_alternative(previous).then_some(previous);
-        if let Some(target) = inner.acquire_slot(exclude) {
-            return RetryStart::Started(Slot::new(Arc::clone(self), target, now));
+        if let Some(acquired) = inner.acquire_slot(exclude) {
+            return RetryStart::Started(Slot::new(Arc::clone(self), acquired, now));
         }
         let (tx, rx) = oneshot::channel();
         let retry = WaitingRetry {
--- a/crates/cleat-entry/src/service/slot.rs
+++ b/crates/cleat-entry/src/service/slot.rs
@@ -83,8 +83,8 @@
         now.saturating_sub(self.acquired_at)
     }
 
-    /// Puts back or closes the connection. The caller becomes responsible for
-    /// releasing the slot.
+    /// Puts back or closes the connection. The slot must then be released through
+    /// the returned value.
     pub(super) fn detach(&mut self, now: Duration) -> PendingRelease {
         let target = self.target.take();
         let upstream = self.upstream.take();
@@ -107,8 +107,8 @@
     fn drop(&mut self) {
         if self.target.is_some() {
             let now = self.service.now();
-            let released = self.detach(now);
-            self.service.release_without_outcome(released);
+            let pending = self.detach(now);
+            self.service.release_without_outcome(pending);
         }
     }
 }
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -78,8 +78,8 @@
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Replaces the configuration and the targets. After the call, no request
-    /// starts by the previous ones.
+    /// Replaces the configuration and the targets. After the call, no new
+    /// request uses the previous ones.
     pub(crate) fn update(self: &Arc<Self>, config: &Service, targets: Vec<Arc<Target>>) {
         let now = self.now();
         let mut inner = self.lock();
@@ -133,13 +133,13 @@
     ) -> RetryDecision {
         let now = self.now();
         let latency = slot.held_for(now);
-        let target = slot.detach(now);
-        target.record(outcome, latency, now);
+        let pending = slot.detach(now);
+        pending.record(outcome, latency, now);
         let sample = outcome.is_success().then_some(latency);
-        let target = self.defer_release(target);
+        let pending = self.defer_release(pending);
         let mut inner = self.lock();
-        if let Some(target) = target {
-            target.release();
+        if let Some(pending) = pending {
+            pending.release();
         }
         context.expected_duration = inner.service_time_p10();
         let decision = decide_retry(&outcome, context, inner.budget());
@@ -148,30 +148,30 @@
     }
 
     /// Releases a slot without recording an outcome.
-    pub(super) fn release_without_outcome(self: &Arc<Self>, target: PendingRelease) {
-        let Some(target) = self.defer_release(target) else {
+    pub(super) fn release_without_outcome(self: &Arc<Self>, pending: PendingRelease) {
+        let Some(pending) = self.defer_release(pending) else {
             return;
         };
         let now = self.now();
         let mut inner = self.lock();
-        target.release();
+        pending.release();
         inner.assign_slots(self, None, now);
     }
 
     /// If the target may still be working on the request, releases the slot
-    /// after the grace period and returns `None`. Otherwise returns the slot to
-    /// be released by the caller.
-    fn defer_release(self: &Arc<Self>, mut target: PendingRelease) -> Option<PendingRelease> {
-        if !target.take_awaits_close() {
-            return Some(target);
+    /// after the grace period and returns `None`. Otherwise returns the slot,
+    /// which must then be released at once.
+    fn defer_release(self: &Arc<Self>, mut pending: PendingRelease) -> Option<PendingRelease> {
+        if !pending.take_awaits_close() {
+            return Some(pending);
         }
         let Ok(runtime) = Handle::try_current() else {
-            return Some(target);
+            return Some(pending);
         };
         let service = Arc::clone(self);
         runtime.spawn(async move {
             sleep(CLOSE_GRACE).await;
-            service.release_without_outcome(target);
+            service.release_without_outcome(pending);
         });
         None
     }
