--- a/crates/celerycleatd/src/dev_jobs.rs
+++ b/crates/celerycleatd/src/dev_jobs.rs
@@ -12,11 +12,11 @@
 };
 use cleat_http::{Listener, RunningServer};
 use cleat_jobs::{
-    Catalogue, Draft, JobId, JobSpec, Pool, Queue, SchedulerConfig, Size, StepSpec, WorkerHistory,
-    WorkerRecord,
+    Catalogue, CatalogueDraft, JobId, JobSpec, Pool, Queue, SchedulerConfig, Size, StepSpec,
+    WorkerHistory, WorkerRecord,
 };
 use cleat_link::{ControlCall, ControlReply, JobView};
-use cleat_operate::JobOperators;
+use cleat_operate::JobOperatorServer;
 use cleat_quorum::Timing;
 use cleat_telemetry::EventLog;
 use snafu::{OptionExt, ResultExt};
@@ -57,7 +57,7 @@
         let listener = Listener::bind(any).await.context(ListenSnafu)?;
         let jobs = DevJobs {
             operators: listener.local_addr(),
-            server: JobOperators::spawn(listener, node.clone()),
+            server: JobOperatorServer::spawn(listener, node.clone()),
             node,
         };
         let configure = ControlCall::Configure(Arc::new(catalogue()?));
@@ -122,7 +122,7 @@
         // Nobody else is there to be called.
         addressing: PeerAddressing { port: 0 },
         seeds: vec![id],
-        may_found: true,
+        may_bootstrap: true,
         voters: 1,
         remove_silent_after: Duration::MAX,
         data_folder: folder.join("jobs"),
@@ -165,11 +165,11 @@
     };
     let pool = Pool {
         name: POOL.into(),
-        guards_capacity: true,
+        enforces_capacity: true,
         spare: false,
         health_path: "/".into(),
     };
-    let draft = Draft {
+    let draft = CatalogueDraft {
         version: 1,
         queues: vec![queue],
         pools: vec![pool],
--- a/crates/cleat-entry/src/attempts/claim_guard.rs
+++ b/crates/cleat-entry/src/attempts/claim_guard.rs
@@ -40,7 +40,7 @@
         let settle = SettleKey {
             key: claim.key.clone(),
             entry: claim.entry.clone(),
-            life: claim.life,
+            incarnation: claim.incarnation,
             number: claim.number,
             settlement: Settlement::NotRun,
         };
--- a/crates/cleat-entry/src/attempts/keyed.rs
+++ b/crates/cleat-entry/src/attempts/keyed.rs
@@ -61,7 +61,7 @@
             control: Arc::clone(&self.shared.control),
             keys: Arc::clone(&self.shared.held_keys),
             claim: self.claim(key),
-            retention: Duration::from_secs(self.shared.key_terms().keep_s),
+            retention: Duration::from_secs(self.shared.key_terms().retention_s),
             deadline: self.deadline,
         }
     }
@@ -73,9 +73,9 @@
             key: self.scoped(key),
             digest: self.digest(),
             entry: self.shared.cfg.name.clone(),
-            life: self.shared.cfg.incarnation,
+            incarnation: self.shared.cfg.incarnation,
             number: self.shared.next_claim_number(),
-            hold_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
+            settle_timeout_ms: u64::try_from(hold.as_millis()).unwrap_or(u64::MAX),
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     fn settlement(&self, result: &Result<TargetResponse, Problem>) -> Settlement {
-        let limit = self.shared.key_terms().answer_bytes;
+        let limit = self.shared.key_terms().max_answer_bytes;
         match result {
             Ok(answer) => match answer.stored(limit) {
                 Some(stored) => Settlement::Ran(stored),
--- a/crates/cleat-entry/tests/matrix_support/test_bed.rs
+++ b/crates/cleat-entry/tests/matrix_support/test_bed.rs
@@ -201,7 +201,7 @@
         wait_until_refused(self.first.local_addr()).await?;
         // The replicated state registers the end of the incarnation.
         let mut table = self.control.inner.table.lock().unwrap();
-        table.end_other_lives("e1", 2);
+        table.end_other_incarnations("e1", 2);
         Ok(())
     }
 
--- a/crates/cleat-jobs/src/schedule/advice.rs
+++ b/crates/cleat-jobs/src/schedule/advice.rs
@@ -8,7 +8,7 @@
 use super::worker::{WorkerKey, millis};
 use super::{Effect, Scheduler};
 use crate::state::ControlState;
-use crate::{Advice, StepId};
+use crate::{AdviceTiming, StepId};
 
 /// The maximum number of workers in one call. Each worker makes the call
 /// longer, and a step's objective leaves time for a call about 30.
@@ -105,7 +105,7 @@
         let Some(mut advice) = self.advice.swap_remove(&id) else {
             return;
         };
-        let Some(Advice { validity_ms, .. }) = policy else {
+        let Some(AdviceTiming { validity_ms, .. }) = policy else {
             return;
         };
         advice.call_pending = false;
@@ -135,7 +135,7 @@
         }
         self.advice.insert(id, advice);
         if let Some(pool) = self.steps.get(&id).map(|step| step.pool.clone()) {
-            self.make_ready(id, pool);
+            self.mark_step_ready(id, pool);
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/attempt.rs
+++ b/crates/cleat-jobs/src/schedule/attempt.rs
@@ -82,7 +82,7 @@
     /// Adds a run and reserves its capacity on its worker.
     pub(super) fn add_attempt(&mut self, task: TaskId, attempt: Attempt) {
         if attempt.uses_capacity() {
-            self.accounts.hold(attempt.charge);
+            self.accounts.add(attempt.charge);
         }
         let worker = &mut self.workers[attempt.worker];
         worker.used += attempt.footprint;
--- a/crates/cleat-jobs/src/schedule/commits.rs
+++ b/crates/cleat-jobs/src/schedule/commits.rs
@@ -54,14 +54,16 @@
             // worker may be gone and not list them again. Tasks of a crashed
             // worker wait for the commit of the crash. Proposing a crash twice
             // is harmless: each run is counted once.
-            Command::Ends { .. } | Command::Crashed { .. } => self.propose(command.clone()),
+            Command::RecordEnds { .. } | Command::Crashed { .. } => self.propose(command.clone()),
             Command::RemoveWorkers { names } => self.repropose_removal(names),
             Command::AddWorker(record) => {
                 if let Some(key) = self.workers.key(&record.name) {
                     self.workers[key].use_proposed = false;
                 }
             }
-            Command::Settled { ids } => self.settled_proposed.retain(|id| !ids.contains(id)),
+            Command::JobsStopped { ids } => {
+                self.stopped_jobs_proposed.retain(|id| !ids.contains(id));
+            }
             Command::Forget { ids } => {
                 let ids = ids.iter().rev();
                 ids.for_each(|id| self.ended_jobs.push_front((self.now, *id)));
@@ -85,12 +87,12 @@
     /// them again: the earlier ends are its own proposals as well, and still in
     /// progress. If an earlier owner did, the worker lists them again.
     pub(super) fn handle_ends_applied(&mut self, state: &ControlState, command: &Command) {
-        let Command::Ends { worker, ends, .. } = command else {
+        let Command::RecordEnds { worker, ends, .. } = command else {
             return;
         };
         let record = state.workers.get(worker);
         let last = ends.last().map_or(0, |end| end.number);
-        if record.is_none_or(|record| record.history.noted >= last) {
+        if record.is_none_or(|record| record.history.last_recorded_end >= last) {
             return self.handle_committed_ends(state, worker, ends);
         }
         let key = self.workers.key(worker);
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -17,7 +17,7 @@
 use super::step::ActiveStep;
 use super::worker::{Worker, WorkerKey};
 use super::{Decision, Scheduler};
-use crate::state::{Command, ControlState, CrashedRun, Part};
+use crate::state::{Command, ControlState, CrashEvidence, CrashedRun};
 use crate::{JobId, TaskId};
 
 /// How long a run has to be listed until it is cleared: a later crash of its
@@ -96,7 +96,7 @@
     /// to wait until many workers have answered recently at the same time.
     pub(super) fn answered_recently(&self, step: &ActiveStep, index: u32, worker: &Worker) -> bool {
         let answered_at = worker.answered_at.unwrap_or_default();
-        let required = !step.gang && step.suspicion(index).alone;
+        let required = !step.gang && step.suspicion(index).needs_isolation;
         !required || self.now <= answered_at + MAX_ANSWER_AGE
     }
 
@@ -104,7 +104,7 @@
     /// order for its machine.
     fn has_crashed(&self, key: WorkerKey, how: LifeOver) -> bool {
         let unintended = matches!(how, LifeOver::Replaced | LifeOver::Absent);
-        unintended && !self.workers[key].draining && !self.was_taken_away(key)
+        unintended && !self.workers[key].draining && !self.was_ended_by_order(key)
     }
 
     /// If the worker crashed, counts the crash against the runs that it had.
@@ -127,7 +127,7 @@
         let lapsed = self.end_suspect_runs(key, LossReason::Lapsed);
         self.workers[key].lapsed_runs = lapsed.clone();
         let lapsed = lapsed.into_iter().map(|run| CrashedRun {
-            part: Part::Lapsed,
+            evidence: CrashEvidence::LeaseExpired,
             ..run
         });
         self.propose_crashed(lapsed.collect());
@@ -142,7 +142,7 @@
     /// Ends the suspect runs of a worker and returns them with their part in
     /// the crash, to be committed.
     fn end_suspect_runs(&mut self, key: WorkerKey, reason: LossReason) -> Vec<CrashedRun> {
-        let suspects = self.suspects(key);
+        let suspects = self.suspect_tasks_on(key);
         let worker = &self.workers[key];
         let alone = suspects.len() == 1 && !worker.has_strays;
         let crashed_at = worker.unanswered_since.unwrap_or(self.now);
@@ -152,15 +152,19 @@
                 continue;
             };
             let sudden = crashed_at <= attempt.started_at + STARTUP_CRASH_WINDOW;
-            let part = match (has_started(attempt.phase), alone, sudden) {
-                (false, ..) => Part::InDoubt,
-                (true, false, false) => Part::Begun,
-                (true, false, true) => Part::Sudden,
-                (true, true, false) => Part::Alone,
-                (true, true, true) => Part::AloneSudden,
+            let evidence = match (has_started(attempt.phase), alone, sudden) {
+                (false, ..) => CrashEvidence::StartUnanswered,
+                (true, false, false) => CrashEvidence::Running,
+                (true, false, true) => CrashEvidence::JustStarted,
+                (true, true, false) => CrashEvidence::RunningAlone,
+                (true, true, true) => CrashEvidence::JustStartedAlone,
             };
             let run = attempt.run;
-            runs.push(CrashedRun { task, run, part });
+            runs.push(CrashedRun {
+                task,
+                run,
+                evidence,
+            });
             self.end_lost_run(task, reason);
         }
         runs
@@ -168,7 +172,7 @@
 
     /// The tasks that may have crashed a worker; none if crashes are not
     /// counted.
-    fn suspects(&self, key: WorkerKey) -> Vec<TaskId> {
+    fn suspect_tasks_on(&self, key: WorkerKey) -> Vec<TaskId> {
         let tasks = self.workers[key].tasks.iter().copied();
         let counted = |task: &TaskId| self.cfg.protections.count_crashes && self.is_suspect(*task);
         tasks.filter(counted).collect()
--- a/crates/cleat-jobs/src/schedule/fleet/mod.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Machines: which pool they work for, and when they are maintained.
+//! Assignment of machines to pools, and their maintenance.
 
 mod absent;
 mod demand;
-mod evacuate;
+mod evict;
 mod machine;
 mod moves;
 mod orders;
-mod reserve;
+mod reservations;
 mod waves;
 
 pub(super) use machine::Machines;
--- a/crates/cleat-jobs/src/schedule/placement.rs
+++ b/crates/cleat-jobs/src/schedule/placement.rs
@@ -60,7 +60,7 @@
     /// The maximum of each resource that is free on any of the workers.
     fn max_free_capacity(&self, keys: &[WorkerKey]) -> Size {
         let free = keys.iter().map(|key| self.workers[*key].free_capacity());
-        free.fold(Size::default(), Size::max_of_each)
+        free.fold(Size::default(), Size::component_max)
     }
 
     /// The workers of a pool that accept work.
@@ -89,7 +89,7 @@
             return false;
         };
         let step = &self.steps[&id];
-        if unknown_until.is_some_and(|until| step.ready_at <= until) {
+        if unknown_until.is_some_and(|until| step.ready_index <= until) {
             return false;
         }
         let pending: Vec<u32> = step.pending.iter().copied().collect();
@@ -146,7 +146,7 @@
         };
         let allowed = self.accounts.allows(step.charge, count);
         if !allowed {
-            self.block_for_cap(id);
+            self.record_cap_reached(id);
         }
         allowed
     }
@@ -390,5 +390,5 @@
 fn pool_enforces_capacity(state: &ControlState, pool: &str) -> bool {
     let pools = state.catalogue.as_ref().map(|catalogue| &catalogue.pools);
     let pool = pools.and_then(|pools| pools.get(pool));
-    pool.is_none_or(|pool| pool.guards_capacity)
+    pool.is_none_or(|pool| pool.enforces_capacity)
 }
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -38,7 +38,7 @@
 
 impl Scheduler {
     /// Records that tasks of a step may wait for a worker.
-    pub(super) fn make_ready(&mut self, id: StepId, pool: Box<str>) {
+    pub(super) fn mark_step_ready(&mut self, id: StepId, pool: Box<str>) {
         self.mark_pool_dirty(&pool);
         self.ready.entry(pool).or_default().insert(id);
     }
@@ -70,7 +70,7 @@
         match (self.cfg.share_policy, step.charge.customer) {
             (SharePolicy::DeadlineFirst, _) | (_, None) => ShareStatus::Within,
             (SharePolicy::ArrivalRate, _) => step.share_status,
-            (SharePolicy::ResourceUse, Some(customer)) => self.accounts.standing_by_room(customer),
+            (SharePolicy::ResourceUse, Some(customer)) => self.accounts.standing_by_usage(customer),
         }
     }
 
@@ -117,7 +117,9 @@
         if !any {
             ranked.clear();
         }
-        capped.into_iter().for_each(|id| self.block_for_cap(id));
+        capped
+            .into_iter()
+            .for_each(|id| self.record_cap_reached(id));
         let mut heap = BinaryHeap::from(ranked);
         std::iter::from_fn(move || heap.pop().map(|Reverse((.., order))| order.step))
     }
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -32,7 +32,7 @@
     /// The log position at which it became ready. If that was before this
     /// owner's time, an earlier owner may have started the step: a task that no
     /// worker lists may still run on a worker that has not answered.
-    pub(crate) ready_at: u64,
+    pub(crate) ready_index: u64,
     /// The minimum number of workers that it needs, given the maximum number of
     /// its tasks on one worker.
     pub(crate) min_workers: usize,
@@ -70,7 +70,7 @@
     /// When its job should be done.
     pub(crate) due: Duration,
     /// The log position at which its job was accepted.
-    pub(crate) accepted_at: u64,
+    pub(crate) accepted_index: u64,
     pub(crate) step: StepId,
 }
 
@@ -206,7 +206,7 @@
         let Some(spec) = job.step(id) else {
             return;
         };
-        let charge = self.charge(state, job, spec);
+        let charge = self.charge_for(state, job, spec);
         let unstarted = |index: &u32| {
             !job.is_task_done(id, *index) && !self.attempts.contains_key(&id.task(*index))
         };
@@ -225,7 +225,7 @@
                 priority: job.queue.priority,
                 finite: !spec.long_running,
                 due,
-                accepted_at: job.accepted_at,
+                accepted_index: job.accepted_index,
                 step: id,
             },
             zero_value_at,
@@ -234,8 +234,8 @@
             pending: (0..spec.count).filter(unstarted).collect(),
             done: BTreeSet::new(),
             active_since: self.now,
-            ready_at: job.ready_at(id),
-            min_workers: spec.least_workers(),
+            ready_index: job.ready_index(id),
+            min_workers: spec.min_workers(),
             max_per_worker: spec.max_per_worker,
             footprint: spec.footprint(),
             charge,
@@ -251,7 +251,7 @@
             suspicions: IndexMap::new(),
             checkpoints: IndexMap::new(),
         };
-        self.make_ready(id, step.pool.clone());
+        self.mark_step_ready(id, step.pool.clone());
         self.steps.insert(id, step);
         self.update_suspicions(state, id);
     }
--- a/crates/cleat-jobs/src/schedule/takeover.rs
+++ b/crates/cleat-jobs/src/schedule/takeover.rs
@@ -15,6 +15,8 @@
 use crate::{Run, Size, TaskId};
 
 impl Scheduler {
+    /// Loads the workers and jobs of the replicated state, and asks all workers
+    /// for their runs.
     pub(super) fn take_over_state(&mut self, state: &ControlState) {
         for record in state.workers.values() {
             let key = self.workers.add(record.clone(), self.now);
@@ -46,8 +48,10 @@
         }
         let workers = self.workers.in_pool(pool);
         let unknown = workers.filter(|(_, worker)| !worker.runs_are_known());
-        let until = unknown.map(|(_, worker)| worker.record.history.silent_at);
-        let latest = until.map(|silent_at| silent_at.unwrap_or(u64::MAX)).max();
+        let until = unknown.map(|(_, worker)| worker.record.history.silent_index);
+        let latest = until
+            .map(|silent_index| silent_index.unwrap_or(u64::MAX))
+            .max();
         latest.map(|until| until.min(self.owner.token))
     }
 
@@ -92,7 +96,7 @@
 
     /// Adopts a run that a worker lists, if its task waits for a start. Returns
     /// whether it did.
-    pub(super) fn adopt(
+    pub(super) fn adopt_run(
         &mut self,
         state: &ControlState,
         key: WorkerKey,
--- a/crates/cleat-jobs/src/schedule/tick.rs
+++ b/crates/cleat-jobs/src/schedule/tick.rs
@@ -19,8 +19,8 @@
         self.activate_due(state);
         self.forget_ended_jobs();
         self.crashed_machines.remove_expired(self.now);
-        self.settle_stopped(state);
-        self.tend_machines(state);
+        self.propose_stopped_jobs(state);
+        self.manage_machines(state);
         // Workers on which starts were paused may accept work again.
         self.dirty_pools = DirtyPools::All;
     }
--- a/crates/cleat-jobs/src/schedule/timing.rs
+++ b/crates/cleat-jobs/src/schedule/timing.rs
@@ -13,7 +13,7 @@
 use crate::{JobId, JobSpec, Queue, Size, StepSpec};
 
 /// The result of a job has no value after this many times its objective.
-const ZERO_VALUE_AFTER: u32 = 3;
+const ZERO_VALUE_AFTER_OBJECTIVES: u32 = 3;
 /// The minimum weight of a new job in the running mean of its queue's usage.
 /// The mean then covers about the last 30 jobs.
 const MIN_USAGE_WEIGHT: f64 = 0.03;
@@ -46,7 +46,7 @@
         let until = |span: Duration| now + span.saturating_sub(age);
         Objective {
             due: until(span),
-            zero_value_at: until(span * ZERO_VALUE_AFTER),
+            zero_value_at: until(span * ZERO_VALUE_AFTER_OBJECTIVES),
         }
     }
 }
@@ -178,8 +178,10 @@
         let Some(name) = job.customer.as_deref() else {
             return;
         };
-        let key = self.accounts.open(name, state.catalogue.as_deref());
-        if self.accounts.take_job(key, arrived_at) == ShareStatus::Exceeded {
+        let key = self
+            .accounts
+            .get_or_create(name, state.catalogue.as_deref());
+        if self.accounts.record_job(key, arrived_at) == ShareStatus::Exceeded {
             self.share_statuses.insert(id, ShareStatus::Exceeded);
         }
     }
@@ -189,8 +191,8 @@
     /// machines differ by little; if one has jumped, only the order in which
     /// jobs are served suffers.
     fn age(&self, job: &Job) -> Duration {
-        let known = job.came_ms > 0 && self.wall_ms > 0;
-        let ms = self.wall_ms.saturating_sub(job.came_ms);
+        let known = job.arrived_ms > 0 && self.wall_ms > 0;
+        let ms = self.wall_ms.saturating_sub(job.arrived_ms);
         Duration::from_millis(if known { ms } else { 0 })
     }
 
@@ -209,7 +211,7 @@
             gang: steps.iter().any(|step| step.gang),
             advised: queue.advice.is_some(),
             objective_ms: millis(span),
-            inherited: job.accepted_at < self.owner.token,
+            inherited: job.accepted_index < self.owner.token,
         });
     }
 }
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -9,11 +9,11 @@
 use cleat_link::PeerListener;
 use cleat_log::Journal;
 use cleat_maintain::HttpPlatform;
-use cleat_operate::{Listener, Operators, RunningServer, Targets};
+use cleat_operate::{Listener, OperatorServer, RunningServer, TargetServer};
 use cleat_quorum::{MemberConfig, Replica, ReplicaConfig};
 use cleat_settings::Settings;
 use cleat_telemetry::Counters;
-use cleat_world::{BeginLife, CommandBody};
+use cleat_world::{BeginIncarnation, CommandBody};
 use log::{info, warn};
 use snafu::{ResultExt, Snafu};
 use tokio::task::JoinHandle;
@@ -136,8 +136,8 @@
         ];
         tasks.extend(slots::spawn(&node, &entry));
         let servers = vec![
-            Operators::spawn(operators, node.clone()),
-            Targets::spawn(targets, node.clone()),
+            OperatorServer::spawn(operators, node.clone()),
+            TargetServer::spawn(targets, node.clone()),
         ];
         Ok(Instance {
             addresses,
@@ -259,12 +259,12 @@
 /// Announces this life of the instance to the fleet, which ends whatever earlier lives
 /// left behind.
 async fn begin_life(node: Arc<Node>) {
-    let begin = BeginLife {
+    let begin = BeginIncarnation {
         entry: node.name.clone(),
-        life: node.life,
+        incarnation: node.life,
     };
     while !node.is_current_life() {
-        let body = CommandBody::BeginLife(begin.clone());
+        let body = CommandBody::BeginIncarnation(begin.clone());
         match node.propose_to_leader(body).await {
             Ok(proposed) => {
                 // Can't fail: only this task sets it.
