--- a/crates/cleat-entry/examples/alone.rs
+++ b/crates/cleat-entry/examples/alone.rs
@@ -1,7 +1,8 @@
-//! One entry without consensus, to measure the request path by itself.
+//! Runs one entry without consensus, to measure the request path in isolation.
 //!
 //! `cargo run --release -p cleat-entry --example alone -- TARGET` serves the
-//! service `dock` at the address TARGET and prints where callers connect.
+//! service `dock` with the target at the address TARGET and prints the address
+//! to send requests to.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -22,10 +23,10 @@
     "services": {"dock": {"pool": "runners", "deadline_ms": 10000}}
 }"#;
 
-/// Always in service, never with a quorum.
-struct Alone;
+/// A control that is always in service but never has a quorum.
+struct AlwaysInService;
 
-impl Control for Alone {
+impl Control for AlwaysInService {
     fn in_service(&self) -> bool {
         true
     }
@@ -78,14 +79,14 @@
     let cfg = EntryConfig {
         name: "e1".into(),
         data_centre: "dc1".into(),
-        life: 1,
+        incarnation: 1,
         listen: ([127, 0, 0, 1], 0).into(),
         entries: vec!["e1".into()],
         seed: 7,
         limits: Limits::default(),
     };
-    let entry = Entry::bind(cfg, Arc::new(Alone)).await?;
-    entry.publish(&world(target.parse()?));
+    let entry = Entry::bind(cfg, Arc::new(AlwaysInService)).await?;
+    entry.update_routes(&world(target.parse()?));
     println!("{{\"address\":\"{}\"}}", entry.local_addr());
     std::future::pending().await
 }
--- a/crates/cleat-entry/src/counters.rs
+++ b/crates/cleat-entry/src/counters.rs
@@ -1,15 +1,15 @@
-//! What the request path counts.
+//! The metrics of the request path.
 
 use cleat_telemetry::{Counter, Counters as Registry, Gauge};
 
 use crate::headers::Outcome;
 
-/// Handles on the numbers of one entry.
+/// Handles to the metrics of one entry.
 #[derive(Debug)]
 pub(crate) struct Counters {
     /// Requests whose head was read.
     pub(crate) requests: Counter,
-    /// Answers of targets passed on.
+    /// Responses of targets that were forwarded.
     pub(crate) answered: Counter,
     /// Requests that did not run.
     pub(crate) not_run: Counter,
@@ -17,18 +17,18 @@
     pub(crate) unknown: Counter,
     /// Requests that had to wait for a slot.
     pub(crate) waited: Counter,
-    /// Tries in all.
-    pub(crate) tries: Counter,
-    /// Tries after the first.
+    /// All attempts.
+    pub(crate) attempts: Counter,
+    /// Attempts after the first one of a request.
     pub(crate) retries: Counter,
-    /// Answers too large to hold, passed on as they came.
+    /// Responses that were streamed, because they were too large to buffer.
     pub(crate) streamed: Counter,
     /// Claims of idempotency keys.
     pub(crate) claims: Counter,
-    /// Stored answers given again for a key.
+    /// Stored responses replayed for an idempotency key.
     pub(crate) replayed: Counter,
-    /// Bytes that answers in flight hold.
-    pub(crate) answer_bytes: Gauge,
+    /// Bytes occupied by buffered responses.
+    pub(crate) response_bytes: Gauge,
 }
 
 impl Counters {
@@ -39,16 +39,16 @@
             not_run: registry.counter("entry.not_run"),
             unknown: registry.counter("entry.unknown"),
             waited: registry.counter("entry.waited"),
-            tries: registry.counter("entry.tries"),
+            attempts: registry.counter("entry.tries"),
             retries: registry.counter("entry.retries"),
             streamed: registry.counter("entry.streamed"),
             claims: registry.counter("entry.claims"),
             replayed: registry.counter("entry.replayed"),
-            answer_bytes: registry.gauge("entry.answer_bytes_held"),
+            response_bytes: registry.gauge("entry.answer_bytes_held"),
         }
     }
 
-    pub(crate) fn count(&self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Answered => self.answered.incr(),
             Outcome::NotRun => self.not_run.incr(),
--- a/crates/cleat-entry/src/problem/kind.rs
+++ b/crates/cleat-entry/src/problem/kind.rs
@@ -1,87 +1,92 @@
-//! The kinds of our own answers.
+//! The kinds of problem responses.
 
 use cleat_decide::RefusalReason;
 use http::StatusCode;
 
 use crate::headers::Outcome;
 
-/// Why a caller gets an answer of ours instead of a target's.
+/// Why a caller gets a problem response instead of the response of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ProblemKind {
-    /// No service of this name is configured.
+    /// No service with this name is configured.
     UnknownService,
-    /// The request names no path that could name a service.
+    /// The request target is not a path that could name a service.
     UnsupportedTarget,
-    /// The head is not valid HTTP/1.1, for instance by conflicting lengths.
+    /// The head is not valid HTTP/1.1, for example because of conflicting
+    /// lengths.
     MalformedRequest,
     /// The request target is too long.
     UriTooLong,
-    /// `Celerycleat-Deadline-Ms` is no positive number of milliseconds.
+    /// `Celerycleat-Deadline-Ms` is not a positive number of milliseconds.
     BadDeadline,
-    /// `Celerycleat-Caller` is not printable ASCII of bounded length.
+    /// `Celerycleat-Caller` is too long or not printable ASCII.
     BadCaller,
     /// `Celerycleat-Idempotent` is neither `true` nor `false`.
     BadIdempotent,
     /// `Idempotency-Key` is empty, too long or not printable ASCII.
-    BadKey,
-    /// The body broke off or its framing is malformed.
+    BadIdempotencyKey,
+    /// The body is truncated or its framing is malformed.
     BadBody,
     /// The header block is too large.
     HeadersTooLarge,
-    /// The body is larger than the service takes.
+    /// The body is larger than the service allows.
     BodyTooLarge,
-    /// The key was used with another request.
+    /// The idempotency key was used for a different request.
     KeyReused,
-    /// This instance is not in service; another may be.
+    /// This instance is not in service; another one may be.
     NotInService,
-    /// Request bodies take all the memory set aside for them.
+    /// The memory for request bodies is exhausted.
     MemoryFull,
-    /// No more keys can be remembered, or too many claims are under way.
+    /// The table of idempotency keys is full, or too many keys are held.
     KeysFull,
-    /// The key could not be claimed.
+    /// The idempotency key could not be claimed.
     KeyNotClaimed,
-    /// The caller is over its quota.
+    /// The caller exceeds its quota.
     OverQuota,
     /// The queue of the service is full.
     QueueFull,
-    /// The request gave its place in the queue to a caller under its share.
+    /// The request was removed from the queue in favour of a caller below its
+    /// fair share.
     Displaced,
-    /// The request could not finish in the time that is left.
+    /// The request could not finish before its deadline.
     CannotFinishInTime,
     /// The service has no target.
     NoTarget,
     /// No target could be reached.
     TargetsUnreachable,
-    /// The target's connection broke.
-    TargetCut,
-    /// The target's answer did not come in time.
-    TargetLate,
-    /// The target's answer is no HTTP/1.1.
-    AnswerMalformed,
-    /// Nothing but the connection's end marks the end of the answer.
-    AnswerUnframed,
-    /// More came than the answer's framing states.
-    AnswerSurplus,
-    /// The answer is too large to hold and the caller's HTTP/1.0 could not
-    /// tell a cut from its end.
-    AnswerTooLarge,
-    /// An earlier try may have run and a later one was not sent.
-    EarlierTry,
-    /// A request with the same key is still in progress.
+    /// The connection to the target was lost.
+    TargetConnectionLost,
+    /// The target did not respond in time.
+    TargetTimedOut,
+    /// The response of the target is not valid HTTP/1.1.
+    ResponseMalformed,
+    /// The end of the response is only marked by the end of the connection.
+    ResponseUnframed,
+    /// More bytes were received than the framing of the response states.
+    ResponseSurplus,
+    /// The response is too large to buffer, and it can't be streamed because
+    /// the caller uses HTTP/1.0, which can't distinguish its end from a lost
+    /// connection.
+    ResponseTooLarge,
+    /// An earlier attempt may have run, and a later one was not sent.
+    EarlierAttempt,
+    /// A request with the same idempotency key is in progress.
     KeyInProgress,
-    /// The request was refused before its key could be claimed, and whether
-    /// an earlier send of it ran could not be found out.
+    /// The request was rejected before its idempotency key could be claimed,
+    /// and it could not be determined whether an earlier request with the key
+    /// ran.
     KeyNotLookedUp,
-    /// A request with the same key may have run.
+    /// A request with the same idempotency key may have run.
     KeyOutcomeUnknown,
-    /// A request with the same key ran; its answer was too large to keep.
+    /// A request with the same idempotency key ran; its response was too large
+    /// to store.
     KeyAnswerNotKept,
 }
 
 use ProblemKind as K;
 
 impl ProblemKind {
-    /// The status code.
+    /// The HTTP status code.
     pub fn status(self) -> StatusCode {
         match self {
             K::UnknownService => StatusCode::NOT_FOUND,
@@ -90,7 +95,7 @@
             | K::BadDeadline
             | K::BadCaller
             | K::BadIdempotent
-            | K::BadKey
+            | K::BadIdempotencyKey
             | K::BadBody => StatusCode::BAD_REQUEST,
             K::UriTooLong => StatusCode::URI_TOO_LONG,
             K::HeadersTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -106,19 +111,19 @@
             | K::CannotFinishInTime
             | K::NoTarget
             | K::TargetsUnreachable => StatusCode::SERVICE_UNAVAILABLE,
-            K::TargetLate | K::KeyInProgress | K::KeyNotLookedUp => StatusCode::GATEWAY_TIMEOUT,
-            K::TargetCut
-            | K::AnswerMalformed
-            | K::AnswerUnframed
-            | K::AnswerSurplus
-            | K::AnswerTooLarge
-            | K::EarlierTry
+            K::TargetTimedOut | K::KeyInProgress | K::KeyNotLookedUp => StatusCode::GATEWAY_TIMEOUT,
+            K::TargetConnectionLost
+            | K::ResponseMalformed
+            | K::ResponseUnframed
+            | K::ResponseSurplus
+            | K::ResponseTooLarge
+            | K::EarlierAttempt
             | K::KeyOutcomeUnknown
             | K::KeyAnswerNotKept => StatusCode::BAD_GATEWAY,
         }
     }
 
-    /// What it says of the request.
+    /// What the response says about the execution of the request.
     pub(crate) fn outcome(self) -> Outcome {
         match self.status() {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Outcome::Unknown,
@@ -126,14 +131,14 @@
         }
     }
 
-    /// Whether sending again later, with the same key if there is one, may
-    /// bring another answer.
+    /// Whether a retry, with the same idempotency key if there is one, may have
+    /// a different result.
     pub(crate) fn has_retry_after(self) -> bool {
         let waits_for_key = matches!(self, K::KeyInProgress | K::KeyNotLookedUp);
         waits_for_key || self.outcome() == Outcome::NotRun
     }
 
-    /// The last part of the stable `type`.
+    /// The last component of the stable problem `type`.
     pub fn slug(self) -> &'static str {
         match self {
             K::UnknownService => "unknown-service",
@@ -143,7 +148,7 @@
             K::BadDeadline => "bad-deadline",
             K::BadCaller => "bad-caller",
             K::BadIdempotent => "bad-idempotent",
-            K::BadKey => "bad-idempotency-key",
+            K::BadIdempotencyKey => "bad-idempotency-key",
             K::BadBody => "bad-body",
             K::HeadersTooLarge => "headers-too-large",
             K::BodyTooLarge => "body-too-large",
@@ -158,13 +163,13 @@
             K::CannotFinishInTime => "cannot-finish-in-time",
             K::NoTarget => "no-target",
             K::TargetsUnreachable => "targets-unreachable",
-            K::TargetCut => "target-cut",
-            K::TargetLate => "target-late",
-            K::AnswerMalformed => "answer-malformed",
-            K::AnswerUnframed => "answer-unframed",
-            K::AnswerSurplus => "answer-surplus",
-            K::AnswerTooLarge => "answer-too-large",
-            K::EarlierTry => "earlier-try",
+            K::TargetConnectionLost => "target-cut",
+            K::TargetTimedOut => "target-late",
+            K::ResponseMalformed => "answer-malformed",
+            K::ResponseUnframed => "answer-unframed",
+            K::ResponseSurplus => "answer-surplus",
+            K::ResponseTooLarge => "answer-too-large",
+            K::EarlierAttempt => "earlier-try",
             K::KeyInProgress => "idempotency-key-in-progress",
             K::KeyNotLookedUp => "idempotency-key-not-looked-up",
             K::KeyOutcomeUnknown => "idempotency-key-outcome-unknown",
@@ -172,7 +177,7 @@
         }
     }
 
-    /// One sentence for people.
+    /// The title, one sentence for people.
     pub fn title(self) -> &'static str {
         match self {
             K::UnknownService => "No service of this name is configured.",
@@ -182,7 +187,9 @@
             K::BadDeadline => "Celerycleat-Deadline-Ms must be one positive whole number.",
             K::BadCaller => "Celerycleat-Caller must be one value of at most 256 printable bytes.",
             K::BadIdempotent => "Celerycleat-Idempotent must be true or false.",
-            K::BadKey => "Idempotency-Key must be one value of 1 to 256 printable bytes.",
+            K::BadIdempotencyKey => {
+                "Idempotency-Key must be one value of 1 to 256 printable bytes."
+            }
             K::BadBody => "The request body could not be read.",
             K::HeadersTooLarge => "The request's header block is too large.",
             K::BodyTooLarge => "The request's body is larger than the service takes.",
@@ -197,15 +204,15 @@
             K::CannotFinishInTime => "The request could not finish in the time left.",
             K::NoTarget => "The service has no target that takes requests.",
             K::TargetsUnreachable => "No target could be reached.",
-            K::TargetCut => "The target's connection broke before its answer was whole.",
-            K::TargetLate => "The target's answer did not come in time.",
-            K::AnswerMalformed => "The target's answer is not valid HTTP/1.1.",
-            K::AnswerUnframed => {
+            K::TargetConnectionLost => "The target's connection broke before its answer was whole.",
+            K::TargetTimedOut => "The target's answer did not come in time.",
+            K::ResponseMalformed => "The target's answer is not valid HTTP/1.1.",
+            K::ResponseUnframed => {
                 "The target's answer has no length, so it cannot be proved to be whole."
             }
-            K::AnswerSurplus => "The target sent more than its answer's length states.",
-            K::AnswerTooLarge => "The answer is too large to pass on by HTTP/1.0.",
-            K::EarlierTry => "An earlier try may have run; no later one could be sent.",
+            K::ResponseSurplus => "The target sent more than its answer's length states.",
+            K::ResponseTooLarge => "The answer is too large to pass on by HTTP/1.0.",
+            K::EarlierAttempt => "An earlier try may have run; no later one could be sent.",
             K::KeyInProgress => "A request with this Idempotency-Key is still in progress.",
             K::KeyNotLookedUp => {
                 "Whether a request with this Idempotency-Key ran could not be found out now; \
--- a/crates/cleat-entry/src/problem/problem.rs
+++ b/crates/cleat-entry/src/problem/problem.rs
@@ -1,4 +1,4 @@
-//! One answer of ours.
+//! One problem response.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use serde::Serialize;
 
 use super::ProblemKind;
-use crate::answer::AnswerBody;
 use crate::headers::{OUTCOME, Outcome};
+use crate::response::ResponseBody;
 
 const MEDIA_TYPE: &str = "application/problem+json";
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 const TYPE_PREFIX: &str = "urn:celerycleat:problem:";
 
-/// An answer of ours to one request.
+/// The problem response to one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Problem {
     pub(crate) kind: ProblemKind,
-    /// When to come back, if that was decided.
+    /// When the caller may retry, if that was computed.
     retry_after: Option<Duration>,
-    /// Whether the caller's connection can't be used any more.
+    /// Whether the connection to the caller must be closed.
     closes: bool,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// An answer after which the rest of the caller's bytes can't be read as
-    /// requests.
+    /// A problem after which the remaining bytes of the caller can't be parsed
+    /// as requests.
     pub(crate) fn closing(kind: ProblemKind) -> Problem {
         Problem {
             closes: true,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The same answer for another cause.
-    pub(crate) fn because(self, kind: ProblemKind) -> Problem {
+    /// Replaces the kind and drops its `Retry-After`.
+    pub(crate) fn with_kind(self, kind: ProblemKind) -> Problem {
         Problem {
             kind,
             retry_after: None,
@@ -68,16 +68,20 @@
         }
     }
 
-    /// The answer. `later` is when to come back if that was not decided.
-    pub(crate) fn into_response(self, later: Duration) -> Response<AnswerBody> {
+    /// Converts the problem to a response. `default_retry_after` is used if no
+    /// time was computed.
+    pub(crate) fn into_response(self, default_retry_after: Duration) -> Response<ResponseBody> {
         let outcome = self.kind.outcome();
-        let mut response = Response::new(AnswerBody::whole_bytes(self.body(outcome)));
+        let mut response = Response::new(ResponseBody::from_bytes(self.body(outcome)));
         *response.status_mut() = self.kind.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
-        headers.insert(OUTCOME, outcome.value());
+        headers.insert(OUTCOME, outcome.header_value());
         if self.kind.has_retry_after() {
-            headers.insert(RETRY_AFTER, HeaderValue::from(self.retry_seconds(later)));
+            headers.insert(
+                RETRY_AFTER,
+                HeaderValue::from(self.retry_seconds(default_retry_after)),
+            );
         }
         if self.closes {
             headers.insert(CONNECTION, CLOSE);
@@ -85,9 +89,9 @@
         response
     }
 
-    /// The whole answer as bytes, for a connection whose request no handler
-    /// saw.
-    pub(crate) fn to_bytes(&self, later: Duration) -> Bytes {
+    /// Serializes the complete response, for a connection whose request was not
+    /// passed to a handler.
+    pub(crate) fn to_bytes(&self, default_retry_after: Duration) -> Bytes {
         let status = self.kind.status();
         let outcome = self.kind.outcome();
         let body = self.body(outcome);
@@ -101,7 +105,10 @@
         line(CONNECTION.as_str(), "close");
         line(CONTENT_TYPE.as_str(), MEDIA_TYPE);
         line(OUTCOME.as_str(), outcome.name());
-        line(RETRY_AFTER.as_str(), &self.retry_seconds(later).to_string());
+        line(
+            RETRY_AFTER.as_str(),
+            &self.retry_seconds(default_retry_after).to_string(),
+        );
         line(CONTENT_LENGTH.as_str(), &body.len().to_string());
         text.push_str("\r\n");
         let mut bytes = Vec::from(text);
@@ -109,9 +116,10 @@
         bytes.into()
     }
 
-    /// `Retry-After` knows only whole seconds; never earlier than was decided.
-    fn retry_seconds(&self, later: Duration) -> u64 {
-        let wait = self.retry_after.unwrap_or(later);
+    /// `Retry-After` has a resolution of one second. Rounded up, so that it is
+    /// never earlier than computed.
+    fn retry_seconds(&self, default_retry_after: Duration) -> u64 {
+        let wait = self.retry_after.unwrap_or(default_retry_after);
         let up = u64::from(wait.subsec_nanos() > 0);
         (wait.as_secs() + up).max(1)
     }
--- a/crates/cleat-entry/src/request/body.rs
+++ b/crates/cleat-entry/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body whole, so that it can be sent again.
+//! Reads the complete body of a request, so that it can be sent more than once.
 
 use std::sync::Arc;
 
@@ -8,18 +8,19 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::Memory;
 use crate::problem::{Problem, ProblemKind};
+use crate::response::MemoryBudget;
 
 /// Reads at most `limit` bytes until `deadline`.
 ///
 /// # Errors
-/// The body is too large, broken or late, or there is no memory for it. The
-/// rest of it stays unread, so the connection has to close.
+/// The body is too large, malformed, truncated or late, or the memory budget is
+/// exhausted. The rest of the body is not read, so the connection must be
+/// closed.
 pub(crate) async fn read_body(
     body: Incoming,
     limit: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryBudget>,
     deadline: Instant,
 ) -> Result<Bytes, Problem> {
     if body.is_end_stream() {
@@ -32,7 +33,11 @@
     read.unwrap_or_else(|_| Err(Problem::closing(ProblemKind::CannotFinishInTime)))
 }
 
-async fn collect(mut body: Incoming, limit: u64, memory: &Arc<Memory>) -> Result<Bytes, Problem> {
+async fn collect(
+    mut body: Incoming,
+    limit: u64,
+    memory: &Arc<MemoryBudget>,
+) -> Result<Bytes, Problem> {
     let mut first = Bytes::new();
     let mut all = BytesMut::new();
     let mut reservations = Vec::new();
@@ -53,11 +58,11 @@
         }
     }
     let bytes = join(first, &all);
-    // Each reservation lives as long as the bytes do.
-    Ok(reservations.into_iter().fold(bytes, |b, r| r.hold(b)))
+    // The reservations last until the bytes are dropped.
+    Ok(reservations.into_iter().fold(bytes, |b, r| r.attach_to(b)))
 }
 
-/// Most bodies come in one piece, which then needs no copy.
+/// Most bodies arrive in one chunk, which is not copied.
 fn join(first: Bytes, rest: &BytesMut) -> Bytes {
     if rest.is_empty() {
         return first;
--- a/crates/cleat-entry/src/request/intake.rs
+++ b/crates/cleat-entry/src/request/validated.rs
@@ -1,4 +1,4 @@
-//! The checks on the head of a request.
+//! Validates the head of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,55 +12,56 @@
 use crate::problem::{Problem, ProblemKind};
 use crate::route::{Route, Routes};
 
-/// Between a name and a value, and at the end of a line.
+/// The bytes of a header line besides name and value: `: ` and the line end.
 const LINE_OVERHEAD: usize = 4;
 
-/// A request whose head is in order.
-pub(crate) struct Intake {
+/// A request whose head is valid.
+pub(crate) struct ValidatedRequest {
     pub(crate) service: Box<str>,
     pub(crate) route: Route,
     pub(crate) method: Method,
     pub(crate) version: Version,
-    /// What the target is asked for.
+    /// The URI to request from the target.
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
-    /// Who pays in fairness, empty if not stated.
+    /// The caller that fair queueing and quotas charge the request to, empty if
+    /// none is stated.
     pub(crate) caller: Box<str>,
-    /// The end of all tries.
+    /// The deadline for all attempts together.
     pub(crate) deadline: Instant,
-    /// Whether a second run does no harm.
+    /// Whether the request may run twice without harm.
     pub(crate) idempotent: bool,
     pub(crate) key: Option<Box<str>>,
 }
 
-impl Intake {
-    /// Checks the head of a request that came at `received`.
+impl ValidatedRequest {
+    /// Validates the head of a request received at `received`.
     ///
     /// # Errors
-    /// The caller's mistake.
+    /// The mistake of the caller.
     pub(crate) fn check(
         parts: Parts,
         routes: &Routes,
         header_bytes: usize,
         received: Instant,
-    ) -> Result<Intake, Problem> {
+    ) -> Result<ValidatedRequest, Problem> {
         let headers = parts.headers;
-        if size(&parts.uri, &headers) > header_bytes {
+        if head_size(&parts.uri, &headers) > header_bytes {
             return Err(Problem::closing(ProblemKind::HeadersTooLarge));
         }
         let unsupported = || Problem::new(ProblemKind::UnsupportedTarget);
         if parts.method == Method::CONNECT {
             return Err(Problem::closing(ProblemKind::UnsupportedTarget));
         }
-        let service = path::service(parts.uri.path()).ok_or_else(unsupported)?;
+        let service = path::service_name(parts.uri.path()).ok_or_else(unsupported)?;
         let route = routes.find(service);
         let route = route.ok_or(Problem::new(ProblemKind::UnknownService))?;
-        let uri = path::rest_uri(&parts.uri, service).ok_or_else(unsupported)?;
-        let most = Duration::from_millis(route.terms.deadline_ms);
-        let fields = Fields::of(&headers);
-        let stated = fields.deadline()?;
-        let time = stated.map_or(most, |stated| stated.min(most));
-        Ok(Intake {
+        let uri = path::target_uri(&parts.uri, service).ok_or_else(unsupported)?;
+        let max = Duration::from_millis(route.config.deadline_ms);
+        let fields = Fields::parse(&headers);
+        let requested = fields.deadline()?;
+        let time = requested.map_or(max, |requested| requested.min(max));
+        Ok(ValidatedRequest {
             service: service.into(),
             route: Route::clone(route),
             uri,
@@ -74,14 +75,14 @@
         })
     }
 
-    /// The terms of the service.
-    pub(crate) fn terms(&self) -> &Arc<cleat_world::Service> {
-        &self.route.terms
+    /// The configuration of the service.
+    pub(crate) fn config(&self) -> &Arc<cleat_world::Service> {
+        &self.route.config
     }
 }
 
-/// The size of the header block, near enough.
-fn size(uri: &Uri, headers: &HeaderMap) -> usize {
+/// The approximate size of the head.
+fn head_size(uri: &Uri, headers: &HeaderMap) -> usize {
     let line = |(name, value): (&http::HeaderName, &http::HeaderValue)| {
         name.as_str().len() + value.len() + LINE_OVERHEAD
     };
--- a/crates/cleat-entry/src/answer/receive.rs
+++ b/crates/cleat-entry/src/response/receive.rs
@@ -1,4 +1,4 @@
-//! Reading a target's answer whole, as far as the bounds allow.
+//! Receives the response of a target, up to the memory limits.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -9,34 +9,34 @@
 use http_body::Body;
 use hyper::body::Incoming;
 
-use super::{Chunks, Memory};
+use super::{Chunks, MemoryBudget};
 use crate::upstream::{Failure, Upstream};
 
-/// How much of an answer is here.
+/// How much of a response was received.
 pub(crate) enum Received {
-    /// All of it, proved by its framing.
-    Whole(Parts, Chunks),
-    /// Its beginning; it is larger than may be held.
-    Begun(Parts, Chunks, Incoming),
+    /// All of it, as proven by its framing.
+    Complete(Parts, Chunks),
+    /// Its beginning. It is too large to buffer.
+    Partial(Parts, Chunks, Incoming),
 }
 
-/// Reads the body of `answer` until it is whole or more than `limit` bytes or
-/// more than `memory` has free.
+/// Reads the body of `response` until it is complete, exceeds `limit` bytes or
+/// exceeds the memory budget.
 ///
 /// # Errors
-/// What provably happened instead of a whole answer.
+/// The proven cause, if there is no complete response.
 pub(crate) async fn receive(
     upstream: &mut Upstream,
     method: &Method,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     limit: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryBudget>,
 ) -> Result<Received, Failure> {
-    let (parts, mut body) = answer.into_parts();
+    let (parts, mut body) = response.into_parts();
     check_framing(method, parts.status, &parts.headers)?;
     let mut chunks = Chunks::default();
     if body.size_hint().lower() > limit {
-        return Ok(Received::Begun(parts, chunks, body));
+        return Ok(Received::Partial(parts, chunks, body));
     }
     while let Some(frame) = poll_fn(|cx| upstream.poll_frame(&mut body, cx)).await {
         // Trailers may be discarded (RFC 9110, 6.5).
@@ -45,29 +45,31 @@
         };
         let Some(reservation) = memory.reserve(data.len()) else {
             chunks.push(data);
-            return Ok(Received::Begun(parts, chunks, body));
+            return Ok(Received::Partial(parts, chunks, body));
         };
-        chunks.push(reservation.hold(data));
+        chunks.push(reservation.attach_to(data));
         if chunks.len() as u64 > limit {
-            return Ok(Received::Begun(parts, chunks, body));
+            return Ok(Received::Partial(parts, chunks, body));
         }
     }
-    upstream.settle()?;
-    Ok(Received::Whole(parts, chunks))
+    upstream.check_trailing_bytes()?;
+    Ok(Received::Complete(parts, chunks))
 }
 
-/// Whether the end of the answer can be told from a cut.
+/// Checks that the end of the response can be distinguished from a lost
+/// connection.
 fn check_framing(method: &Method, status: StatusCode, headers: &HeaderMap) -> Result<(), Failure> {
     if status == StatusCode::SWITCHING_PROTOCOLS {
-        // Nobody asked for it: `Upgrade` is not passed on.
+        // `Upgrade` fields are not forwarded, so the caller did not request
+        // this.
         return Err(Failure::Malformed);
     }
     let has_no_body = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     let has_length = headers.contains_key(CONTENT_LENGTH);
-    let has_coding = headers.contains_key(TRANSFER_ENCODING);
-    if has_length && has_coding {
+    let has_transfer_encoding = headers.contains_key(TRANSFER_ENCODING);
+    if has_length && has_transfer_encoding {
         return Err(Failure::Malformed);
     }
     if has_no_body || has_length || is_chunked(headers) {
@@ -76,7 +78,8 @@
     Err(Failure::Unframed)
 }
 
-/// Whether `chunked` is the last coding, so that the end is marked.
+/// Whether `chunked` is the last transfer coding, so that the end of the body
+/// is marked.
 fn is_chunked(headers: &HeaderMap) -> bool {
     let last = headers.get_all(TRANSFER_ENCODING).iter().next_back();
     let Some(codings) = last.map(|line| line.as_bytes()) else {
--- a/crates/cleat-entry/src/service/mod.rs
+++ b/crates/cleat-entry/src/service/mod.rs
@@ -1,11 +1,11 @@
-//! A service on this entry: who starts, where, and who waits.
+//! A service on this entry: admission, choice of targets, queue and retries.
 
 mod admission;
 mod inner;
+mod queued;
 mod retry;
 mod slot;
 mod state;
-mod waiting;
 
-pub(crate) use slot::{ConnectTerms, Slot};
+pub(crate) use slot::{ConnectOptions, Slot};
 pub(crate) use state::{CLOSE_GRACE, ServiceState};
--- a/crates/cleat-entry/src/service/slot.rs
+++ b/crates/cleat-entry/src/service/slot.rs
@@ -1,4 +1,4 @@
-//! The right to run one try at one target.
+//! A slot of a target, held by one attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,101 +6,99 @@
 use tokio::time::Instant;
 
 use super::ServiceState;
-use crate::target::{Taken, Target};
+use crate::target::{SlotToken, Target};
 use crate::upstream::{Failure, Upstream};
 
-/// A slot of a target, with the connection that uses it.
+/// A slot of a target with the connection that uses it.
 ///
-/// Given back exactly once: by [`ServiceState::conclude`], else when dropped,
-/// and never before its connection is unused or closed.
+/// It is released exactly once, by [`ServiceState::finish_attempt`] or when it
+/// is dropped, and never before its connection is idle or closed.
 pub(crate) struct Slot {
     service: Arc<ServiceState>,
-    /// `None` once given back.
+    /// `None` once the slot was released.
     target: Option<Arc<Target>>,
-    taken: Taken,
+    token: SlotToken,
     upstream: Option<Box<Upstream>>,
-    /// Whether the exchange ended so that the connection can serve another.
+    /// Whether the exchange is complete, so that the connection can be reused.
     reusable: bool,
-    since: Duration,
+    acquired_at: Duration,
 }
 
 impl Slot {
-    /// Wraps a slot that was taken of `target`.
-    pub(super) fn new(service: Arc<ServiceState>, placed: Placed, now: Duration) -> Slot {
+    pub(super) fn new(service: Arc<ServiceState>, acquired: AcquiredSlot, now: Duration) -> Slot {
         Slot {
             service,
-            target: Some(placed.target),
-            taken: placed.taken,
+            target: Some(acquired.target),
+            token: acquired.token,
             upstream: None,
             reusable: false,
-            since: now,
+            acquired_at: now,
         }
     }
 
-    /// The target.
+    /// The target, until the slot is released.
     pub(crate) fn target(&self) -> Option<&Arc<Target>> {
         self.target.as_ref()
     }
 
-    /// The service.
     pub(crate) fn service(&self) -> &Arc<ServiceState> {
         &self.service
     }
 
-    /// A connection for one exchange: an unused one or a new one.
+    /// Takes an idle connection or opens a new one.
     ///
     /// # Errors
     /// [`Failure::NotSent`].
     pub(crate) async fn connect(
         &mut self,
-        terms: &ConnectTerms,
+        options: &ConnectOptions,
         deadline: Instant,
     ) -> Result<(), Failure> {
         let target = self.target.as_ref().ok_or(Failure::NotSent)?;
-        let idle = target.take_idle(self.service.now(), terms.idle);
+        let idle = target.take_idle(self.service.now(), options.idle_timeout);
         let upstream = match idle {
             Some(upstream) => upstream,
             None => {
                 let left = deadline.saturating_duration_since(Instant::now());
-                let limit = terms.connect.min(left);
+                let limit = options.connect_timeout.min(left);
                 Upstream::open(target.address, limit).await?
             }
         };
-        upstream.set_begin_until(self.taken.begin_until);
+        upstream.set_start_deadline(self.token.start_deadline);
         self.upstream = Some(upstream);
         Ok(())
     }
 
-    /// The connection, once there is one.
+    /// The connection, if there is one.
     pub(crate) fn upstream(&mut self) -> Option<&mut Upstream> {
         self.upstream.as_deref_mut()
     }
 
-    /// Says that the exchange ended by its framing.
-    pub(crate) fn set_reusable(&mut self) {
+    /// Records that the response was complete and the connection can be reused.
+    pub(crate) fn mark_reusable(&mut self) {
         self.reusable = true;
     }
 
-    pub(super) fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.since)
+    pub(super) fn held_for(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.acquired_at)
     }
 
-    /// Takes care of the connection and hands over the duty to give back the
-    /// slot.
-    pub(super) fn disarm(&mut self, now: Duration) -> Released {
+    /// Puts back or closes the connection. The slot must then be released through
+    /// the returned value.
+    pub(super) fn detach(&mut self, now: Duration) -> PendingRelease {
         let target = self.target.take();
         let upstream = self.upstream.take();
         let unfinished = upstream.as_ref().is_some_and(|u| u.is_unfinished());
-        let lingers = unfinished && !self.reusable;
+        let awaits_close = unfinished && !self.reusable;
         if let Some(upstream) = upstream
             && self.reusable
             && let Some(target) = &target
         {
-            target.keep_idle(upstream, now);
+            target.put_idle(upstream, now);
         }
-        Released {
-            held: target.map(|target| (target, self.taken)),
-            lingers,
+        PendingRelease {
+            slot: target.map(|target| (target, self.token)),
+            awaits_close,
         }
     }
 }
@@ -109,57 +107,57 @@
     fn drop(&mut self) {
         if self.target.is_some() {
             let now = self.service.now();
-            let released = self.disarm(now);
-            self.service.freed(released);
+            let pending = self.detach(now);
+            self.service.release_without_outcome(pending);
         }
     }
 }
 
-/// A target with a slot of it.
-pub(super) struct Placed {
+/// A target and an acquired slot of it.
+pub(super) struct AcquiredSlot {
     pub(super) target: Arc<Target>,
-    pub(super) taken: Taken,
+    pub(super) token: SlotToken,
 }
 
-/// How connections to targets are opened and kept.
+/// Timeouts of connections to targets.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct ConnectTerms {
-    /// The longest that opening may take.
-    pub(crate) connect: Duration,
-    /// How long an unused connection stays usable.
-    pub(crate) idle: Duration,
+pub(crate) struct ConnectOptions {
+    /// The timeout for opening a connection.
+    pub(crate) connect_timeout: Duration,
+    /// How long an idle connection can be reused.
+    pub(crate) idle_timeout: Duration,
 }
 
-/// A slot still to be given back, without its connection.
+/// A slot that must still be released, without its connection.
 #[must_use]
-pub(super) struct Released {
-    held: Option<(Arc<Target>, Taken)>,
-    /// Its connection was closed in mid-exchange: the target works on until it
-    /// notices.
-    lingers: bool,
+pub(super) struct PendingRelease {
+    slot: Option<(Arc<Target>, SlotToken)>,
+    /// The connection was closed during an exchange. The target may keep
+    /// working on the request until it detects this.
+    awaits_close: bool,
 }
 
-impl Released {
+impl PendingRelease {
     pub(super) fn record(
         &self,
         outcome: cleat_decide::AttemptOutcome,
         latency: Duration,
         now: Duration,
     ) {
-        if let Some((target, _)) = &self.held {
+        if let Some((target, _)) = &self.slot {
             target.record(outcome, latency, now);
         }
     }
 
-    /// Whether the target needs time to notice that it is to stop. Asked once:
-    /// the time is over when it is asked again.
-    pub(super) fn take_lingering(&mut self) -> bool {
-        std::mem::take(&mut self.lingers)
+    /// Whether the target needs time to detect the closed connection. Returns
+    /// `true` only once: the next call happens after the grace period.
+    pub(super) fn take_awaits_close(&mut self) -> bool {
+        std::mem::take(&mut self.awaits_close)
     }
 
     pub(super) fn release(self) {
-        if let Some((target, taken)) = self.held {
-            target.release(taken);
+        if let Some((target, token)) = self.slot {
+            target.release(token);
         }
     }
 }
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -1,4 +1,4 @@
-//! The shared handle of a service's state.
+//! The state of a service, shared by its requests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,27 +11,27 @@
 
 use super::Slot;
 use super::inner::Inner;
-use super::slot::Released;
+use super::slot::PendingRelease;
 use crate::target::{ServiceSlots, Target};
 
-/// How long a target may take to notice that a connection was closed or its
-/// deadline came. Until then its slot is in use.
+/// The time allowed for a target to detect that a connection was closed or that
+/// the deadline has passed. Its slot stays in use until then.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
-/// One service as this entry serves it, kept from one version of the routes
-/// to the next.
+/// The state of one service on this entry. It is retained across versions of
+/// the routes.
 pub(crate) struct ServiceState {
-    /// The zero of the decisions' clock.
+    /// The zero point of the clock used for decisions.
     epoch: Instant,
     tickets: AtomicU64,
     slots: Arc<ServiceSlots>,
-    /// Held for decisions only, never across I/O.
+    /// Locked for decisions only, never during I/O.
     inner: Mutex<Inner>,
 }
 
 impl ServiceState {
     pub(crate) fn new(
-        terms: &Service,
+        config: &Service,
         slots: Arc<ServiceSlots>,
         seed: u64,
         epoch: Instant,
@@ -40,36 +40,37 @@
             epoch,
             tickets: AtomicU64::new(0),
             slots,
-            inner: Mutex::new(Inner::new(terms, seed)),
+            inner: Mutex::new(Inner::new(config, seed)),
         }
     }
 
-    /// The slots of the targets, shared with the other entries.
+    /// The slots of the targets, which are shared with the other entries.
     pub(super) fn slots(&self) -> &ServiceSlots {
         &self.slots
     }
 
-    /// Handles a message about slots of the entry `from`.
-    pub(crate) fn receive_slots(self: &Arc<Self>, from: &str, message: Message) {
-        self.slots.receive(from, message);
+    /// Handles a message from the entry `from` about slots.
+    pub(crate) fn handle_slot_message(self: &Arc<Self>, from: &str, message: Message) {
+        self.slots.handle_message(from, message);
         let now = self.now();
         let mut inner = self.lock();
-        inner.fill(self, None, now);
-        self.slots.want(inner.missing());
+        inner.assign_slots(self, None, now);
+        self.slots.request_slots(inner.slots_needed());
     }
 
-    /// Gives back slots on loan that are not used. Says whether any is left.
-    pub(crate) fn tick_slots(&self) -> bool {
-        self.slots.tick()
+    /// Returns borrowed slots that are idle. The result says whether the entry
+    /// still has borrowed slots.
+    pub(crate) fn return_idle_slots(&self) -> bool {
+        self.slots.return_idle()
     }
 
-    /// The time on the decisions' clock.
+    /// The current time on the clock used for decisions.
     pub(crate) fn now(&self) -> Duration {
         self.epoch.elapsed()
     }
 
-    /// A moment on the decisions' clock.
-    pub(super) fn at(&self, instant: Instant) -> Duration {
+    /// Converts `instant` to the clock used for decisions.
+    pub(super) fn to_clock(&self, instant: Instant) -> Duration {
         instant.saturating_duration_since(self.epoch)
     }
 
@@ -77,20 +78,20 @@
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Takes over new terms and targets. When this returns, nothing new goes
-    /// by the old ones.
-    pub(crate) fn update(self: &Arc<Self>, terms: &Service, targets: Vec<Arc<Target>>) {
+    /// Replaces the configuration and the targets. After the call, no new
+    /// request uses the previous ones.
+    pub(crate) fn update(self: &Arc<Self>, config: &Service, targets: Vec<Arc<Target>>) {
         let now = self.now();
         let mut inner = self.lock();
-        inner.set_terms(terms);
+        inner.set_config(config);
         inner.set_targets(targets);
         if !inner.has_capacity() {
             inner.refuse_waiting(now);
         }
-        inner.fill(self, None, now);
+        inner.assign_slots(self, None, now);
     }
 
-    /// Refuses what waits, now and from now on.
+    /// Refuses all waiting requests and all later ones.
     pub(crate) fn close(&self) {
         let now = self.now();
         let mut inner = self.lock();
@@ -98,76 +99,79 @@
         inner.refuse_waiting(now);
     }
 
-    /// Closes connections to targets that were unused for too long.
-    pub(crate) fn sweep(&self, age_max: Duration) {
+    /// Closes connections to targets that were idle for too long.
+    pub(crate) fn close_expired_connections(&self, max_age: Duration) {
         let now = self.now();
         let targets = self.lock().targets();
         for target in targets {
-            target.sweep(now, age_max);
+            target.close_expired_connections(now, max_age);
         }
     }
 
-    /// Refuses what can no longer finish in time and fills slots that became
-    /// usable, as when an ejection ended. Says whether anything still waits.
-    pub(crate) fn tick(self: &Arc<Self>) -> bool {
+    /// Refuses requests that can no longer finish in time and assigns slots
+    /// that became usable, for example when the ejection of a target ended. The
+    /// result says whether any request is still waiting.
+    pub(crate) fn check_queue(self: &Arc<Self>) -> bool {
         let now = self.now();
         let mut inner = self.lock();
-        if !inner.is_waiting() {
+        if !inner.has_waiting() {
             return false;
         }
         inner.expire(now);
-        inner.fill(self, None, now);
-        self.slots.want(inner.missing());
-        inner.is_waiting()
+        inner.assign_slots(self, None, now);
+        self.slots.request_slots(inner.slots_needed());
+        inner.has_waiting()
     }
 
-    /// Accounts a try, gives back its slot, and says what follows.
-    pub(crate) fn conclude(
+    /// Records the outcome of an attempt, releases its slot and decides whether
+    /// to retry.
+    pub(crate) fn finish_attempt(
         self: &Arc<Self>,
         mut slot: Slot,
         outcome: AttemptOutcome,
-        mut facts: AttemptContext,
+        mut context: AttemptContext,
     ) -> RetryDecision {
         let now = self.now();
-        let latency = slot.age(now);
-        let target = slot.disarm(now);
-        target.record(outcome, latency, now);
+        let latency = slot.held_for(now);
+        let pending = slot.detach(now);
+        pending.record(outcome, latency, now);
         let sample = outcome.is_success().then_some(latency);
-        let target = self.linger(target);
+        let pending = self.defer_release(pending);
         let mut inner = self.lock();
-        if let Some(target) = target {
-            target.release();
+        if let Some(pending) = pending {
+            pending.release();
         }
-        facts.expected_duration = inner.service_time_p10();
-        let verdict = decide_retry(&outcome, facts, inner.budget());
-        inner.fill(self, sample, now);
-        verdict
+        context.expected_duration = inner.service_time_p10();
+        let decision = decide_retry(&outcome, context, inner.budget());
+        inner.assign_slots(self, sample, now);
+        decision
     }
 
-    /// A slot was given back without an outcome.
-    pub(super) fn freed(self: &Arc<Self>, target: Released) {
-        let Some(target) = self.linger(target) else {
+    /// Releases a slot without recording an outcome.
+    pub(super) fn release_without_outcome(self: &Arc<Self>, pending: PendingRelease) {
+        let Some(pending) = self.defer_release(pending) else {
             return;
         };
         let now = self.now();
         let mut inner = self.lock();
-        target.release();
-        inner.fill(self, None, now);
+        pending.release();
+        inner.assign_slots(self, None, now);
     }
 
-    /// Keeps a slot whose target may still work until it must have noticed
-    /// that it is to stop; gives any other slot back to the caller.
-    fn linger(self: &Arc<Self>, mut target: Released) -> Option<Released> {
-        if !target.take_lingering() {
-            return Some(target);
+    /// If the target may still be working on the request, releases the slot
+    /// after the grace period and returns `None`. Otherwise returns the slot,
+    /// which must then be released at once.
+    fn defer_release(self: &Arc<Self>, mut pending: PendingRelease) -> Option<PendingRelease> {
+        if !pending.take_awaits_close() {
+            return Some(pending);
         }
         let Ok(runtime) = Handle::try_current() else {
-            return Some(target);
+            return Some(pending);
         };
         let service = Arc::clone(self);
         runtime.spawn(async move {
             sleep(CLOSE_GRACE).await;
-            service.freed(target);
+            service.release_without_outcome(pending);
         });
         None
     }
--- a/crates/cleat-entry/src/target/target.rs
+++ b/crates/cleat-entry/src/target/target.rs
@@ -1,4 +1,4 @@
-//! One target under one address.
+//! A target at one address.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,22 +7,22 @@
 
 use cleat_decide::{AttemptOutcome, Candidate, Health};
 
-use super::idle::Idle;
-use super::{Slots, Taken};
+use super::idle_connections::IdleConnections;
+use super::{SlotToken, TargetSlots};
 use crate::upstream::Upstream;
 
-/// What this entry knows of a target, kept from one version of the routes to
-/// the next.
+/// The state of a target on this entry. It is retained across versions of the
+/// routes.
 pub(crate) struct Target {
     pub(crate) name: Box<str>,
     pub(crate) address: SocketAddr,
-    /// Whether it stands in the entry's own data centre.
+    /// Whether the target is in the data centre of this entry.
     pub(crate) local: bool,
-    pub(crate) slots: Arc<Slots>,
-    /// Once set, nothing new is begun here.
+    pub(crate) slots: Arc<TargetSlots>,
+    /// Once set, no request is started at this target.
     withdrawn: AtomicBool,
     health: Mutex<Health>,
-    idle: Idle,
+    idle: IdleConnections,
 }
 
 impl Target {
@@ -30,7 +30,7 @@
         name: Box<str>,
         address: SocketAddr,
         local: bool,
-        slots: Arc<Slots>,
+        slots: Arc<TargetSlots>,
         now: Duration,
     ) -> Target {
         Target {
@@ -40,16 +40,16 @@
             slots,
             withdrawn: AtomicBool::new(false),
             health: Mutex::new(Health::new(now)),
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
         }
     }
 
-    /// The target as the choice sees it.
+    /// The properties that the choice of a target is based on.
     pub(crate) fn candidate(&self, now: Duration) -> Candidate {
         let health = self.health();
         Candidate {
             in_flight: self.slots.in_flight(),
-            max_in_flight: self.slots.share(),
+            max_in_flight: self.slots.max_in_flight(),
             latency_us: health.latency_us(now),
             ejected: health.is_ejected(now),
             warm_up_percent: health.warm_up_percent(now),
@@ -57,40 +57,41 @@
         }
     }
 
-    /// Takes a slot, unless the target is withdrawn or none is free.
-    pub(crate) fn acquire(&self) -> Option<Taken> {
+    /// Acquires a slot, unless the target was withdrawn or no slot is free.
+    pub(crate) fn acquire(&self) -> Option<SlotToken> {
         if self.withdrawn.load(Ordering::Acquire) {
             return None;
         }
         self.slots.acquire()
     }
 
-    /// Gives back a slot.
-    pub(crate) fn release(&self, taken: Taken) {
-        self.slots.release(taken);
+    pub(crate) fn release(&self, token: SlotToken) {
+        self.slots.release(token);
     }
 
-    /// Accounts a try that took `latency`.
+    /// Records the outcome of an attempt that took `latency`.
     pub(crate) fn record(&self, outcome: AttemptOutcome, latency: Duration, now: Duration) {
         self.health().record(outcome, latency, now);
     }
 
-    /// An unused connection. Whoever holds a slot takes one before opening
-    /// another, so connections never outnumber this entry's part of them.
-    pub(crate) fn take_idle(&self, now: Duration, age_max: Duration) -> Option<Box<Upstream>> {
-        self.idle.take(now, age_max)
+    /// Takes an idle connection. The holder of a slot always does this before
+    /// it opens a connection, so the number of connections never exceeds this
+    /// entry's share.
+    pub(crate) fn take_idle(&self, now: Duration, max_age: Duration) -> Option<Box<Upstream>> {
+        self.idle.take(now, max_age)
     }
 
-    pub(crate) fn keep_idle(&self, upstream: Box<Upstream>, now: Duration) {
-        self.idle.keep(upstream, now, self.slots.connections());
+    pub(crate) fn put_idle(&self, upstream: Box<Upstream>, now: Duration) {
+        self.idle.put(upstream, now, self.slots.connection_share());
     }
 
-    pub(crate) fn sweep(&self, now: Duration, age_max: Duration) {
-        self.idle.sweep(now, age_max, self.slots.connections());
+    pub(crate) fn close_expired_connections(&self, now: Duration, max_age: Duration) {
+        self.idle
+            .remove_expired(now, max_age, self.slots.connection_share());
     }
 
-    /// Begins nothing new here and closes unused connections; requests in
-    /// progress finish.
+    /// Stops new requests and closes idle connections. Requests in progress
+    /// finish.
     pub(crate) fn withdraw(&self) {
         self.withdrawn.store(true, Ordering::Release);
         self.idle.set_closed(true);
--- a/crates/cleat-entry/tests/admission.rs
+++ b/crates/cleat-entry/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Slots, queues, and targets that come and go.
+//! Tests admission, queueing, retries, and targets that join or leave.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -10,7 +10,11 @@
 use support::{FakeControl, Fleet, Reply, Step, Target, entry, entry_with, eventually, get, post};
 use tokio::task::JoinSet;
 
-async fn many(address: std::net::SocketAddr, count: usize, headers: &'static str) -> Vec<Reply> {
+async fn send_many(
+    address: std::net::SocketAddr,
+    count: usize,
+    headers: &'static str,
+) -> Vec<Reply> {
     let mut calls = JoinSet::new();
     for _ in 0..count {
         calls.spawn(async move { get(address, "/dock/x", headers).await });
@@ -21,13 +25,17 @@
 #[tokio::test]
 async fn slots_never_exceeded() {
     let (a, b) = (slow_target().await, slow_target().await);
-    let fleet = Fleet::with(json!({"queue": {"length": 500}}), &[&a, &b], 3);
+    let fleet = Fleet::with_targets(json!({"queue": {"length": 500}}), &[&a, &b], 3);
     let (entry, _) = entry(&fleet).await;
-    let replies = many(entry.local_addr(), 60, "").await;
+    let replies = send_many(entry.local_addr(), 60, "").await;
     assert!(replies.iter().all(|reply| reply.status == 200));
     for target in [&a, &b] {
-        assert_eq!(target.most(), 3, "slots are used up and never exceeded");
-        assert!(target.connections_most() <= 3);
+        assert_eq!(
+            target.max_in_progress(),
+            3,
+            "all slots are used, but no more"
+        );
+        assert!(target.max_connections() <= 3);
     }
     assert_eq!(a.count() + b.count(), 60);
     assert!(entry.counters()["entry.waited"] > 0);
@@ -40,7 +48,7 @@
 #[tokio::test]
 async fn slots_shared_among_entries() {
     let target = slow_target().await;
-    let fleet = Fleet::with(json!({}), &[&target], 4);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 4);
     let names = ["e1", "e2", "e3"];
     let mut calls = JoinSet::new();
     let mut entries = Vec::new();
@@ -48,23 +56,24 @@
         let control = Arc::new(FakeControl::default());
         let entry = entry_with(&fleet, control, name, &names, support::limits()).await;
         let address = entry.local_addr();
-        calls.spawn(async move { many(address, 12, "").await });
+        calls.spawn(async move { send_many(address, 12, "").await });
         entries.push(entry);
     }
     let replies: Vec<Reply> = calls.join_all().await.into_iter().flatten().collect();
     assert!(replies.iter().all(|reply| reply.status == 200));
-    assert!(target.most() <= 4);
-    assert!(target.connections_most() <= 4);
+    assert!(target.max_in_progress() <= 4);
+    assert!(target.max_connections() <= 4);
 }
 
 #[tokio::test]
 async fn slots_kept_by_abandoned_requests() {
     let target = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let call = tokio::spawn(get(entry.local_addr(), "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     call.abort();
-    // Its connection is closed before the next one opens.
+    // The connection of the aborted request is closed before the next one
+    // opens.
     let reply = get(entry.local_addr(), "/dock/x", "").await;
     assert_eq!(reply.status, 200);
     assert_eq!(target.accepted(), 2);
@@ -74,7 +83,7 @@
 async fn queue_full_refused_at_once() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
     let terms = json!({"queue": {"length": 2}});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 1)).await;
     let started = Instant::now();
     let mut calls = JoinSet::new();
     for _ in 0..6 {
@@ -92,15 +101,15 @@
 }
 
 #[tokio::test]
-async fn queue_left_before_the_deadline_when_it_is_hopeless() {
+async fn queue_refuses_on_arrival_what_cannot_finish_in_time() {
     let target = Target::spawn(|_| Step::slow_ok(150, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     for _ in 0..3 {
-        // The gate learns how long the work takes.
+        // The admission controller measures the service time.
         get(address, "/dock/x", "").await;
     }
-    let replies = many(address, 8, "celerycleat-deadline-ms: 400\r\n").await;
+    let replies = send_many(address, 8, "celerycleat-deadline-ms: 400\r\n").await;
     let refused = replies.iter().filter(|reply| reply.status == 503).count();
     assert!((5..8).contains(&refused), "{refused}");
     for reply in replies.iter().filter(|reply| reply.status != 200) {
@@ -109,23 +118,27 @@
 }
 
 #[tokio::test]
-async fn queue_left_once_it_is_hopeless() {
+async fn queue_refuses_while_waiting_what_cannot_finish_in_time() {
     let target = Target::spawn(|head| match () {
         () if head.contains("/long") => Step::slow_ok(700, "own"),
         () => Step::slow_ok(300, "own"),
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     for _ in 0..3 {
         get(address, "/dock/x", "").await;
     }
     let long = tokio::spawn(get(address, "/dock/long", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let reply = get(address, "/dock/x", "celerycleat-deadline-ms: 800\r\n").await;
     assert_eq!(reply.summary(), "503 not-run cannot-finish-in-time");
     assert_eq!(entry.counters()["entry.waited"], 1);
-    assert_eq!(target.in_progress(), 1, "it is told before a slot is free");
+    assert_eq!(
+        target.in_progress(),
+        1,
+        "it is refused before a slot is free"
+    );
     assert_eq!(long.await.unwrap().status, 200);
 }
 
@@ -133,7 +146,7 @@
 async fn quota_refused_with_429() {
     let target = Target::ok("own").await;
     let terms = json!({"callers": {"school": {"quota": {"per_second": 1, "burst": 2}}}});
-    let (entry, _) = entry(&Fleet::with(terms, &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(terms, &[&target], 8)).await;
     let mut summaries = Vec::new();
     for _ in 0..3 {
         let reply = get(
@@ -152,16 +165,16 @@
 #[tokio::test]
 async fn target_withdrawn_gets_nothing_new() {
     let (leaving, staying) = (slow_target().await, slow_target().await);
-    let mut fleet = Fleet::with(json!({}), &[&leaving, &staying], 4);
+    let mut fleet = Fleet::with_targets(json!({}), &[&leaving, &staying], 4);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
-    let running = tokio::spawn(many(address, 30, ""));
-    eventually("both are used", || {
+    let running = tokio::spawn(send_many(address, 30, ""));
+    eventually("both targets are in use", || {
         leaving.count() > 2 && staying.count() > 2
     })
     .await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let begun = leaving.count();
     let replies = running.await.unwrap();
     assert!(
@@ -169,29 +182,33 @@
             .iter()
             .all(|r| r.summary() == "200 answered target's own")
     );
-    many(address, 10, "").await;
-    // What had its slot before may arrive a little after.
+    send_many(address, 10, "").await;
+    // Requests that acquired their slots before may arrive slightly later.
     assert!(leaving.count() - begun <= 4);
     let settled = leaving.count();
-    many(address, 10, "").await;
+    send_many(address, 10, "").await;
     assert_eq!(leaving.count(), settled);
-    eventually("connections are closed", || leaving.connections() == 0).await;
+    eventually("the connections are closed", || leaving.connections() == 0).await;
 }
 
 #[tokio::test]
 async fn target_withdrawn_while_others_wait() {
     let target = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let mut fleet = Fleet::with(json!({}), &[&target], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
-    assert_eq!(first.await.unwrap().status, 200, "what runs finishes");
+    assert_eq!(
+        first.await.unwrap().status,
+        200,
+        "a running request finishes"
+    );
     let later = get(address, "/dock/x", "").await;
     assert_eq!(later.summary(), "503 not-run no-target");
     assert_eq!(target.count(), 1);
@@ -201,18 +218,18 @@
 async fn target_announced_again_keeps_its_slots() {
     let old = Target::spawn(|_| Step::slow_ok(300, "old")).await;
     let new = Target::ok("new").await;
-    let mut fleet = Fleet::with(json!({}), &[&old], 2);
+    let mut fleet = Fleet::with_targets(json!({}), &[&old], 2);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
-    let running = tokio::spawn(many(address, 2, ""));
-    eventually("its slots are used", || old.in_progress() == 2).await;
+    let running = tokio::spawn(send_many(address, 2, ""));
+    eventually("all slots are in use", || old.in_progress() == 2).await;
     fleet.withdraw("t0");
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     fleet.announce("t0", new.address, 2);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
-    assert_eq!(new.count(), 0, "requests begun before still count");
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
+    assert_eq!(new.count(), 0, "requests started earlier still count");
     assert!(
         running
             .await
@@ -224,35 +241,39 @@
 }
 
 #[tokio::test]
-async fn target_joined_serves_what_waits() {
+async fn target_joined_serves_waiting_requests() {
     let slow = Target::spawn(|_| Step::slow_ok(1_000, "slow")).await;
-    let mut fleet = Fleet::with(json!({}), &[&slow], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&slow], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || slow.in_progress() == 1).await;
+    eventually("the request is at the target", || slow.in_progress() == 1).await;
     let waiting = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     let quick = Target::ok("quick").await;
     fleet.announce("t1", quick.address, 1);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().text(), "quick");
-    assert_eq!(slow.in_progress(), 1, "it did not wait for the slow one");
+    assert_eq!(
+        slow.in_progress(),
+        1,
+        "the request did not wait for the slow target"
+    );
     assert_eq!(first.await.unwrap().text(), "slow");
 }
 
 #[tokio::test]
-async fn service_removed_refuses_what_waits() {
+async fn service_removed_refuses_waiting_requests() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
-    let mut fleet = Fleet::with(json!({}), &[&target], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(post(address, "/dock/x", "", "boat"));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     fleet.configure(&[("jetty", json!({}))]);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     assert_eq!(waiting.await.unwrap().summary(), "503 not-run no-target");
     assert_eq!(first.await.unwrap().status, 200);
     let gone = get(address, "/dock/x", "").await;
@@ -260,14 +281,14 @@
 }
 
 #[tokio::test]
-async fn lease_lapsed_while_waiting_sends_nothing() {
+async fn lease_expired_while_waiting_sends_nothing() {
     let target = Target::spawn(|_| Step::slow_ok(100, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 1)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 1)).await;
     let address = entry.local_addr();
     let first = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     let waiting = tokio::spawn(post(address, "/dock/x", "", "boat"));
-    eventually("it waits", || entry.counters()["entry.waited"] == 1).await;
+    eventually("a request waits", || entry.counters()["entry.waited"] == 1).await;
     control
         .in_service
         .store(false, std::sync::atomic::Ordering::SeqCst);
@@ -284,24 +305,25 @@
 async fn retry_waits_for_another_target() {
     let cutting = Target::spawn(|_| vec![Step::Sleep(50), Step::Close]).await;
     let good = Target::spawn(|_| Step::slow_ok(200, "own")).await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&cutting, &good], 1)).await;
-    let replies = many(entry.local_addr(), 2, "").await;
-    // The slot of the good one was taken when the other cut its request.
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&cutting, &good], 1)).await;
+    let replies = send_many(entry.local_addr(), 2, "").await;
+    // The only slot of the good target was in use when the other target closed
+    // its connection, so the retry had to wait.
     assert!(replies.iter().all(|reply| reply.text() == "own"));
     assert_eq!((cutting.count(), good.count()), (1, 2));
 }
 
 #[tokio::test]
-async fn retry_given_up_once_it_is_hopeless() {
+async fn retry_abandoned_once_it_cannot_finish_in_time() {
     let good = Target::spawn(|_| Step::slow_ok(1_000, "own")).await;
     let cutting = Target::spawn(|_| vec![Step::Sleep(50), Step::Close]).await;
-    let mut fleet = Fleet::with(json!({}), &[&good], 1);
+    let mut fleet = Fleet::with_targets(json!({}), &[&good], 1);
     let (entry, _) = entry(&fleet).await;
     let address = entry.local_addr();
     let long = tokio::spawn(get(address, "/dock/x", ""));
-    eventually("it runs", || good.in_progress() == 1).await;
+    eventually("the request is at the target", || good.in_progress() == 1).await;
     fleet.announce("t1", cutting.address, 1);
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     let hurried = get(address, "/dock/x", "celerycleat-deadline-ms: 400\r\n").await;
     assert_eq!(hurried.summary(), "502 unknown earlier-try");
     assert_eq!((good.in_progress(), cutting.count()), (1, 1));
--- a/crates/cleat-entry/tests/drain.rs
+++ b/crates/cleat-entry/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop loses nothing and cuts off nothing.
+//! Tests that a planned shutdown loses no request and truncates no response.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 #[tokio::test]
-async fn drain_finishes_what_runs() {
+async fn drain_finishes_requests_in_progress() {
     let target = Target::spawn(|head| {
         if head.contains("/big") {
             let body = "x".repeat(600_000);
@@ -27,18 +27,25 @@
         }
     })
     .await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let idle = open(address).await;
     let plain = tokio::spawn(get(address, "/dock/x", ""));
     let big = tokio::spawn(get(address, "/dock/big", ""));
-    eventually("both run", || target.count() == 2).await;
+    eventually("both requests are at the target", || target.count() == 2).await;
     let drained = tokio::time::timeout(Duration::from_secs(10), entry.drain()).await;
-    assert!(drained.is_ok(), "an unused connection does not hold it up");
-    assert_eq!(target.in_progress(), 0, "it waits for what runs");
+    assert!(
+        drained.is_ok(),
+        "an idle connection does not delay draining"
+    );
+    assert_eq!(
+        target.in_progress(),
+        0,
+        "draining waits for requests in progress"
+    );
     assert_eq!(plain.await.unwrap().text(), "own");
     let big = big.await.unwrap();
-    assert!(big.looks_whole() && big.body.len() == 600_000);
+    assert!(big.is_complete() && big.body.len() == 600_000);
     assert!(
         TcpStream::connect(address).await.is_err(),
         "no longer listening"
@@ -47,17 +54,17 @@
     assert_eq!(
         idle.read(&mut [0]).await.unwrap(),
         0,
-        "unused connections close"
+        "idle connections are closed"
     );
 }
 
 #[tokio::test]
 async fn drain_waits_for_work_without_caller() {
     let target = Target::spawn(|_| Step::slow_ok(300, "own")).await;
-    let (entry, control) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, control) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let key = "idempotency-key: k1\r\n";
     let call = tokio::spawn(post(entry.local_addr(), "/dock/x", key, "boat"));
-    eventually("it runs", || target.in_progress() == 1).await;
+    eventually("the request is at the target", || target.in_progress() == 1).await;
     call.abort();
     entry.drain().await;
     let settlements = control.settled();
@@ -68,11 +75,11 @@
 }
 
 #[tokio::test]
-async fn drain_answers_what_has_connected() {
+async fn drain_serves_connections_in_the_backlog() {
     let target = Target::ok("own").await;
-    let fleet = Fleet::with(json!({}), &[&target], 8);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 8);
     let limits = Limits {
-        connections: 1,
+        max_connections: 1,
         ..support::limits()
     };
     let control = std::sync::Arc::default();
@@ -83,14 +90,14 @@
     let _idle = open(address).await;
     let unaccepted = tokio::spawn(get(address, "/dock/x", ""));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(target.count(), 1, "the only place is taken");
+    assert_eq!(target.count(), 1, "the only permitted connection is in use");
     entry.drain().await;
     assert_eq!(unaccepted.await.unwrap().status, 200);
 }
 
-/// Sends on one connection until told to close it; gives the number of
-/// requests sent and of answers read.
-async fn keep_asking(address: SocketAddr) -> (u32, u32) {
+/// Sends requests on one connection until a response asks to close it. Returns
+/// the number of requests sent and of responses received.
+async fn send_until_closed(address: SocketAddr) -> (u32, u32) {
     let mut stream = open(address).await;
     let (mut sent, mut answered) = (0, 0);
     loop {
@@ -123,11 +130,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_under_load_loses_nothing() {
+async fn drain_under_load_loses_no_request() {
     let target = Target::spawn(|_| Step::slow_ok(3, "own")).await;
-    let fleet = Fleet::with(json!({}), &[&target], 64);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 64);
     let limits = Limits {
-        linger: Duration::from_millis(300),
+        drain_delay: Duration::from_millis(300),
         ..support::limits()
     };
     let control = std::sync::Arc::default();
@@ -135,9 +142,9 @@
     let address = entry.local_addr();
     let mut callers = JoinSet::new();
     for _ in 0..32 {
-        callers.spawn(keep_asking(address));
+        callers.spawn(send_until_closed(address));
     }
-    eventually("there is load", || target.count() > 500).await;
+    eventually("the entry is under load", || target.count() > 500).await;
     let (ready, ()) = tokio::join!(
         async {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -145,7 +152,7 @@
         },
         entry.drain()
     );
-    assert_eq!(ready, 503, "not ready at once, but still answering");
+    assert_eq!(ready, 503, "not ready at once, but still responding");
     for (sent, answered) in callers.join_all().await {
         assert_eq!(sent, answered);
     }
@@ -159,9 +166,9 @@
         vec![Step::write(&head)]
     })
     .await;
-    let fleet = Fleet::with(json!({}), &[&target], 1);
+    let fleet = Fleet::with_targets(json!({}), &[&target], 1);
     let limits = Limits {
-        caller_stall: Duration::from_millis(200),
+        caller_write_timeout: Duration::from_millis(200),
         ..support::limits()
     };
     let control = std::sync::Arc::default();
@@ -171,7 +178,10 @@
         .write_all(b"GET /dock/x HTTP/1.1\r\n\r\n")
         .await
         .unwrap();
-    eventually("it is streamed", || entry.counters()["entry.streamed"] == 1).await;
+    eventually("the response is streamed", || {
+        entry.counters()["entry.streamed"] == 1
+    })
+    .await;
     let drained = tokio::time::timeout(Duration::from_secs(10), entry.drain()).await;
     assert!(drained.is_ok());
 }
--- a/crates/cleat-entry/tests/matrix_support/script.rs
+++ b/crates/cleat-entry/tests/matrix_support/scenario.rs
@@ -1,4 +1,4 @@
-//! Where a cell's fault strikes, and what the targets saw.
+//! When the fault of a cell is applied, and what the targets observed.
 
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -9,22 +9,22 @@
 
 use crate::support::FakeControl;
 
-/// A step of a request, in order.
+/// The steps of a request, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// The instance has the head and half of the body.
+    /// The instance received the head and half of the body.
     Received,
-    /// The claim stands; its answer is on the way.
+    /// The claim was committed, but its result has not arrived.
     Claimed,
     Queued,
     Connecting,
-    /// The target read no more than the head.
+    /// The target read only the head.
     HeadSent,
     BodySent,
     AnswerHead,
     /// The target wrote half of the body.
     AnswerBody,
-    /// The answer is whole; a settlement is on the way.
+    /// The response is complete, but the settlement has not been committed.
     Settled,
 }
 
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Not idempotent, with a key.
+    /// Not idempotent, with an idempotency key.
     Keyed,
     Get,
 }
@@ -55,80 +55,85 @@
 }
 
 impl Cell {
-    /// Whether a target has the request.
-    pub fn at_target(self) -> bool {
+    /// Whether a target has received the request.
+    pub fn is_at_target(self) -> bool {
         (Step::HeadSent..=Step::AnswerBody).contains(&self.step)
     }
 
-    /// Whether the second fault strikes the retry of the same request.
-    pub fn strikes_retry(self) -> bool {
-        self.fault == Fault::Second && self.kind == Kind::Get && self.at_target()
+    /// Whether the second fault applies to the retry of the same request.
+    pub fn faults_retry(self) -> bool {
+        self.fault == Fault::Second && self.kind == Kind::Get && self.is_at_target()
     }
 
-    /// Whether the retry finds no target alive.
-    pub fn kills_all(self) -> bool {
-        self.strikes_retry() && self.step >= Step::AnswerHead
+    /// Whether no target is alive at the time of the retry.
+    pub fn kills_all_targets(self) -> bool {
+        self.faults_retry() && self.step >= Step::AnswerHead
     }
 
     pub fn kills_instance(self) -> bool {
-        self.fault == Fault::KillInstance || self.fault == Fault::Second && !self.strikes_retry()
+        self.fault == Fault::KillInstance || self.fault == Fault::Second && !self.faults_retry()
     }
 
-    pub fn is_silent(self) -> bool {
+    pub fn hangs(self) -> bool {
         matches!(self.fault, Fault::Freeze | Fault::BlackHole)
     }
 }
 
-pub struct Script {
+pub struct Scenario {
     pub cell: Cell,
-    /// Where the probe is struck and how often it still is.
-    plan: Mutex<(Step, u32)>,
-    pub struck: AtomicU32,
-    pub go: watch::Sender<bool>,
-    /// The target that met the probe last.
-    pub probed_target: Mutex<usize>,
+    /// The step at which the probe is paused for the fault, and how many times.
+    planned: Mutex<(Step, u32)>,
+    pub fault_count: AtomicU32,
+    pub resume: watch::Sender<bool>,
+    /// The target that received the probe last.
+    pub probe_target: Mutex<usize>,
     /// Cloned by each exchange at a target.
     pub busy: Arc<()>,
     log: Mutex<Vec<String>>,
 }
 
-impl Script {
-    pub fn new(cell: Cell) -> Script {
-        let twice = cell.strikes_retry() && !cell.kills_all();
+impl Scenario {
+    pub fn new(cell: Cell) -> Scenario {
+        let twice = cell.faults_retry() && !cell.kills_all_targets();
         let strikes = 1 + u32::from(twice);
-        Script {
+        Scenario {
             cell,
-            plan: Mutex::new((cell.step, strikes)),
-            struck: AtomicU32::new(0),
-            go: watch::Sender::new(false),
-            probed_target: Mutex::default(),
+            planned: Mutex::new((cell.step, strikes)),
+            fault_count: AtomicU32::new(0),
+            resume: watch::Sender::new(false),
+            probe_target: Mutex::default(),
             busy: Arc::default(),
             log: Mutex::default(),
         }
     }
 
-    /// Has the probe struck once more.
-    pub fn plan(&self, step: Step) {
-        *self.plan.lock().unwrap() = (step, 1);
+    /// Plans one more fault.
+    pub fn plan_fault(&self, step: Step) {
+        *self.planned.lock().unwrap() = (step, 1);
     }
 
-    /// Called where the probe comes by. If the fault is planned there, waits
-    /// until it is in force.
-    pub async fn reach(&self, step: Step) -> bool {
-        match &mut *self.plan.lock().unwrap() {
+    /// Called when the probe reaches `step`. If the fault is planned for this
+    /// step, waits until it is applied and returns `true`.
+    pub async fn pause_at(&self, step: Step) -> bool {
+        match &mut *self.planned.lock().unwrap() {
             (planned, left) if *planned == step && *left > 0 => *left -= 1,
             _ => return false,
         }
-        self.struck.fetch_add(1, SeqCst);
-        self.go.subscribe().wait_for(|go| *go).await.unwrap();
+        self.fault_count.fetch_add(1, SeqCst);
+        self.resume
+            .subscribe()
+            .wait_for(|resume| *resume)
+            .await
+            .unwrap();
         true
     }
 
-    pub fn note(&self, what: &str, id: &str) {
+    pub fn record(&self, what: &str, id: &str) {
         self.log.lock().unwrap().push(format!("{what} {id}"));
     }
 
-    /// How often targets "saw" the head of a request or "ran" it.
+    /// How many times targets received the head of a request ("saw") or its
+    /// complete body ("ran").
     pub fn count(&self, what: &str, id: &str) -> usize {
         let line = format!("{what} {id}");
         self.log
@@ -140,25 +145,25 @@
     }
 }
 
-/// Consensus that stops at the probe's claim and settlement.
-pub struct Gated {
+/// A control that pauses at the claim and settlement of the probe.
+pub struct PausingControl {
     pub inner: FakeControl,
-    pub script: Arc<Script>,
+    pub scenario: Arc<Scenario>,
 }
 
-impl Control for Gated {
+impl Control for PausingControl {
     fn in_service(&self) -> bool {
         self.inner.in_service()
     }
 
     async fn claim(&self, claim: ClaimKey) -> Result<KeyAnswer, ClaimError> {
         let answer = self.inner.claim(claim).await;
-        self.script.reach(Step::Claimed).await;
+        self.scenario.pause_at(Step::Claimed).await;
         answer
     }
 
     async fn settle(&self, settle: SettleKey) -> Result<KeyAnswer, ClaimError> {
-        self.script.reach(Step::Settled).await;
+        self.scenario.pause_at(Step::Settled).await;
         self.inner.settle(settle).await
     }
 
--- a/crates/cleat-entry/tests/support/fleet.rs
+++ b/crates/cleat-entry/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A replicated state and entries that serve it.
+//! A replicated state and the entries that use it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 }
 
 impl Fleet {
-    /// One service `dock` with `terms` laid over a deadline of two seconds.
+    /// A fleet with one service `dock`, whose configuration is `terms` merged
+    /// into a deadline of two seconds.
     pub fn new(terms: Value) -> Fleet {
         let mut fleet = Fleet {
             world: World::default(),
@@ -77,8 +78,8 @@
         self.apply(CommandBody::Withdraw(Withdraw { name, cause }));
     }
 
-    /// A fleet whose one service has these targets, `t0`, `t1`…
-    pub fn with(terms: Value, targets: &[&Target], slots: u32) -> Fleet {
+    /// A fleet with one service and the targets `t0`, `t1`…
+    pub fn with_targets(terms: Value, targets: &[&Target], slots: u32) -> Fleet {
         let mut fleet = Fleet::new(terms);
         for (i, target) in targets.iter().enumerate() {
             fleet.announce(&format!("t{i}"), target.address, slots);
@@ -93,15 +94,15 @@
     }
 }
 
-/// Bounds that suit tests: nothing lingers.
+/// Limits for tests: draining takes no delay.
 pub fn limits() -> Limits {
     Limits {
-        linger: Duration::ZERO,
+        drain_delay: Duration::ZERO,
         ..Limits::default()
     }
 }
 
-/// The only entry, in service.
+/// A single entry, which is in service.
 pub async fn entry(fleet: &Fleet) -> (Entry<FakeControl>, Arc<FakeControl>) {
     let control = Arc::new(FakeControl::default());
     let entry = entry_with(fleet, Arc::clone(&control), "e1", &["e1"], limits()).await;
@@ -118,13 +119,13 @@
     let cfg = EntryConfig {
         name: name.into(),
         data_centre: "dc1".into(),
-        life: 1,
+        incarnation: 1,
         listen: ([127, 0, 0, 1], 0).into(),
         entries: entries.iter().copied().map(Box::from).collect(),
         seed: 7,
         limits,
     };
     let entry = Entry::bind(cfg, control).await.unwrap();
-    entry.publish(&fleet.world);
+    entry.update_routes(&fleet.world);
     entry
 }
--- a/crates/cleat-entry/tests/trace.rs
+++ b/crates/cleat-entry/tests/trace.rs
@@ -1,5 +1,5 @@
-//! One trace through the hops of a request; a process starts telemetry once, so
-//! this is one test.
+//! Tests the trace of a request through all its steps. There is only one test,
+//! because telemetry can be started only once per process.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -24,7 +24,7 @@
     let telemetry = Telemetry::start(&settings).unwrap();
 
     let target = Target::ok("own").await;
-    let (entry, _) = entry(&Fleet::with(json!({}), &[&target], 8)).await;
+    let (entry, _) = entry(&Fleet::with_targets(json!({}), &[&target], 8)).await;
     let address = entry.local_addr();
     let traced = format!("idempotency-key: k\r\ntraceparent: 00-{TRACE}-b7ad6b7169203331-01\r\n");
     assert_eq!(post(address, "/dock/x", &traced, "boat").await.status, 200);
@@ -56,7 +56,7 @@
     assert_eq!(
         spans.len(),
         HOPS.len() + 1,
-        "the untraced ones left nothing"
+        "untraced requests record no spans"
     );
 
     let sent = target.requests();
@@ -64,7 +64,7 @@
     assert!(sent[0].contains(&format!("traceparent: 00-{TRACE}-{id}-01\r\n")));
     assert!(
         sent[1].contains("-b7ad6b7169203331-00"),
-        "passed on as it came"
+        "forwarded unchanged"
     );
     assert!(!sent[2].contains("traceparent"));
 }
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -28,7 +28,7 @@
 
 /// Spawns the tasks that exchange the slot messages of `entry`.
 pub(crate) fn spawn(node: &Arc<Node>, entry: &Arc<Entry<Node>>) -> Vec<JoinHandle<()>> {
-    let Some(messages) = entry.slot_messages() else {
+    let Some(messages) = entry.take_slot_messages() else {
         return Vec::new();
     };
     let mut tasks = vec![tokio::spawn(return_idle_slots(node.clone()))];
@@ -71,7 +71,7 @@
 /// Returns idle borrowed slots to their owners.
 async fn return_idle_slots(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
-        let has_borrowed_slots = entry.tick_slots();
+        let has_borrowed_slots = entry.return_idle_slots();
         drop(entry);
         if has_borrowed_slots {
             sleep(IDLE_CHECK_INTERVAL).await;
@@ -89,7 +89,7 @@
             return;
         };
         for SlotMessage { service, message } in messages {
-            entry.receive_slots(from, &service, message);
+            entry.handle_slot_message(from, &service, message);
         }
         self.slots_changed.notify_one();
     }
