--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -20,14 +20,14 @@
 
 const POOLS: usize = 4;
 /// How long a pool's turn of high demand lasts.
-const TURN: Duration = Duration::from_secs(5);
+const PEAK_DURATION: Duration = Duration::from_secs(5);
 /// Demand in a turn and between turns, in percent of the mean.
-const HIGH_PERCENT: u64 = 800;
-const LOW_PERCENT: u64 = 15;
+const PEAK_PERCENT: u64 = 800;
+const BASE_PERCENT: u64 = 15;
 /// Steps of eight tasks that a hundred workers are asked for on average.
-const JOBS_A_SECOND: u64 = 28;
-const CALL: Duration = Duration::from_millis(3);
-const COMMIT: Duration = Duration::from_millis(12);
+const JOBS_PER_SECOND: u64 = 28;
+const CALL_LATENCY: Duration = Duration::from_millis(3);
+const COMMIT_LATENCY: Duration = Duration::from_millis(12);
 const TICK: Duration = Duration::from_millis(50);
 const CAPACITY: Size = Size {
     cpu_milli: 32_000,
@@ -35,21 +35,21 @@
     gpu: 0,
 };
 
-enum Happening {
+enum SimEvent {
     Tick,
     Submit(usize),
     Commit(Command),
     Renew(usize, RenewalOrder, Duration),
     RenewalDue(usize, u64, Duration),
     Order(usize, u64, TaskOrder),
-    Tell(Event),
+    Deliver(Event),
 }
 
 struct World {
     rng: StdRng,
     now: Duration,
     queue: BinaryHeap<Reverse<(Duration, usize)>>,
-    happenings: Vec<Option<Happening>>,
+    sim_events: Vec<Option<SimEvent>>,
     state: ControlState,
     index: u64,
     owner: Scheduler,
@@ -59,7 +59,7 @@
     customers: u64,
     starts: u64,
     events: u64,
-    spent: Duration,
+    decision_time: Duration,
 }
 
 fn main() {
@@ -74,8 +74,8 @@
             break;
         }
         world.now = at;
-        if let Some(happening) = world.happenings[slot].take() {
-            world.happen(happening);
+        if let Some(sim_event) = world.sim_events[slot].take() {
+            world.dispatch(sim_event);
         }
     }
     let starts = world.starts.max(1);
@@ -84,9 +84,9 @@
         world.jobs,
         world.starts,
         world.events,
-        world.spent.as_secs_f64() * 1e6 / starts as f64,
-        world.spent.as_secs_f64() * 1e6 / world.events as f64,
-        world.spent.as_secs_f64() / end.as_secs_f64(),
+        world.decision_time.as_secs_f64() * 1e6 / starts as f64,
+        world.decision_time.as_secs_f64() * 1e6 / world.events as f64,
+        world.decision_time.as_secs_f64() / end.as_secs_f64(),
     );
 }
 
@@ -101,7 +101,7 @@
             rng: StdRng::seed_from_u64(7),
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            happenings: Vec::new(),
+            sim_events: Vec::new(),
             state,
             index: 3,
             owner: owner.expect("owned"),
@@ -110,41 +110,41 @@
             customers,
             starts: 0,
             events: 0,
-            spent: Duration::ZERO,
+            decision_time: Duration::ZERO,
         };
         for at in 0..workers {
             let worker = SimulatedWorker::new(record(at), 100, 1_000);
-            let beat = Heartbeat {
+            let heartbeat = Heartbeat {
                 record: worker.record.clone(),
                 draining: false,
                 sequence: 1,
             };
             world.workers.push(worker);
-            world.feed(Event::Heartbeat(beat));
+            world.feed(Event::Heartbeat(heartbeat));
         }
-        world.after(Duration::ZERO, Happening::Tick);
+        world.after(Duration::ZERO, SimEvent::Tick);
         for pool in 0..POOLS {
-            world.after(Duration::from_secs(1), Happening::Submit(pool));
+            world.after(Duration::from_secs(1), SimEvent::Submit(pool));
         }
         world
     }
 
-    fn after(&mut self, delay: Duration, happening: Happening) {
-        let slot = self.happenings.len();
-        self.happenings.push(Some(happening));
+    fn after(&mut self, delay: Duration, sim_event: SimEvent) {
+        let slot = self.sim_events.len();
+        self.sim_events.push(Some(sim_event));
         self.queue.push(Reverse((self.now + delay, slot)));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick => {
-                self.after(TICK, Happening::Tick);
+    fn dispatch(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Tick => {
+                self.after(TICK, SimEvent::Tick);
                 self.feed(Event::Tick { wall_ms: 1 });
             }
-            Happening::Submit(pool) => self.submit(pool),
-            Happening::Commit(command) => self.apply(command),
-            Happening::Renew(at, order, sent) => self.renew(at, &order, sent),
-            Happening::RenewalDue(at, acked, sent_at) => {
+            SimEvent::Submit(pool) => self.submit(pool),
+            SimEvent::Commit(command) => self.apply(command),
+            SimEvent::Renew(at, order, sent) => self.renew(at, &order, sent),
+            SimEvent::RenewalDue(at, acked, sent_at) => {
                 let worker = &mut self.workers[at];
                 let event = Event::RenewalAnswered {
                     worker: worker.record.name.clone(),
@@ -152,10 +152,10 @@
                     acked,
                     answer: worker.report(self.now),
                 };
-                self.after(CALL, Happening::Tell(event));
+                self.after(CALL_LATENCY, SimEvent::Deliver(event));
             }
-            Happening::Order(at, token, order) => self.order(at, token, order),
-            Happening::Tell(event) => self.feed(event),
+            SimEvent::Order(at, token, order) => self.order(at, token, order),
+            SimEvent::Deliver(event) => self.feed(event),
         }
     }
 
@@ -169,18 +169,21 @@
     fn feed(&mut self, event: Event) {
         let began = Instant::now();
         let effects = self.owner.handle(&self.state, [event], self.now);
-        self.spent += began.elapsed();
+        self.decision_time += began.elapsed();
         self.events += 1;
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Renew { worker, order, .. } => {
                 let sent = self.now;
-                self.after(CALL, Happening::Renew(place(&worker), order, sent));
+                self.after(
+                    CALL_LATENCY,
+                    SimEvent::Renew(worker_index(&worker), order, sent),
+                );
             }
             Effect::Order {
                 worker,
@@ -189,9 +192,12 @@
                 ..
             } => {
                 self.starts += u64::from(matches!(order.order, Order::Start { .. }));
-                self.after(CALL, Happening::Order(place(&worker), token, order));
+                self.after(
+                    CALL_LATENCY,
+                    SimEvent::Order(worker_index(&worker), token, order),
+                );
             }
-            Effect::Propose(command) => self.after(COMMIT, Happening::Commit(command)),
+            Effect::Propose(command) => self.after(COMMIT_LATENCY, SimEvent::Commit(command)),
             Effect::Fenced { .. }
             | Effect::Log(_)
             | Effect::Advise { .. }
@@ -201,13 +207,13 @@
     }
 
     fn submit(&mut self, pool: usize) {
-        let turn = self.now.as_secs() / TURN.as_secs();
-        let high = turn % POOLS as u64 == pool as u64;
-        let percent = if high { HIGH_PERCENT } else { LOW_PERCENT };
-        let a_second = JOBS_A_SECOND * self.workers.len() as u64 * percent / 100 / 100 / 4;
+        let peak = self.now.as_secs() / PEAK_DURATION.as_secs();
+        let at_peak = peak % POOLS as u64 == pool as u64;
+        let percent = if at_peak { PEAK_PERCENT } else { BASE_PERCENT };
+        let a_second = JOBS_PER_SECOND * self.workers.len() as u64 * percent / 100 / 100 / 4;
         let gap = Duration::from_micros(1_000_000 / a_second.max(1));
         let gap = gap.mul_f64(self.rng.random_range(0.1..1.9));
-        self.after(gap, Happening::Submit(pool));
+        self.after(gap, SimEvent::Submit(pool));
         self.jobs += 1;
         let queue = self.state.catalogue.as_ref().expect("configured").queues[pool].clone();
         let steps = (0..self.rng.random_range(1..3u16)).map(|step| StepSpec {
@@ -228,8 +234,8 @@
         };
         let (id, spec) = (JobId(self.jobs), Arc::new(spec));
         self.after(
-            COMMIT,
-            Happening::Commit(Command::Submit {
+            COMMIT_LATENCY,
+            SimEvent::Commit(Command::Submit {
                 id,
                 queue,
                 customer: self.jobs.checked_rem(self.customers).map(customer),
@@ -249,7 +255,7 @@
         } else {
             Duration::ZERO
         };
-        self.after(wait, Happening::RenewalDue(at, order.acked, sent));
+        self.after(wait, SimEvent::RenewalDue(at, order.acked, sent));
     }
 
     fn order(&mut self, at: usize, token: u64, order: TaskOrder) {
@@ -271,7 +277,7 @@
             order,
             answer,
         };
-        self.after(CALL, Happening::Tell(event));
+        self.after(CALL_LATENCY, SimEvent::Deliver(event));
     }
 }
 
@@ -289,7 +295,7 @@
     }
 }
 
-fn place(name: &str) -> usize {
+fn worker_index(name: &str) -> usize {
     name[1..].parse().expect("a name of ours")
 }
 
--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -30,7 +30,7 @@
     index: u64,
     owner: Scheduler,
     machines: Vec<MachineView>,
-    spent: Duration,
+    decision_time: Duration,
     moves: usize,
 }
 
@@ -48,13 +48,13 @@
     for size in sizes {
         let mut world = World::new(size);
         world.list();
-        world.settle();
-        let (back, back_moves) = world.ticks();
+        world.pass_settling_time();
+        let (back, back_moves) = world.run_ticks();
         world.list();
-        world.settle();
-        let (rest, _) = world.ticks();
+        world.pass_settling_time();
+        let (rest, _) = world.run_ticks();
         world.submit(size / 10);
-        let (come, come_moves) = world.ticks();
+        let (come, come_moves) = world.run_ticks();
         println!(
             "{size:>8}  {rest:>10}  {back:>13} ({back_moves:>5})  {come:>9} ({come_moves:>5})"
         );
@@ -74,17 +74,17 @@
             index: 3,
             owner: owner.expect("owned"),
             machines: (0..size).map(machine).collect(),
-            spent: Duration::ZERO,
+            decision_time: Duration::ZERO,
             moves: 0,
         };
         for at in 0..size {
-            world.begin_life(at, 0);
+            world.add_worker(at, 0);
         }
         world
     }
 
     /// A worker begins on a machine, and answers.
-    fn begin_life(&mut self, at: usize, life: u64) {
+    fn add_worker(&mut self, at: usize, life: u64) {
         let view = &self.machines[at];
         let name: Box<str> = format!("w{at}-{life}").into();
         let record = WorkerRecord {
@@ -120,13 +120,13 @@
     }
 
     /// Lets all orders come to an end.
-    fn settle(&mut self) {
+    fn pass_settling_time(&mut self) {
         self.now += Duration::from_secs(7);
     }
 
     /// Processor time a tick in microseconds, and the moves.
-    fn ticks(&mut self) -> (u128, usize) {
-        self.spent = Duration::ZERO;
+    fn run_ticks(&mut self) -> (u128, usize) {
+        self.decision_time = Duration::ZERO;
         self.moves = 0;
         for _ in 0..TICKS {
             self.now += TICK;
@@ -134,19 +134,22 @@
             let effects = self
                 .owner
                 .handle(&self.state, [Event::Tick { wall_ms: 1 }], self.now);
-            self.spent += began.elapsed();
-            self.carry_out(effects);
+            self.decision_time += began.elapsed();
+            self.execute(effects);
         }
-        (self.spent.as_micros() / u128::from(TICKS), self.moves)
+        (
+            self.decision_time.as_micros() / u128::from(TICKS),
+            self.moves,
+        )
     }
 
     fn feed(&mut self, event: Event) {
         let effects = self.owner.handle(&self.state, [event], self.now);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     /// Orders are carried out and commands committed at once.
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Propose(command) => {
--- a/crates/cleat-jobs/examples/machine_bound.rs
+++ b/crates/cleat-jobs/examples/machine_bound.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Default)]
 struct Sums {
     seconds: u64,
-    had: f64,
+    machine_seconds: f64,
     bound: f64,
     waiting: u64,
     /// How many machines were needed, by second.
@@ -49,7 +49,7 @@
         let filled = line.used_cpu_milli as f64 / machine.max(1.0);
         let need = filled.max(line.least_workers as f64);
         self.seconds += 1;
-        self.had += line.workers as f64;
+        self.machine_seconds += line.workers as f64;
         self.bound += need;
         self.waiting += line.waiting;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -58,14 +58,14 @@
     }
 
     /// The fewest machine-seconds and moves for these needs.
-    fn least(&self, move_seconds: u64) -> (u64, u64) {
+    fn fewest(&self, move_seconds: u64) -> (u64, u64) {
         let most = self.needs.values().copied().max().unwrap_or_default();
-        let each = (1..=most).map(|nth| self.least_of(nth, move_seconds));
+        let each = (1..=most).map(|nth| self.fewest_for(nth, move_seconds));
         each.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
     /// The same for the one machine that is needed while at least `nth` are.
-    fn least_of(&self, nth: usize, move_seconds: u64) -> (u64, u64) {
+    fn fewest_for(&self, nth: usize, move_seconds: u64) -> (u64, u64) {
         let needed = self.needs.iter().filter(|(_, need)| **need >= nth);
         let mut last: Option<u64> = None;
         let (mut seconds, mut moves) = (0, 0);
@@ -102,7 +102,7 @@
     for (pool, sums) in &pools {
         print(pool, sums);
         all.seconds += sums.seconds;
-        all.had += sums.had;
+        all.machine_seconds += sums.machine_seconds;
         all.bound += sums.bound;
         all.waiting += sums.waiting;
     }
@@ -115,10 +115,10 @@
 
 /// One row: machine-seconds, their ratio, and task-seconds without a place.
 fn print(pool: &str, sums: &Sums) {
-    let times = sums.had / sums.bound.max(1.0);
+    let times = sums.machine_seconds / sums.bound.max(1.0);
     println!(
         "{pool:<16} {:>8} {:>10.0} {:>10.0} {times:>6.2} {:>10}",
-        sums.seconds, sums.had, sums.bound, sums.waiting
+        sums.seconds, sums.machine_seconds, sums.bound, sums.waiting
     );
 }
 
@@ -127,10 +127,10 @@
     println!("{:<16} {:>15} {:>8}", "pool", "machine-seconds", "moves");
     let (mut seconds, mut moves) = (0, 0);
     for (pool, sums) in pools {
-        let least = sums.least(move_seconds);
-        println!("{pool:<16} {:>15} {:>8}", least.0, least.1);
-        seconds += least.0;
-        moves += least.1;
+        let fewest = sums.fewest(move_seconds);
+        println!("{pool:<16} {:>15} {:>8}", fewest.0, fewest.1);
+        seconds += fewest.0;
+        moves += fewest.1;
     }
     println!("{:<16} {seconds:>15} {moves:>8}", "all");
 }
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -1,23 +1,23 @@
 //! Queues whose starts need the adviser's permission.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use cleat_jobs::{Advice, Command, Effect, Event, JobId, Order, OrderAnswer, StepId};
-use scaffold::{Bed, advice, job, queue, starts, step, task};
+use support::{Harness, advice, job, queue, starts, step, task};
 
 const VALIDITY_MS: u64 = 3_000;
 
-fn submit(bed: &mut Bed, id: u64, count: u32) -> Vec<Effect> {
+fn submit(harness: &mut Harness, id: u64, count: u32) -> Vec<Effect> {
     let mut advised = queue("q", "a");
     advised.advice = Some(Advice {
         decision_ms: 20,
         per_worker_us: 1_000,
         validity_ms: VALIDITY_MS,
     });
-    bed.apply(Command::Submit {
+    harness.apply(Command::Submit {
         id: JobId(id),
         queue: Arc::new(advised),
         customer: None,
@@ -26,10 +26,15 @@
     })
 }
 
-fn answer(bed: &mut Bed, id: StepId, asked: &[Box<str>], good: Option<&[&str]>) -> Vec<Effect> {
+fn answer(
+    harness: &mut Harness,
+    id: StepId,
+    asked: &[Box<str>],
+    good: Option<&[&str]>,
+) -> Vec<Effect> {
     let ticket = |name: &&str| (Box::from(*name), format!("ticket-{name}").into());
-    let (step, asked, sent_at) = (id, asked.to_vec(), bed.now);
-    bed.feed(Event::Advised {
+    let (step, asked, sent_at) = (id, asked.to_vec(), harness.now);
+    harness.feed(Event::Advised {
         step,
         sent_at,
         asked,
@@ -38,13 +43,13 @@
 }
 
 #[test]
-fn advice_is_asked_before_a_start() {
-    let mut bed = Bed::new();
-    let effects = submit(&mut bed, 1, 2);
+fn advice_is_requested_before_a_start() {
+    let mut harness = Harness::new();
+    let effects = submit(&mut harness, 1, 2);
     assert!(starts(&effects).is_empty());
     let (id, asked) = advice(&effects).remove(0);
     assert_eq!(id, task(1, 0, 0).step);
-    let started = starts(&answer(&mut bed, id, &asked, Some(&["w2"])));
+    let started = starts(&answer(&mut harness, id, &asked, Some(&["w2"])));
     assert_eq!(started.len(), 2);
     for (worker, order) in started {
         assert_eq!(&*worker, "w2");
@@ -56,44 +61,44 @@
 }
 
 #[test]
-fn advice_refused_workers_are_not_asked_again() {
-    let mut bed = Bed::new();
-    let (id, asked) = advice(&submit(&mut bed, 1, 1)).remove(0);
-    let effects = answer(&mut bed, id, &asked, Some(&[]));
+fn advice_is_not_requested_again_for_refused_workers() {
+    let mut harness = Harness::new();
+    let (id, asked) = advice(&submit(&mut harness, 1, 1)).remove(0);
+    let effects = answer(&mut harness, id, &asked, Some(&[]));
     assert!(starts(&effects).is_empty());
     assert!(advice(&effects).is_empty(), "it never changes");
-    let effects = bed.add_worker("w3", "a");
+    let effects = harness.add_worker("w3", "a");
     assert_eq!(advice(&effects)[0].1, vec![Box::from("w3")]);
 }
 
 #[test]
-fn advice_without_answer_is_asked_again_later() {
-    let mut bed = Bed::new();
-    let (id, asked) = advice(&submit(&mut bed, 1, 1)).remove(0);
-    assert!(advice(&answer(&mut bed, id, &asked, None)).is_empty());
-    let effects = bed.tick(Duration::from_millis(400));
+fn advice_without_answer_is_requested_again() {
+    let mut harness = Harness::new();
+    let (id, asked) = advice(&submit(&mut harness, 1, 1)).remove(0);
+    assert!(advice(&answer(&mut harness, id, &asked, None)).is_empty());
+    let effects = harness.tick(Duration::from_millis(400));
     assert_eq!(advice(&effects).len(), 1);
 }
 
 #[test]
-fn advice_runs_out() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (id, asked) = advice(&submit(&mut bed, 1, 9)).remove(0);
-    let started = starts(&answer(&mut bed, id, &asked, Some(&["w1"])));
+fn advice_expires() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (id, asked) = advice(&submit(&mut harness, 1, 9)).remove(0);
+    let started = starts(&answer(&mut harness, id, &asked, Some(&["w1"])));
     assert_eq!(started.len(), 8, "one waits for room");
-    bed.now += Duration::from_millis(VALIDITY_MS);
+    harness.now += Duration::from_millis(VALIDITY_MS);
     let (worker, order) = &started[0];
-    let effects = bed.answer(worker, order, OrderAnswer::NoRoom);
+    let effects = harness.answer(worker, order, OrderAnswer::NoRoom);
     assert!(starts(&effects).is_empty());
-    let effects = bed.tick(Duration::from_secs(1));
+    let effects = harness.tick(Duration::from_secs(1));
     assert_eq!(advice(&effects).len(), 1, "the ticket is too old");
 }
 
 #[test]
-fn advice_ticket_refused_is_dropped() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (id, asked) = advice(&submit(&mut bed, 1, 1)).remove(0);
-    let (worker, order) = starts(&answer(&mut bed, id, &asked, Some(&["w1"]))).remove(0);
-    let effects = bed.answer(&worker, &order, OrderAnswer::NoTicket);
+fn advice_is_requested_again_after_a_refused_ticket() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (id, asked) = advice(&submit(&mut harness, 1, 1)).remove(0);
+    let (worker, order) = starts(&answer(&mut harness, id, &asked, Some(&["w1"]))).remove(0);
+    let effects = harness.answer(&worker, &order, OrderAnswer::NoTicket);
     assert_eq!(advice(&effects).len(), 1);
 }
--- a/crates/cleat-jobs/tests/crash_storms.rs
+++ b/crates/cleat-jobs/tests/crash_storms.rs
@@ -7,99 +7,112 @@
 //! Evidence: in the lasting job's log one task is lost with a crashed worker for the fifth
 //! time, and the job's other tasks are stopped within 0.2 s.
 
-mod scaffold;
+mod support;
 
 use std::time::Duration;
 
 use cleat_jobs::{JobId, JobState, StepSpec};
-use scaffold::play::{MOST, Play};
-use scaffold::{step, task};
+use support::crash_scenario::{CrashScenario, TOO_MANY_STARTS};
+use support::{step, task};
 
 /// Tasks of a job, of which the first is a culprit in some.
-const WIDTH: u32 = 8;
+const TASKS_PER_JOB: u32 = 8;
 
 /// What a storm came to.
 struct Storm {
-    play: Play,
+    scenario: CrashScenario,
     /// The jobs whose first task crashes its workers.
-    guilty: Vec<u64>,
-    innocent: Vec<u64>,
+    crashing_jobs: Vec<u64>,
+    other_jobs: Vec<u64>,
 }
 
 impl Storm {
     /// Each round brings jobs, then the workers of all culprits crash, and then the
     /// other runs are done.
-    fn strike(workers: usize, culprits: u64, rounds: u64) -> Storm {
-        let mut play = Play::new(workers);
-        play.culprits = (1..=culprits).map(|job| task(job, 0, 0)).collect();
+    fn run(workers: usize, crashing_tasks: u64, rounds: u64) -> Storm {
+        let mut scenario = CrashScenario::new(workers);
+        scenario.crashing_tasks = (1..=crashing_tasks).map(|job| task(job, 0, 0)).collect();
         let mut storm = Storm {
-            play,
-            guilty: (1..=culprits).collect(),
-            innocent: Vec::new(),
+            scenario,
+            crashing_jobs: (1..=crashing_tasks).collect(),
+            other_jobs: Vec::new(),
         };
-        let mut guilty = storm.guilty.clone().into_iter();
+        let mut crashing_jobs = storm.crashing_jobs.clone().into_iter();
         for round in 0..rounds {
-            for job in guilty.by_ref().take(5) {
-                storm.play.submit(job, vec![step(WIDTH, 1_000)]);
+            for job in crashing_jobs.by_ref().take(5) {
+                storm.scenario.submit(job, vec![step(TASKS_PER_JOB, 1_000)]);
             }
-            let innocent = 1_000 + round;
-            storm.play.submit(innocent, vec![step(WIDTH, 1_000)]);
-            storm.innocent.push(innocent);
-            storm.crash_all();
+            let other_job = 1_000 + round;
+            storm
+                .scenario
+                .submit(other_job, vec![step(TASKS_PER_JOB, 1_000)]);
+            storm.other_jobs.push(other_job);
+            storm.crash_culprit_workers();
             storm.settle();
         }
         storm
     }
 
     /// Each worker crashes on which a culprit runs.
-    fn crash_all(&mut self) {
-        let guilty = self.play.runs.iter();
-        let guilty = guilty.filter(|(task, _)| self.play.culprits.contains(*task));
-        let mut workers: Vec<Box<str>> = guilty.map(|(_, (at, _))| at.clone()).collect();
+    fn crash_culprit_workers(&mut self) {
+        let crashing_runs = self.scenario.runs.iter();
+        let crashing_runs =
+            crashing_runs.filter(|(task, _)| self.scenario.crashing_tasks.contains(*task));
+        let mut workers: Vec<Box<str>> = crashing_runs.map(|(_, (at, _))| at.clone()).collect();
         workers.sort();
         workers.dedup();
         for worker in workers {
-            self.play.crash(&worker);
+            self.scenario.crash(&worker);
         }
     }
 
     fn settle(&mut self) {
-        self.play.finish_others();
-        let effects = self.play.bed.tick(Duration::from_millis(50));
-        self.play.take(effects);
+        self.scenario.finish_others();
+        let effects = self.scenario.harness.tick(Duration::from_millis(50));
+        self.scenario.process(effects);
     }
 
     /// Workers list what goes on, and the rest is done.
-    fn beat(&mut self) {
-        self.play.bed.now += Duration::from_millis(400);
-        let workers: Vec<Box<str>> = self.play.bed.state.workers.keys().cloned().collect();
+    fn renew_all(&mut self) {
+        self.scenario.harness.now += Duration::from_millis(400);
+        let workers: Vec<Box<str>> = self
+            .scenario
+            .harness
+            .state
+            .workers
+            .keys()
+            .cloned()
+            .collect();
         for worker in workers {
-            self.play.list(&worker, Vec::new());
+            self.scenario.list_runs(&worker, Vec::new());
         }
         self.settle();
     }
 
     /// Lets all that goes on come to its end.
-    fn pass(mut self) -> Storm {
+    fn run_to_end(mut self) -> Storm {
         for _ in 0..200 {
-            self.crash_all();
+            self.crash_culprit_workers();
             self.settle();
         }
         self
     }
 
-    fn assert_guilty_are_given_up(&self) {
-        for culprit in &self.play.culprits {
-            let starts = self.play.starts_of(*culprit);
-            assert!(starts < MOST, "{culprit} has {starts} starts");
-            let state = self.play.state_of(culprit.job().0);
-            assert_eq!(state, Some(JobState::Failed), "{culprit}");
+    fn assert_crashing_jobs_failed(&self) {
+        for crashing_task in &self.scenario.crashing_tasks {
+            let starts = self.scenario.starts_of(*crashing_task);
+            assert!(
+                starts < TOO_MANY_STARTS,
+                "{crashing_task} has {starts} starts"
+            );
+            let state = self.scenario.state_of(crashing_task.job().0);
+            assert_eq!(state, Some(JobState::Failed), "{crashing_task}");
         }
     }
 
-    fn assert_innocent_are_done(&self) {
-        for job in &self.innocent {
-            let state = self.play.state_of(*job);
+    fn assert_other_jobs_completed(&self) {
+        for job in &self.other_jobs {
+            let state = self.scenario.state_of(*job);
             assert_eq!(state, Some(JobState::Completed), "job {job}");
         }
     }
@@ -107,49 +120,54 @@
 
 #[test]
 fn storm_of_two_culprits() {
-    let storm = Storm::strike(6, 2, 8).pass();
-    storm.assert_guilty_are_given_up();
-    storm.assert_innocent_are_done();
+    let storm = Storm::run(6, 2, 8).run_to_end();
+    storm.assert_crashing_jobs_failed();
+    storm.assert_other_jobs_completed();
 }
 
 #[test]
 fn storm_of_ten_culprits_at_once() {
-    let storm = Storm::strike(8, 10, 12).pass();
-    storm.assert_guilty_are_given_up();
-    storm.assert_innocent_are_done();
+    let storm = Storm::run(8, 10, 12).run_to_end();
+    storm.assert_crashing_jobs_failed();
+    storm.assert_other_jobs_completed();
 }
 
 #[test]
 fn storm_of_forty_culprits_in_a_small_pool() {
-    let storm = Storm::strike(4, 40, 40).pass();
-    storm.assert_guilty_are_given_up();
-    storm.assert_innocent_are_done();
+    let storm = Storm::run(4, 40, 40).run_to_end();
+    storm.assert_crashing_jobs_failed();
+    storm.assert_other_jobs_completed();
 }
 
 /// The job that lasts.
-const LASTING: u64 = 500;
+const LONG_RUNNING_JOB: u64 = 500;
 
 /// What lasts is not ended because other tasks crash the workers beside it.
 #[test]
-fn storm_beside_a_job_that_lasts() {
-    let lasting = StepSpec {
+fn storm_beside_a_long_running_job() {
+    let long_running_step = StepSpec {
         long_running: true,
         max_per_worker: Some(1),
         ..step(6, 500)
     };
-    let mut storm = Storm::strike(8, 0, 0);
-    storm.play.lasting = Some(JobId(LASTING));
-    storm.play.submit(LASTING, vec![lasting]);
-    storm.play.culprits = (1..=30).map(|job| task(job, 0, 0)).collect();
+    let mut storm = Storm::run(8, 0, 0);
+    storm.scenario.long_running_job = Some(JobId(LONG_RUNNING_JOB));
+    storm
+        .scenario
+        .submit(LONG_RUNNING_JOB, vec![long_running_step]);
+    storm.scenario.crashing_tasks = (1..=30).map(|job| task(job, 0, 0)).collect();
     for job in 1..=30 {
-        storm.play.submit(job, vec![step(WIDTH, 1_000)]);
-        storm.crash_all();
-        storm.beat();
+        storm.scenario.submit(job, vec![step(TASKS_PER_JOB, 1_000)]);
+        storm.crash_culprit_workers();
+        storm.renew_all();
     }
     for _ in 0..60 {
-        storm.crash_all();
-        storm.beat();
+        storm.crash_culprit_workers();
+        storm.renew_all();
     }
-    assert_eq!(storm.play.state_of(LASTING), Some(JobState::Active));
-    storm.assert_guilty_are_given_up();
+    assert_eq!(
+        storm.scenario.state_of(LONG_RUNNING_JOB),
+        Some(JobState::Active)
+    );
+    storm.assert_crashing_jobs_failed();
 }
--- a/crates/cleat-jobs/tests/customers.rs
+++ b/crates/cleat-jobs/tests/customers.rs
@@ -1,6 +1,6 @@
 //! Customers in a configuration, whose a call is, and whose a job.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
     JobState, KeyDigest, Queue,
 };
 use proptest::prelude::*;
-use scaffold::{catalogue, customer, draft, job, step};
+use support::{catalogue, customer, draft, job, step};
 
 fn with(customers: Vec<CustomerDraft>) -> Draft {
     Draft {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn catalogue_takes_a_customer_that_lost_all_its_keys() {
+fn catalogue_accepts_a_customer_without_keys() {
     assert!(faults(vec![customer("a", &[], 0)]).is_empty());
     assert!(faults(vec![customer("a", &["k1", "k1"], 0)]).is_empty());
 }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn accepted_job_stays_its_customers_when_that_is_removed() {
+fn accepted_job_keeps_its_customer_after_the_customer_is_removed() {
     let mut state = ControlState::default();
     let keyed = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
     state.apply(1, Command::Configure(Arc::new(keyed)));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn caller_may_use_its_own_and_nobodys_jobs() {
+fn caller_may_use_its_own_jobs_and_jobs_without_customer() {
     let made = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
     let caller = made.caller(&made.queues[0], Some(&KeyDigest::of("k1")));
     assert!(caller.may_use(Some("a")));
@@ -173,7 +173,7 @@
     /// Whatever the customers, a configuration is taken exactly if no name and no
     /// key stands with two, no key is empty, and each key then leads to its own.
     #[test]
-    fn catalogue_takes_customers_only_without_faults(
+    fn catalogue_accepts_customers_only_without_faults(
         lists in prop::collection::vec(
             ("[a-d]", prop::collection::vec("[k-n]{0,2}", 0..3)),
             0..5,
@@ -186,17 +186,17 @@
         let made = Catalogue::new(with(drafts.collect()));
         let names: Vec<&str> = lists.iter().map(|(name, _)| name.as_str()).collect();
         let name_twice = (1..names.len()).any(|at| names[..at].contains(&names[at]));
-        let held: Vec<(&str, &str)> = lists
+        let key_owners: Vec<(&str, &str)> = lists
             .iter()
             .flat_map(|(name, keys)| keys.iter().map(move |key| (name.as_str(), key.as_str())))
             .collect();
-        let empty = held.iter().any(|(_, key)| key.is_empty());
-        let shared = held.iter().any(|(name, key)| {
-            held.iter().any(|(other, same)| same == key && other != name)
+        let empty = key_owners.iter().any(|(_, key)| key.is_empty());
+        let shared = key_owners.iter().any(|(name, key)| {
+            key_owners.iter().any(|(other, same)| same == key && other != name)
         });
         prop_assert_eq!(made.is_ok(), !name_twice && !empty && !shared);
         if let Ok(made) = made {
-            for (name, key) in held {
+            for (name, key) in key_owners {
                 let found = name_of(&made, &made.queues[0], key);
                 prop_assert_eq!(found.as_deref(), Some(name));
             }
--- a/crates/cleat-jobs/tests/draining.rs
+++ b/crates/cleat-jobs/tests/draining.rs
@@ -1,59 +1,59 @@
 //! Workers that said that they are about to end.
 
-mod scaffold;
+mod support;
 
 use cleat_jobs::{Command, ControlState, Event, RenewalAnswer};
-use scaffold::{Bed, record, starts, step};
+use support::{Harness, record, starts, step};
 
 /// Starts of a job of one task, once the workers have answered.
-fn starts_after_answers(bed: &mut Bed, workers: &[&str]) -> Vec<Box<str>> {
+fn starts_after_answers(harness: &mut Harness, workers: &[&str]) -> Vec<Box<str>> {
     for worker in workers {
-        let effects = bed.answer_renewal(worker, RenewalAnswer::default());
-        bed.commit(&effects);
+        let effects = harness.answer_renewal(worker, RenewalAnswer::default());
+        harness.commit(&effects);
     }
-    let effects = bed.submit(9, vec![step(1, 1_000)]);
+    let effects = harness.submit(9, vec![step(1, 1_000)]);
     starts(&effects).into_iter().map(|(at, _)| at).collect()
 }
 
 #[test]
 fn draining_worker_takes_no_work() {
-    let mut bed = Bed::new();
-    bed.beat_draining("w1", 2);
-    let started = starts_after_answers(&mut bed, &["w1", "w2"]);
+    let mut harness = Harness::new();
+    harness.heartbeat_draining("w1", 2);
+    let started = starts_after_answers(&mut harness, &["w1", "w2"]);
     assert_eq!(started, vec!["w2".into()]);
 }
 
 /// The next owner has to know before the worker's next heartbeat.
 #[test]
 fn draining_worker_takes_no_work_from_the_next_owner() {
-    let mut bed = Bed::new();
-    bed.beat_draining("w1", 2);
-    bed.replace_owner();
-    let started = starts_after_answers(&mut bed, &["w1", "w2"]);
+    let mut harness = Harness::new();
+    harness.heartbeat_draining("w1", 2);
+    harness.replace_owner();
+    let started = starts_after_answers(&mut harness, &["w1", "w2"]);
     assert_eq!(started, vec!["w2".into()]);
 }
 
 /// A heartbeat that was held up on its way tells what held before.
 #[test]
 fn draining_worker_takes_no_work_after_an_earlier_heartbeat() {
-    let mut bed = Bed::new();
-    bed.beat_draining("w1", 2);
-    bed.replace_owner();
-    bed.beat(record("w1", "a"));
-    let started = starts_after_answers(&mut bed, &["w1", "w2"]);
+    let mut harness = Harness::new();
+    harness.heartbeat_draining("w1", 2);
+    harness.replace_owner();
+    harness.heartbeat(record("w1", "a"));
+    let started = starts_after_answers(&mut harness, &["w1", "w2"]);
     assert_eq!(started, vec!["w2".into()]);
 }
 
 /// Lists of machines ended its life, and it is heard of again.
 #[test]
 fn draining_worker_takes_no_work_when_it_becomes_known_again() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    bed.beat_draining("w1", 2);
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.heartbeat_draining("w1", 2);
     let worker = "w1".into();
-    let over = bed.feed(Event::Left { worker });
-    bed.commit(&over);
-    bed.add_worker("w1", "a");
-    let started = starts_after_answers(&mut bed, &["w1"]);
+    let over = harness.feed(Event::Left { worker });
+    harness.commit(&over);
+    harness.add_worker("w1", "a");
+    let started = starts_after_answers(&mut harness, &["w1"]);
     assert!(started.is_empty());
 }
 
--- a/crates/cleat-jobs/tests/durations.rs
+++ b/crates/cleat-jobs/tests/durations.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn expect_bad_estimates_are_drawn_to_the_mean() {
+fn expect_bad_estimates_shrink_towards_the_mean() {
     let (expected, estimated) = errors(0.5, 0.9, 1.0);
     assert!(expected < 0.45, "{expected:.2}");
     assert!(estimated > 0.65, "{estimated:.2}");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn expect_nonsense_is_bounded() {
+fn expect_implausible_observations_stay_bounded() {
     let mut durations = DurationModel::default();
     durations.observe(0, Duration::from_secs(1));
     durations.observe(1, Duration::from_secs(100_000));
--- a/crates/cleat-jobs/tests/forecast.rs
+++ b/crates/cleat-jobs/tests/forecast.rs
@@ -35,7 +35,7 @@
     }
 
     /// Little, then much from 10 s to 15 s, then little again.
-    fn turn(little: f64, much: f64) -> Load {
+    fn peak(little: f64, much: f64) -> Load {
         Load {
             rates: vec![
                 (Duration::ZERO, little),
@@ -55,7 +55,7 @@
     fn forecasts(&self, seed: u64, end: Duration) -> Vec<(Duration, f64)> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut arrivals = Arrivals::default();
-        let mut told = Vec::new();
+        let mut forecasts = Vec::new();
         let mut now = Duration::ZERO;
         while now < end {
             let step = ms(1);
@@ -65,21 +65,21 @@
             }
             if now.as_millis().is_multiple_of(TICK.as_millis()) {
                 let size = arrivals.forecast(now);
-                told.push((
+                forecasts.push((
                     now,
                     f64::from(u32::try_from(size.cpu_milli).expect("small")) / 1_000.0,
                 ));
             }
         }
-        told
+        forecasts
     }
 
     /// For each seed, how long after `from` the forecast first meets a
     /// condition; sorted.
     fn delays(&self, from: Duration, condition: impl Fn(f64) -> bool) -> Vec<Duration> {
         let delay = |seed| {
-            let told = self.forecasts(seed, from + ms(5_000));
-            let mut later = told.iter().filter(|(at, _)| *at > from);
+            let forecasts = self.forecasts(seed, from + ms(5_000));
+            let mut later = forecasts.iter().filter(|(at, _)| *at > from);
             let first = later.find(|(_, cores)| condition(*cores));
             first.map_or(ms(5_000), |(at, _)| *at - from)
         };
@@ -106,16 +106,16 @@
 /// calls for are paid for.
 #[test]
 fn forecast_steady_load_stays_near_its_rate() {
-    let (mut told, mut far) = (0, 0);
+    let (mut count, mut far) = (0, 0);
     for seed in 0..SEEDS {
         let all = Load::steady(20.0).forecasts(seed, ms(30_000));
         let settled = all.iter().filter(|(at, _)| *at > ms(7_000));
         for (_, cores) in settled {
-            told += 1;
+            count += 1;
             far += u32::from(!(14.0..=27.0).contains(cores));
         }
     }
-    assert!(far * 20 < told, "{far} of {told} are off by a third");
+    assert!(far * 20 < count, "{far} of {count} are off by a third");
 }
 
 #[test]
@@ -131,8 +131,8 @@
 
 /// A move takes 1.5 s, so each tenth of a second counts.
 #[test]
-fn forecast_turn_of_many_small_jobs_is_seen_soon() {
-    let load = Load::turn(0.35, 28.0);
+fn forecast_demand_peak_of_many_small_jobs_is_seen_soon() {
+    let load = Load::peak(0.35, 28.0);
     let begun = load.delays(ms(10_000), |cores| cores > 14.0);
     let over = load.delays(ms(15_000), |cores| cores < 14.0);
     assert!(median(&begun) <= ms(200), "{:?}", median(&begun));
@@ -142,8 +142,8 @@
 }
 
 #[test]
-fn forecast_turn_of_few_large_jobs_is_seen_soon() {
-    let load = Load::turn(0.065, 5.2);
+fn forecast_demand_peak_of_few_large_jobs_is_seen_soon() {
+    let load = Load::peak(0.065, 5.2);
     let begun = load.delays(ms(10_000), |cores| cores > 2.6);
     let over = load.delays(ms(15_000), |cores| cores < 2.6);
     assert!(median(&begun) <= ms(700), "{:?}", median(&begun));
@@ -195,14 +195,14 @@
     };
     let load = Load {
         job: long,
-        ..Load::turn(0.35, 28.0)
+        ..Load::peak(0.35, 28.0)
     };
     let (mut most, mut least) = (0.0, 0.0);
     for seed in 0..SEEDS {
-        let told = load.forecasts(seed, ms(15_000));
-        let first = told.iter().filter(|(at, _)| *at <= ms(10_500));
+        let forecasts = load.forecasts(seed, ms(15_000));
+        let first = forecasts.iter().filter(|(at, _)| *at <= ms(10_500));
         most += first.map(|(_, cores)| *cores).fold(0.0, f64::max);
-        let late = told.iter().filter(|(at, _)| *at > ms(13_000));
+        let late = forecasts.iter().filter(|(at, _)| *at > ms(13_000));
         least += late.map(|(_, cores)| *cores).fold(f64::MAX, f64::min);
     }
     // 28 jobs a second with a core each: 112 run from 4 s on, and 70 of them 2.5 s after
--- a/crates/cleat-jobs/tests/scheduler.rs
+++ b/crates/cleat-jobs/tests/scheduler.rs
@@ -1,6 +1,6 @@
 //! Single rules of the scheduler, each with the events that need it.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use cleat_jobs::{
     Command, EndKind, Event, JobId, JobState, OrderAnswer, RenewalAnswer, StepSpec, WorkerRecord,
 };
-use scaffold::{Bed, end, ended, ends, proposals, record, running, starts, step, stops, task};
+use support::{Harness, end, ended, ends, proposals, record, running, starts, step, stops, task};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -16,29 +16,29 @@
 
 #[test]
 fn submit_starts_all_tasks_at_once() {
-    let mut bed = Bed::new();
-    let started = starts(&bed.submit(1, vec![step(3, 1_000)]));
+    let mut harness = Harness::new();
+    let started = starts(&harness.submit(1, vec![step(3, 1_000)]));
     assert_eq!(started.len(), 3);
     assert!(started.iter().all(|(_, order)| order.run.0 == 1));
 }
 
 #[test]
-fn submit_beyond_the_room_waits() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let started = starts(&bed.submit(1, vec![step(3, 4_000)]));
+fn submit_beyond_free_capacity_waits() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    let started = starts(&harness.submit(1, vec![step(3, 4_000)]));
     assert_eq!(started.len(), 2, "8 cores hold two of 4");
 }
 
 #[test]
-fn end_listed_frees_the_room_at_once() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    bed.submit(1, vec![step(3, 4_000)]);
+fn listed_end_frees_capacity_at_once() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.submit(1, vec![step(3, 4_000)]);
     let answer = RenewalAnswer {
         running: vec![running(task(1, 0, 1), 1)],
         ended: vec![end(1, task(1, 0, 0), 1, EndKind::Done)],
         ..RenewalAnswer::default()
     };
-    let effects = bed.answer_renewal("w1", answer);
+    let effects = harness.answer_renewal("w1", answer);
     assert_eq!(
         starts(&effects).len(),
         1,
@@ -57,201 +57,201 @@
         after: vec![0],
         ..step(1, 1_000)
     };
-    let mut bed = Bed::new();
-    bed.submit(1, vec![step(1, 1_000), second]);
+    let mut harness = Harness::new();
+    harness.submit(1, vec![step(1, 1_000), second]);
     let listed = vec![end(1, task(1, 0, 0), 1, EndKind::Done)];
-    let before = bed.answer_renewal("w1", ended(listed.clone()));
+    let before = harness.answer_renewal("w1", ended(listed.clone()));
     assert!(starts(&before).is_empty());
-    let after = bed.apply(ends("w1", listed));
+    let after = harness.apply(ends("w1", listed));
     assert_eq!(starts(&after)[0].1.task, task(1, 1, 0));
 }
 
 /// Two proposals of one worker's ends: the first end, and the second.
-fn propose_two_ends(bed: &mut Bed) -> (Command, Command) {
-    bed.submit(1, vec![step(2, 1_000)]);
+fn propose_two_ends(harness: &mut Harness) -> (Command, Command) {
+    harness.submit(1, vec![step(2, 1_000)]);
     let first = end(1, task(1, 0, 0), 1, EndKind::Done);
     let second = end(2, task(1, 0, 1), 1, EndKind::Done);
-    let one = bed.answer_renewal("w1", ended(vec![first.clone()]));
-    let two = bed.answer_renewal("w1", ended(vec![first, second]));
+    let one = harness.answer_renewal("w1", ended(vec![first.clone()]));
+    let two = harness.answer_renewal("w1", ended(vec![first, second]));
     (proposals(&one).remove(0), proposals(&two).remove(0))
 }
 
 #[test]
 fn ends_committed_out_of_order_are_proposed_again() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (first, second) = propose_two_ends(&mut bed);
-    let passed = bed.apply(second.clone());
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (first, second) = propose_two_ends(&mut harness);
+    let passed = harness.apply(second.clone());
     assert_eq!(proposals(&passed), vec![second.clone()]);
-    let effects = [bed.apply(first), bed.apply(second)].concat();
+    let effects = [harness.apply(first), harness.apply(second)].concat();
     assert!(starts(&effects).is_empty(), "both tasks are done");
-    assert_eq!(bed.state.job_state(JobId(1)), Some(JobState::Completed));
+    assert_eq!(harness.state.job_state(JobId(1)), Some(JobState::Completed));
 }
 
 #[test]
 fn ends_whose_commit_failed_are_proposed_again() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (first, second) = propose_two_ends(&mut bed);
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (first, second) = propose_two_ends(&mut harness);
     let command = Arc::new(first.clone());
-    let failed = bed.feed(Event::ProposalFailed { command });
+    let failed = harness.feed(Event::ProposalFailed { command });
     assert_eq!(proposals(&failed), vec![first]);
-    let effects = [bed.commit(&failed), bed.apply(second)].concat();
+    let effects = [harness.commit(&failed), harness.apply(second)].concat();
     assert!(starts(&effects).is_empty(), "both tasks are done");
-    assert_eq!(bed.state.job_state(JobId(1)), Some(JobState::Completed));
+    assert_eq!(harness.state.job_state(JobId(1)), Some(JobState::Completed));
 }
 
 /// Its record is gone before its ends are committed, so they count for
 /// nothing: their task is started elsewhere.
 #[test]
-fn ends_of_a_worker_that_is_gone_free_their_tasks() {
-    let mut bed = Bed::new();
-    let (gone, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
+fn ends_of_a_removed_worker_release_their_tasks() {
+    let mut harness = Harness::new();
+    let (gone, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     let listed = end(1, order.task, order.run.0, EndKind::Done);
-    let proposed = bed.answer_renewal(&gone, ended(vec![listed]));
-    let left = bed.feed(Event::Left { worker: gone });
-    bed.commit(&left);
-    assert_eq!(starts(&bed.commit(&proposed)).len(), 1);
+    let proposed = harness.answer_renewal(&gone, ended(vec![listed]));
+    let left = harness.feed(Event::Left { worker: gone });
+    harness.commit(&left);
+    assert_eq!(starts(&harness.commit(&proposed)).len(), 1);
 }
 
 /// They are listed to this owner by the worker, or lost with it.
 #[test]
 fn ends_of_an_earlier_owner_after_a_gap_are_not_proposed_again() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (_, second) = propose_two_ends(&mut bed);
-    bed.replace_owner();
-    assert_eq!(proposals(&bed.apply(second)), vec![]);
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (_, second) = propose_two_ends(&mut harness);
+    harness.replace_owner();
+    assert_eq!(proposals(&harness.apply(second)), vec![]);
 }
 
 /// How many jobs of the first queue are said to wait.
-fn waiting(bed: &Bed) -> usize {
-    bed.owner.waiting_jobs(&bed.state, "host", "/q/")
+fn waiting(harness: &Harness) -> usize {
+    harness.owner.waiting_jobs(&harness.state, "host", "/q/")
 }
 
 #[test]
 fn job_waits_until_a_start_is_known_to_be_carried_out() {
-    let mut bed = Bed::new();
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    assert_eq!(waiting(&bed), 1, "its start is on its way");
-    bed.answer(&worker, &order, OrderAnswer::Unknown);
-    assert_eq!(waiting(&bed), 1, "its start is in doubt");
+    let mut harness = Harness::new();
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    assert_eq!(waiting(&harness), 1, "its start is on its way");
+    harness.answer(&worker, &order, OrderAnswer::Unknown);
+    assert_eq!(waiting(&harness), 1, "its start is in doubt");
     let listed = RenewalAnswer {
         running: vec![running(order.task, order.run.0)],
         ..RenewalAnswer::default()
     };
-    bed.answer_renewal(&worker, listed);
-    assert_eq!(waiting(&bed), 0, "its worker lists it");
+    harness.answer_renewal(&worker, listed);
+    assert_eq!(waiting(&harness), 0, "its worker lists it");
 }
 
 #[test]
 fn job_waits_no_more_once_a_start_is_answered() {
-    let mut bed = Bed::new();
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    bed.answer(&worker, &order, OrderAnswer::Done);
-    assert_eq!(waiting(&bed), 0);
+    let mut harness = Harness::new();
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    harness.answer(&worker, &order, OrderAnswer::Done);
+    assert_eq!(waiting(&harness), 0);
 }
 
 #[test]
 fn job_waits_no_more_once_an_end_is_listed() {
-    let mut bed = Bed::new();
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    bed.answer(&worker, &order, OrderAnswer::Unknown);
+    let mut harness = Harness::new();
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    harness.answer(&worker, &order, OrderAnswer::Unknown);
     let failed = end(1, order.task, order.run.0, EndKind::Failed);
-    bed.answer_renewal(&worker, ended(vec![failed]));
-    assert_eq!(waiting(&bed), 0);
+    harness.answer_renewal(&worker, ended(vec![failed]));
+    assert_eq!(waiting(&harness), 0);
 }
 
 /// Neither an order that was refused nor one that came too late began it.
 #[test]
 fn job_waits_after_a_refused_start() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    bed.answer(&worker, &order, OrderAnswer::NoRoom);
-    assert_eq!(waiting(&bed), 1);
+    let mut harness = Harness::with_workers(&["w1"]);
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    harness.answer(&worker, &order, OrderAnswer::NoRoom);
+    assert_eq!(waiting(&harness), 1);
 }
 
 #[test]
-fn heartbeat_for_a_pool_that_is_not_configured_names_no_worker() {
-    let mut bed = Bed::with_workers(&[]);
-    assert!(bed.beat(record("w9", "elsewhere")).is_empty());
-    assert_eq!(bed.owner.workers().count(), 0);
+fn heartbeat_for_an_unconfigured_pool_adds_no_worker() {
+    let mut harness = Harness::with_workers(&[]);
+    assert!(harness.heartbeat(record("w9", "elsewhere")).is_empty());
+    assert_eq!(harness.owner.workers().count(), 0);
 }
 
 /// The next owner would not wait for what is started there.
 #[test]
 fn lapsed_worker_is_recorded_before_it_gets_work() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    let lapsed = bed.let_lapse("w1", &[]);
-    bed.commit(&lapsed);
-    bed.submit(1, vec![step(1, 1_000)]);
-    let back = bed.answer_renewal("w1", RenewalAnswer::default());
+    let mut harness = Harness::with_workers(&["w1"]);
+    let lapsed = harness.let_lease_expire("w1", &[]);
+    harness.commit(&lapsed);
+    harness.submit(1, vec![step(1, 1_000)]);
+    let back = harness.answer_renewal("w1", RenewalAnswer::default());
     assert!(starts(&back).is_empty(), "its use is being committed");
-    assert_eq!(starts(&bed.commit(&back)).len(), 1);
+    assert_eq!(starts(&harness.commit(&back)).len(), 1);
 }
 
 /// The note that its lease was over is committed after its new use.
 #[test]
-fn lapsed_worker_late_note_of_its_lapse_counts_for_nothing() {
-    let mut bed = Bed::with_workers(&["w1", "w2"]);
-    let lapsed = bed.let_lapse("w1", &["w2"]);
-    let back = bed.answer_renewal("w1", RenewalAnswer::default());
-    bed.commit(&back);
-    bed.commit(&lapsed);
-    bed.submit(1, vec![step(1, 1_000)]);
-    bed.replace_owner();
-    let effects = bed.answer_renewal("w2", RenewalAnswer::default());
+fn lapsed_worker_late_commit_of_its_lapse_is_ignored() {
+    let mut harness = Harness::with_workers(&["w1", "w2"]);
+    let lapsed = harness.let_lease_expire("w1", &["w2"]);
+    let back = harness.answer_renewal("w1", RenewalAnswer::default());
+    harness.commit(&back);
+    harness.commit(&lapsed);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.replace_owner();
+    let effects = harness.answer_renewal("w2", RenewalAnswer::default());
     assert!(starts(&effects).is_empty(), "w1 may run it");
 }
 
 #[test]
-fn lapsed_worker_without_a_sign_is_forgotten() {
-    let mut bed = Bed::with_workers(&["w1", "w2"]);
-    let lapsed = bed.let_lapse("w1", &["w2"]);
-    bed.commit(&lapsed);
-    let before = bed.tick(ms(200_000));
+fn lapsed_worker_without_heartbeats_is_removed() {
+    let mut harness = Harness::with_workers(&["w1", "w2"]);
+    let lapsed = harness.let_lease_expire("w1", &["w2"]);
+    harness.commit(&lapsed);
+    let before = harness.tick(ms(200_000));
     assert_eq!(proposals(&before), vec![]);
-    let after = bed.tick(ms(60_000));
+    let after = harness.tick(ms(60_000));
     let names = vec!["w1".into()];
     assert_eq!(proposals(&after), vec![Command::RemoveWorkers { names }]);
 }
 
 #[test]
-fn lapsed_worker_that_beats_is_kept() {
-    let mut bed = Bed::with_workers(&["w1", "w2"]);
-    let lapsed = bed.let_lapse("w1", &["w2"]);
-    bed.commit(&lapsed);
-    bed.tick(ms(200_000));
-    bed.beat(record("w1", "a"));
-    let later = bed.tick(ms(60_000));
+fn lapsed_worker_that_sends_heartbeats_is_kept() {
+    let mut harness = Harness::with_workers(&["w1", "w2"]);
+    let lapsed = harness.let_lease_expire("w1", &["w2"]);
+    harness.commit(&lapsed);
+    harness.tick(ms(200_000));
+    harness.heartbeat(record("w1", "a"));
+    let later = harness.tick(ms(60_000));
     assert_eq!(proposals(&later), vec![]);
 }
 
 #[test]
 fn new_life_ends_the_earlier_one_of_its_machine() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    bed.submit(1, vec![step(1, 1_000)]);
-    bed.now += ms(10);
-    bed.beat(on_machine(record("w2", "a"), "m-w1"));
-    let back = bed.answer_renewal("w2", RenewalAnswer::default());
-    let (worker, _) = starts(&bed.commit(&back)).remove(0);
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.now += ms(10);
+    harness.heartbeat(on_machine(record("w2", "a"), "m-w1"));
+    let back = harness.answer_renewal("w2", RenewalAnswer::default());
+    let (worker, _) = starts(&harness.commit(&back)).remove(0);
     assert_eq!(&*worker, "w2", "what ran on w1 is over");
 }
 
 /// Its answer was on its way when the new life became known.
 #[test]
-fn new_life_stands_against_a_late_answer_of_the_earlier_one() {
-    let mut bed = Bed::with_workers(&[]);
-    bed.beat(on_machine(record("w1", "a"), "m"));
-    let sent_at = bed.now;
-    bed.now += ms(10);
-    bed.beat(on_machine(record("w2", "a"), "m"));
-    bed.feed(Event::RenewalAnswered {
+fn new_life_is_kept_after_a_late_answer_of_the_earlier_one() {
+    let mut harness = Harness::with_workers(&[]);
+    harness.heartbeat(on_machine(record("w1", "a"), "m"));
+    let sent_at = harness.now;
+    harness.now += ms(10);
+    harness.heartbeat(on_machine(record("w2", "a"), "m"));
+    harness.feed(Event::RenewalAnswered {
         worker: "w1".into(),
         sent_at,
         acked: 0,
         answer: RenewalAnswer::default(),
     });
-    let new = bed.answer_renewal("w2", RenewalAnswer::default());
-    bed.commit(&new);
-    let started = starts(&bed.submit(1, vec![step(1, 1_000)]));
+    let new = harness.answer_renewal("w2", RenewalAnswer::default());
+    harness.commit(&new);
+    let started = starts(&harness.submit(1, vec![step(1, 1_000)]));
     assert_eq!(&*started[0].0, "w2");
 }
 
@@ -264,34 +264,34 @@
 
 #[test]
 fn start_without_answer_is_stopped_before_another() {
-    let mut bed = Bed::new();
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    let effects = bed.answer(&worker, &order, OrderAnswer::Unknown);
+    let mut harness = Harness::new();
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    let effects = harness.answer(&worker, &order, OrderAnswer::Unknown);
     assert!(starts(&effects).is_empty(), "it may run");
     let (_, stop) = stops(&effects).remove(0);
-    bed.answer(&worker, &stop, OrderAnswer::Done);
-    bed.now += ms(10);
-    let effects = bed.answer_renewal(&worker, RenewalAnswer::default());
+    harness.answer(&worker, &stop, OrderAnswer::Done);
+    harness.now += ms(10);
+    let effects = harness.answer_renewal(&worker, RenewalAnswer::default());
     let (_, again) = starts(&effects).remove(0);
     assert!(again.run > order.run);
 }
 
 #[test]
-fn start_refused_for_room_goes_elsewhere() {
-    let mut bed = Bed::new();
-    let (worker, order) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    let effects = bed.answer(&worker, &order, OrderAnswer::NoRoom);
+fn start_refused_for_lack_of_capacity_moves_to_another_worker() {
+    let mut harness = Harness::new();
+    let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    let effects = harness.answer(&worker, &order, OrderAnswer::NoRoom);
     let (other, _) = starts(&effects).remove(0);
     assert_ne!(other, worker);
 }
 
 /// Calls without an answer may arrive, so they put off the end of a lease.
 #[test]
-fn silent_worker_gets_no_more_time() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    bed.submit(1, vec![step(1, 1_000)]);
-    bed.fail_renewal("w1");
-    let effects = bed.tick(ms(400));
+fn silent_worker_gets_no_lease_extension() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.fail_renewal("w1");
+    let effects = harness.tick(ms(400));
     let deadlines = effects.iter().filter_map(|effect| match effect {
         cleat_jobs::Effect::Renew { order, .. } => Some(order.deadline_ms),
         _ => None,
@@ -301,19 +301,19 @@
 
 #[test]
 fn silent_worker_loses_its_tasks_after_its_lease() {
-    let mut bed = Bed::new();
-    let (silent, _) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
+    let mut harness = Harness::new();
+    let (silent, _) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     let other = if &*silent == "w1" { "w2" } else { "w1" };
-    bed.fail_renewal(&silent);
+    harness.fail_renewal(&silent);
     let mut again = Vec::new();
     let mut waited = Duration::ZERO;
     while again.is_empty() && waited < ms(10_000) {
         waited += ms(100);
-        let effects = bed.tick(ms(100));
+        let effects = harness.tick(ms(100));
         assert!(starts(&effects).is_empty(), "its loss is being committed");
-        again = starts(&bed.commit(&effects));
-        bed.answer_renewal(other, RenewalAnswer::default());
-        bed.fail_renewal(&silent);
+        again = starts(&harness.commit(&effects));
+        harness.answer_renewal(other, RenewalAnswer::default());
+        harness.fail_renewal(&silent);
     }
     assert!(
         waited >= ms(4_000),
@@ -323,41 +323,41 @@
 }
 
 #[test]
-fn cancel_stops_what_runs() {
-    let mut bed = Bed::new();
-    let started = starts(&bed.submit(1, vec![step(2, 1_000)]));
+fn cancel_stops_running_tasks() {
+    let mut harness = Harness::new();
+    let started = starts(&harness.submit(1, vec![step(2, 1_000)]));
     for (worker, order) in &started {
-        bed.answer(worker, order, OrderAnswer::Done);
+        harness.answer(worker, order, OrderAnswer::Done);
     }
-    let effects = bed.apply(Command::Cancel { id: JobId(1) });
+    let effects = harness.apply(Command::Cancel { id: JobId(1) });
     assert_eq!(stops(&effects).len(), 2);
 }
 
 /// A start of a cancelled job that the worker carried out late.
 #[test]
-fn cancel_stops_what_a_worker_lists_later() {
-    let mut bed = Bed::with_workers(&["w1"]);
-    bed.submit(1, vec![step(1, 1_000)]);
-    bed.apply(Command::Cancel { id: JobId(1) });
-    bed.replace_owner();
+fn cancel_stops_runs_listed_later() {
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.submit(1, vec![step(1, 1_000)]);
+    harness.apply(Command::Cancel { id: JobId(1) });
+    harness.replace_owner();
     let listed = RenewalAnswer {
         running: vec![running(task(1, 0, 0), 1)],
         ..RenewalAnswer::default()
     };
-    let effects = bed.answer_renewal("w1", listed);
+    let effects = harness.answer_renewal("w1", listed);
     assert_eq!(stops(&effects)[0].1.task, task(1, 0, 0));
 }
 
 #[test]
-fn other_life_frees_its_tasks_at_once() {
-    let mut bed = Bed::new();
-    let (gone, _) = starts(&bed.submit(1, vec![step(1, 1_000)])).remove(0);
-    let effects = bed.feed(Event::RenewalFailed {
+fn other_life_releases_its_tasks_at_once() {
+    let mut harness = Harness::new();
+    let (gone, _) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    let effects = harness.feed(Event::RenewalFailed {
         worker: gone.clone(),
         other_life: true,
     });
     assert!(starts(&effects).is_empty(), "the crash is being committed");
-    let (other, _) = starts(&bed.commit(&effects)).remove(0);
+    let (other, _) = starts(&harness.commit(&effects)).remove(0);
     assert_ne!(other, gone);
 }
 
@@ -365,12 +365,12 @@
 /// settled.
 #[test]
 fn other_life_whose_removal_failed_is_removed_again() {
-    let mut bed = Bed::new();
-    let left = bed.feed(Event::Left {
+    let mut harness = Harness::new();
+    let left = harness.feed(Event::Left {
         worker: "w1".into(),
     });
     let command = Arc::new(proposals(&left).remove(0));
-    let again = bed.feed(Event::ProposalFailed {
+    let again = harness.feed(Event::ProposalFailed {
         command: command.clone(),
     });
     assert_eq!(proposals(&again), vec![(*command).clone()]);
@@ -382,8 +382,8 @@
         max_per_worker: Some(1),
         ..step(3, 100)
     };
-    let mut bed = Bed::new();
-    let started = starts(&bed.submit(1, vec![apart]));
+    let mut harness = Harness::new();
+    let started = starts(&harness.submit(1, vec![apart]));
     let mut workers: Vec<_> = started.into_iter().map(|(worker, _)| worker).collect();
     workers.sort();
     workers.dedup();
@@ -396,12 +396,12 @@
         gang: true,
         ..step(count, 3_000)
     };
-    let mut bed = Bed::new();
+    let mut harness = Harness::new();
     assert!(
-        starts(&bed.submit(1, vec![gang(5)])).is_empty(),
+        starts(&harness.submit(1, vec![gang(5)])).is_empty(),
         "only 4 fit"
     );
-    let started = starts(&bed.submit(2, vec![gang(4)]));
+    let started = starts(&harness.submit(2, vec![gang(4)]));
     assert_eq!(started.len(), 4);
     assert!(
         started
@@ -411,12 +411,12 @@
 }
 
 #[test]
-fn required_label_is_kept() {
+fn required_label_is_respected() {
     let needs = |label: &str| StepSpec {
         required_label: Some(label.into()),
         ..step(1, 100)
     };
-    let mut bed = Bed::new();
-    assert!(starts(&bed.submit(1, vec![needs("gpu")])).is_empty());
-    assert_eq!(starts(&bed.submit(2, vec![needs("kind")])).len(), 1);
+    let mut harness = Harness::new();
+    assert!(starts(&harness.submit(1, vec![needs("gpu")])).is_empty());
+    assert_eq!(starts(&harness.submit(2, vec![needs("kind")])).len(), 1);
 }
--- a/crates/cleat-jobs/tests/schedules.rs
+++ b/crates/cleat-jobs/tests/schedules.rs
@@ -3,12 +3,12 @@
 mod simulation;
 
 use cleat_jobs::Protections;
-use simulation::{Fault, Moment, Plan, Violation, run};
+use simulation::{Fault, JobStage, Plan, Violation, run};
 
 /// Seeds of the plans that have to hold.
 const SEEDS: u64 = 60;
 /// Seeds that are tried until a plan without a protection breaks a promise.
-const SEEDS_WITHOUT: u64 = 300;
+const SEEDS_WITHOUT_PROTECTION: u64 = 300;
 
 fn assert_holds(plan: &Plan) {
     for seed in 0..SEEDS {
@@ -18,8 +18,9 @@
     }
 }
 
-fn assert_red(plan: &Plan, expected: fn(&Violation) -> bool) {
-    let found = (0..SEEDS_WITHOUT).find_map(|seed| run(plan, seed).err().filter(expected));
+fn assert_violates(plan: &Plan, expected: fn(&Violation) -> bool) {
+    let found =
+        (0..SEEDS_WITHOUT_PROTECTION).find_map(|seed| run(plan, seed).err().filter(expected));
     assert!(
         found.is_some(),
         "the check must notice the missing protection"
@@ -99,10 +100,10 @@
 }
 
 #[test]
-fn check_notices_hidden_runs_that_do_not_count() {
+fn protection_charge_hidden_runs() {
     let mut plan = caps_and_dying_owners();
     plan.protections.charge_hidden_runs = false;
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::OverCap { .. })
     });
 }
@@ -155,7 +156,7 @@
 /// A new owner gave out the room of a run that it was stopping as a stray: a job had
 /// been cancelled while its owner died.
 #[test]
-fn schedule_room_of_a_stray() {
+fn schedule_capacity_of_a_stray() {
     let plan = shrinking_workers_and_dying_owners();
     run(&plan, 218).unwrap_or_else(|found| panic!("{found}"));
 }
@@ -170,7 +171,7 @@
 /// Starts in doubt on workers that other tasks had crashed counted against a task, and
 /// an end that came late was forgotten for a crash that was being committed.
 #[test]
-fn schedule_crashes_that_say_nothing_of_a_task() {
+fn schedule_crashes_not_caused_by_a_task() {
     run(&Plan::with(&[Fault::CrashingTasks]), 952).unwrap_or_else(|found| panic!("{found}"));
     run(&Plan::with(&[Fault::CrashingTasks]), 1914).unwrap_or_else(|found| panic!("{found}"));
     let plan = Plan::with(&[Fault::CrashingTasks, Fault::OwnerDies, Fault::WorkerCut]);
@@ -178,10 +179,10 @@
 }
 
 #[test]
-fn protection_crashes_count() {
+fn protection_count_crashes() {
     let mut plan = crashing_tasks_and_dying_owners();
     plan.protections.count_crashes = false;
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::CrashesOn { .. })
     });
 }
@@ -238,10 +239,10 @@
 /// Each fault right at each step of a job's life.
 #[test]
 fn matrix_faults_at_each_step_of_a_job() {
-    for moment in Moment::ALL {
+    for moment in JobStage::ALL {
         for fault in Fault::EACH {
             for seed in 0..12 {
-                let plan = Plan::striking_at(moment, fault);
+                let plan = Plan::injecting_at(moment, fault);
                 if let Err(violation) = run(&plan, seed) {
                     panic!("{fault:?} when {moment:?}, seed {seed}: {violation}");
                 }
@@ -257,40 +258,40 @@
 }
 
 #[test]
-fn protection_known_runs_first() {
+fn protection_await_inherited_runs() {
     let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_runs = false);
-    assert_red(&plan, runs_twice);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_inherited_ends() {
+fn protection_await_inherited_ends() {
     let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_ends = false);
-    assert_red(&plan, runs_twice);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_close_doors() {
+fn protection_stop_unanswered_starts() {
     let plan = without(&[Fault::LateOrders], |p| p.stop_unanswered_starts = false);
-    assert_red(&plan, runs_twice);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_lease_first() {
+fn protection_await_lease_expiry() {
     let plan = without(&[Fault::WorkerCut], |p| p.await_lease_expiry = false);
-    assert_red(&plan, runs_twice);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_no_blind_grants() {
+fn protection_no_lease_when_silent() {
     let plan = without(&[Fault::WorkerLost], |p| p.no_lease_when_silent = false);
-    assert_red(&plan, stuck);
+    assert_violates(&plan, stuck);
 }
 
 #[test]
-fn protection_recorded_first() {
+fn protection_record_use_before_start() {
     let faults = [Fault::OwnerDies, Fault::WorkerCut];
     let plan = without(&faults, |p| p.record_use_before_start = false);
-    assert_red(&plan, runs_twice);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
@@ -301,7 +302,7 @@
             p.stop_strays = false;
         },
     );
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::RunsCancelled { .. })
     });
 }
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -1,6 +1,6 @@
 //! What callers get where one customer sends far more than its share.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,44 +11,44 @@
     RenewalOrder, Scheduler, SchedulerConfig, SharePolicy, Size,
 };
 use indexmap::IndexMap;
-use scaffold::{customer, draft, job, record, step};
+use support::{customer, draft, job, record, step};
 
-const PACE: Duration = Duration::from_millis(10);
-const DAY: Duration = Duration::from_secs(12);
+const STEP: Duration = Duration::from_millis(10);
+const DURATION: Duration = Duration::from_secs(12);
 /// What a task takes, and how much it may take to be in time: half as much again,
 /// and 500 ms.
-const RUN: Duration = Duration::from_millis(400);
+const TASK_DURATION: Duration = Duration::from_millis(400);
 const OBJECTIVE: Duration = Duration::from_millis(1_100);
 /// Both may count on 2 jobs a second; the room is for 10.
 const SHARE: f64 = 2.0;
 
 /// A renewal that a worker holds back until it has something to tell.
-struct Held {
+struct PendingRenewal {
     order: RenewalOrder,
     sent_at: Duration,
 }
 
 /// A pool of 16 cores, and two customers.
-struct Play {
+struct Simulation {
     state: ControlState,
     owner: Scheduler,
     now: Duration,
     index: u64,
-    workers: IndexMap<Box<str>, (SimulatedWorker, Option<Held>)>,
+    workers: IndexMap<Box<str>, (SimulatedWorker, Option<PendingRenewal>)>,
     events: Vec<Event>,
-    came: IndexMap<JobId, (&'static str, Duration)>,
-    done: IndexMap<JobId, Duration>,
+    submitted_at: IndexMap<JobId, (&'static str, Duration)>,
+    completed_at: IndexMap<JobId, Duration>,
 }
 
-impl Play {
-    fn new(sharing: SharePolicy) -> Play {
-        let weighed = |name| {
+impl Simulation {
+    fn new(sharing: SharePolicy) -> Simulation {
+        let weighted_customer = |name| {
             let mut draft = customer(name, &[], 0);
             draft.customer.weight = SHARE;
             draft
         };
         let draft = Draft {
-            customers: Some(vec![weighed("large"), weighed("small")]),
+            customers: Some(vec![weighted_customer("large"), weighted_customer("small")]),
             ..draft(1)
         };
         let catalogue = Catalogue::new(draft).expect("valid");
@@ -66,32 +66,32 @@
             let model = SimulatedWorker::new(record(name, "a"), 100, 1_000);
             (Box::from(name), (model, None))
         };
-        let mut play = Play {
+        let mut simulation = Simulation {
             state,
             owner,
             now: Duration::ZERO,
             index: 3,
             workers: names.map(worker).collect(),
             events: Vec::new(),
-            came: IndexMap::new(),
-            done: IndexMap::new(),
+            submitted_at: IndexMap::new(),
+            completed_at: IndexMap::new(),
         };
-        for (model, _) in play.workers.values() {
-            play.events.push(Event::Heartbeat(Heartbeat {
+        for (model, _) in simulation.workers.values() {
+            simulation.events.push(Event::Heartbeat(Heartbeat {
                 record: model.record.clone(),
                 draining: false,
                 sequence: 1,
             }));
         }
-        play
+        simulation
     }
 
     fn submit(&mut self, customer: &'static str) {
-        let id = JobId(self.came.len() as u64);
+        let id = JobId(self.submitted_at.len() as u64);
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
         let mut step = step(4, 1_000);
-        step.estimate_ms = u64::try_from(RUN.as_millis()).expect("short");
-        self.came.insert(id, (customer, self.now));
+        step.estimate_ms = u64::try_from(TASK_DURATION.as_millis()).expect("short");
+        self.submitted_at.insert(id, (customer, self.now));
         self.apply(Command::Submit {
             id,
             queue,
@@ -106,51 +106,51 @@
         self.state.apply(self.index, command.clone());
         let command = Arc::new(command);
         self.events.push(Event::Applied { command });
-        for id in self.came.keys() {
+        for id in self.submitted_at.keys() {
             if self.state.job_state(*id) == Some(JobState::Completed) {
-                self.done.entry(*id).or_insert(self.now);
+                self.completed_at.entry(*id).or_insert(self.now);
             }
         }
     }
 
     /// Lets 10 ms pass.
-    fn pass(&mut self) {
-        self.now += PACE;
+    fn advance(&mut self) {
+        self.now += STEP;
         let wall_ms = 1 + u64::try_from(self.now.as_millis()).expect("short");
         self.events.push(Event::Tick { wall_ms });
         self.answer_renewals();
         let events = std::mem::take(&mut self.events);
         for effect in self.owner.handle(&self.state, events, self.now) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
     fn answer_renewals(&mut self) {
         let now = self.now;
-        for (name, (model, held)) in &mut self.workers {
-            let due = |held: &Held| now >= held.sent_at + held.order.wait;
+        for (name, (model, pending)) in &mut self.workers {
+            let due = |pending: &PendingRenewal| now >= pending.sent_at + pending.order.wait;
             model.advance(now);
-            let speaks = !model.ended.is_empty() || held.as_ref().is_some_and(due);
-            if let Some(answered) = held.take_if(|_| speaks) {
+            let answers = !model.ended.is_empty() || pending.as_ref().is_some_and(due);
+            if let Some(renewal) = pending.take_if(|_| answers) {
                 self.events.push(Event::RenewalAnswered {
                     worker: name.clone(),
-                    sent_at: answered.sent_at,
-                    acked: answered.order.acked,
+                    sent_at: renewal.sent_at,
+                    acked: renewal.order.acked,
                     answer: model.report(now),
                 });
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
             Effect::Propose(command) => self.apply(command),
             Effect::Renew { worker, order, .. } => {
-                let (model, held) = &mut self.workers[&worker];
+                let (model, pending) = &mut self.workers[&worker];
                 model.renew(now, &order);
                 let sent_at = now;
-                *held = Some(Held { order, sent_at });
+                *pending = Some(PendingRenewal { order, sent_at });
             }
             Effect::Order {
                 worker,
@@ -160,7 +160,7 @@
             } => {
                 let planned = SimulatedRun {
                     run: order.run,
-                    ends_at: now + RUN,
+                    ends_at: now + TASK_DURATION,
                     end_kind: EndKind::Done,
                     size: Size {
                         cpu_milli: 1_000,
@@ -183,38 +183,43 @@
 
     /// Which share of a customer's jobs was done in time.
     fn in_time(&self, customer: &str) -> f64 {
-        let jobs = self.came.iter().filter(|(_, (name, _))| *name == customer);
+        let jobs = self
+            .submitted_at
+            .iter()
+            .filter(|(_, (name, _))| *name == customer);
         let (mut all, mut good) = (0.0, 0.0);
-        for (id, (_, came)) in jobs {
+        for (id, (_, submitted_at)) in jobs {
             all += 1.0;
-            let done = self.done.get(id);
-            good += f64::from(done.is_some_and(|done| *done <= *came + OBJECTIVE));
+            let completed_at = self.completed_at.get(id);
+            good += f64::from(
+                completed_at.is_some_and(|completed_at| *completed_at <= *submitted_at + OBJECTIVE),
+            );
         }
         good / all
     }
 }
 
 /// Plays customers that send so many jobs a second each.
-fn play(sharing: SharePolicy, large: u32, small: u32) -> Play {
-    let mut play = Play::new(sharing);
+fn simulate(sharing: SharePolicy, large: u32, small: u32) -> Simulation {
+    let mut simulation = Simulation::new(sharing);
     let mut tick = 0;
     let sends = |tick: u32, rate: u32| tick * rate / 100 < (tick + 1) * rate / 100;
-    while play.now < DAY {
-        play.pass();
+    while simulation.now < DURATION {
+        simulation.advance();
         // The last jobs find the time to end.
-        if play.now + OBJECTIVE * 2 < DAY {
-            (0..u32::from(sends(tick, large))).for_each(|_| play.submit("large"));
-            (0..u32::from(sends(tick, small))).for_each(|_| play.submit("small"));
+        if simulation.now + OBJECTIVE * 2 < DURATION {
+            (0..u32::from(sends(tick, large))).for_each(|_| simulation.submit("large"));
+            (0..u32::from(sends(tick, small))).for_each(|_| simulation.submit("small"));
         }
         tick += 1;
     }
-    play
+    simulation
 }
 
 #[test]
-fn share_is_kept_beside_one_that_sends_ten_times_its_own() {
-    let before = play(SharePolicy::DeadlineFirst, 20, 2);
-    let after = play(SharePolicy::ArrivalRate, 20, 2);
+fn share_is_kept_beside_a_customer_at_ten_times_its_share() {
+    let before = simulate(SharePolicy::DeadlineFirst, 20, 2);
+    let after = simulate(SharePolicy::ArrivalRate, 20, 2);
     eprintln!(
         "before {} {} after {} {}",
         before.in_time("small"),
@@ -227,31 +232,34 @@
 }
 
 #[test]
-fn share_is_kept_by_room_in_use() {
-    let after = play(SharePolicy::ResourceUse, 20, 2);
+fn share_is_kept_by_resource_use() {
+    let after = simulate(SharePolicy::ResourceUse, 20, 2);
     assert!(after.in_time("small") > 0.95, "{}", after.in_time("small"));
 }
 
 #[test]
-fn share_beyond_is_served_where_there_is_room() {
+fn excess_is_served_from_free_capacity() {
     for sharing in [
         SharePolicy::DeadlineFirst,
         SharePolicy::ArrivalRate,
         SharePolicy::ResourceUse,
     ] {
-        let play = play(sharing, 7, 2);
-        assert!(play.in_time("large") > 0.99, "{sharing:?}");
-        assert!(play.in_time("small") > 0.99, "{sharing:?}");
+        let simulation = simulate(sharing, 7, 2);
+        assert!(simulation.in_time("large") > 0.99, "{sharing:?}");
+        assert!(simulation.in_time("small") > 0.99, "{sharing:?}");
     }
 }
 
 /// Whoever sends beyond its share still has what the others leave.
 #[test]
-fn share_beyond_gets_what_others_leave() {
-    let after = play(SharePolicy::ArrivalRate, 20, 2);
-    let large = after.came.values().filter(|(name, _)| *name == "large");
+fn excess_gets_what_other_customers_leave() {
+    let after = simulate(SharePolicy::ArrivalRate, 20, 2);
+    let large = after
+        .submitted_at
+        .values()
+        .filter(|(name, _)| *name == "large");
     let served = after.in_time("large") * f64::from(u32::try_from(large.count()).expect("few"));
-    let seconds = (DAY - OBJECTIVE * 2).as_secs_f64();
+    let seconds = (DURATION - OBJECTIVE * 2).as_secs_f64();
     eprintln!("large {served} in {seconds}");
     assert!(served / seconds > 2.0 * SHARE, "{served} in {seconds} s");
 }
--- a/crates/cleat-jobs/tests/silent.rs
+++ b/crates/cleat-jobs/tests/silent.rs
@@ -1,12 +1,12 @@
 //! Workers that fell silent before a change of owner, and what has to wait for
 //! them.
 
-mod scaffold;
+mod support;
 
 use std::time::Duration;
 
 use cleat_jobs::{Command, EndKind, RenewalAnswer, StepSpec};
-use scaffold::{Bed, end, ends, proposals, running, starts, step, task};
+use support::{Harness, end, ends, proposals, running, starts, step, task};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -14,122 +14,126 @@
 
 /// `w2` leaves its renewals unanswered until the owner takes it as silent, and
 /// that is noted.
-fn let_fall_silent(bed: &mut Bed) {
-    bed.fail_renewal("w2");
-    bed.now += ms(850);
-    bed.answer_renewal("w1", RenewalAnswer::default());
-    let effects = bed.tick(ms(1));
+fn let_become_silent(harness: &mut Harness) {
+    harness.fail_renewal("w2");
+    harness.now += ms(850);
+    harness.answer_renewal("w1", RenewalAnswer::default());
+    let effects = harness.tick(ms(1));
     let noted = proposals(&effects);
     assert!(
         matches!(noted[..], [Command::WorkerSilent { .. }]),
         "{noted:?}"
     );
-    bed.commit(&effects);
+    harness.commit(&effects);
 }
 
 /// What the next owner starts once `w1` has answered it.
-fn next_owner_starts(bed: &mut Bed) -> usize {
-    bed.replace_owner();
-    starts(&bed.answer_renewal("w1", RenewalAnswer::default())).len()
+fn next_owner_starts(harness: &mut Harness) -> usize {
+    harness.replace_owner();
+    starts(&harness.answer_renewal("w1", RenewalAnswer::default())).len()
 }
 
 #[test]
-fn silent_worker_holds_up_nothing_that_came_later() {
-    let mut bed = Bed::new();
-    let_fall_silent(&mut bed);
-    bed.submit(1, vec![step(1, 1_000)]);
-    assert_eq!(next_owner_starts(&mut bed), 1, "it was given none of it");
+fn silent_worker_delays_no_later_job() {
+    let mut harness = Harness::new();
+    let_become_silent(&mut harness);
+    harness.submit(1, vec![step(1, 1_000)]);
+    assert_eq!(
+        next_owner_starts(&mut harness),
+        1,
+        "it was given none of it"
+    );
 }
 
 #[test]
-fn silent_worker_holds_up_what_came_before() {
-    let mut bed = Bed::new();
-    bed.submit(1, vec![step(1, 1_000)]);
-    let_fall_silent(&mut bed);
-    assert_eq!(next_owner_starts(&mut bed), 0, "it may run it");
+fn silent_worker_delays_earlier_jobs() {
+    let mut harness = Harness::new();
+    harness.submit(1, vec![step(1, 1_000)]);
+    let_become_silent(&mut harness);
+    assert_eq!(next_owner_starts(&mut harness), 0, "it may run it");
 }
 
 /// The job is old, but its second step became ready after the worker fell
 /// silent.
 #[test]
-fn silent_worker_holds_up_no_step_that_became_ready_later() {
+fn silent_worker_delays_no_step_that_became_ready_later() {
     let second = StepSpec {
         after: vec![0],
         ..step(1, 1_000)
     };
-    let mut bed = Bed::new();
-    let (on, first) = starts(&bed.submit(1, vec![step(1, 1_000), second])).remove(0);
+    let mut harness = Harness::new();
+    let (on, first) = starts(&harness.submit(1, vec![step(1, 1_000), second])).remove(0);
     assert_eq!(&*on, "w1");
-    let_fall_silent(&mut bed);
+    let_become_silent(&mut harness);
     let done = end(1, first.task, first.run.0, EndKind::Done);
-    bed.apply(ends("w1", vec![done]));
-    assert_eq!(next_owner_starts(&mut bed), 1);
+    harness.apply(ends("w1", vec![done]));
+    assert_eq!(next_owner_starts(&mut harness), 1);
 }
 
 /// A step that becomes ready in the new owner's time was started by nobody.
 #[test]
-fn worker_never_heard_holds_up_no_step_that_became_ready_since() {
+fn worker_without_contact_delays_no_step_that_became_ready_since() {
     let second = StepSpec {
         after: vec![0],
         ..step(1, 1_000)
     };
-    let mut bed = Bed::new();
-    let (_, first) = starts(&bed.submit(1, vec![step(1, 1_000), second])).remove(0);
-    bed.replace_owner();
-    bed.answer_renewal("w1", RenewalAnswer::default());
+    let mut harness = Harness::new();
+    let (_, first) = starts(&harness.submit(1, vec![step(1, 1_000), second])).remove(0);
+    harness.replace_owner();
+    harness.answer_renewal("w1", RenewalAnswer::default());
     let done = end(1, first.task, first.run.0, EndKind::Done);
-    let effects = bed.apply(ends("w1", vec![done]));
+    let effects = harness.apply(ends("w1", vec![done]));
     assert_eq!(starts(&effects)[0].1.task, task(1, 1, 0));
 }
 
 /// The next owner would take what starts there as started nowhere.
 #[test]
 fn silent_worker_is_recorded_again_before_it_gets_work() {
-    let mut bed = Bed::new();
-    let_fall_silent(&mut bed);
-    bed.submit(1, vec![step(4, 3_000)]);
-    let back = bed.answer_renewal("w2", RenewalAnswer::default());
+    let mut harness = Harness::new();
+    let_become_silent(&mut harness);
+    harness.submit(1, vec![step(4, 3_000)]);
+    let back = harness.answer_renewal("w2", RenewalAnswer::default());
     assert!(starts(&back).is_empty(), "its use is being committed");
-    assert_eq!(starts(&bed.commit(&back)).len(), 2);
+    assert_eq!(starts(&harness.commit(&back)).len(), 2);
 }
 
 #[test]
 fn silent_worker_is_recorded_again_by_the_next_owner() {
-    let mut bed = Bed::new();
-    let_fall_silent(&mut bed);
-    bed.replace_owner();
-    bed.answer_renewal("w1", RenewalAnswer::default());
-    bed.submit(1, vec![step(4, 3_000)]);
-    let back = bed.answer_renewal("w2", RenewalAnswer::default());
+    let mut harness = Harness::new();
+    let_become_silent(&mut harness);
+    harness.replace_owner();
+    harness.answer_renewal("w1", RenewalAnswer::default());
+    harness.submit(1, vec![step(4, 3_000)]);
+    let back = harness.answer_renewal("w2", RenewalAnswer::default());
     assert!(starts(&back).is_empty(), "its use is being committed");
-    assert_eq!(starts(&bed.commit(&back)).len(), 2);
+    assert_eq!(starts(&harness.commit(&back)).len(), 2);
 }
 
 /// A second owner dies as well before it heard of the worker: what the first
 /// noted still holds, and covers what the second accepted.
 #[test]
-fn silent_worker_holds_up_nothing_later_after_two_owners() {
-    let mut bed = Bed::new();
-    let_fall_silent(&mut bed);
-    bed.replace_owner();
-    bed.submit(1, vec![step(1, 1_000)]);
-    assert_eq!(next_owner_starts(&mut bed), 1);
+fn silent_worker_delays_no_later_job_after_two_owners() {
+    let mut harness = Harness::new();
+    let_become_silent(&mut harness);
+    harness.replace_owner();
+    harness.submit(1, vec![step(1, 1_000)]);
+    assert_eq!(next_owner_starts(&mut harness), 1);
 }
 
 /// It answers again and gets work before the owner dies: the note is void.
 #[test]
-fn silent_worker_that_came_back_holds_up_what_it_was_given() {
-    let mut bed = Bed::new();
-    let_fall_silent(&mut bed);
-    let back = bed.answer_renewal("w2", RenewalAnswer::default());
-    bed.commit(&back);
-    bed.submit(1, vec![step(4, 3_000)]);
-    bed.replace_owner();
+fn silent_worker_that_came_back_delays_its_new_tasks() {
+    let mut harness = Harness::new();
+    let_become_silent(&mut harness);
+    let back = harness.answer_renewal("w2", RenewalAnswer::default());
+    harness.commit(&back);
+    harness.submit(1, vec![step(4, 3_000)]);
+    harness.replace_owner();
     let listed = RenewalAnswer {
         running: vec![running(task(1, 0, 0), 1), running(task(1, 0, 1), 1)],
         ..RenewalAnswer::default()
     };
-    let effects = bed.answer_renewal("w1", listed);
+    let effects = harness.answer_renewal("w1", listed);
     assert!(starts(&effects).is_empty(), "w2 may run the others");
 }
 
@@ -137,35 +141,35 @@
 /// runs elsewhere by then.
 #[test]
 fn lapsed_worker_that_had_done_its_task_leaves_it_done() {
-    let mut bed = Bed::new();
-    let (on, first) = starts(&bed.submit(1, vec![step(2, 8_000)])).remove(0);
+    let mut harness = Harness::new();
+    let (on, first) = starts(&harness.submit(1, vec![step(2, 8_000)])).remove(0);
     let other = if *on == *"w1" { "w2" } else { "w1" };
-    let lapsed = bed.let_lapse(&on, &[other]);
-    bed.commit(&lapsed);
+    let lapsed = harness.let_lease_expire(&on, &[other]);
+    harness.commit(&lapsed);
     let answer = RenewalAnswer {
         ended: vec![end(1, first.task, first.run.0, EndKind::Done)],
         ..RenewalAnswer::default()
     };
-    let back = bed.answer_renewal(&on, answer);
-    let effects = bed.commit(&back);
+    let back = harness.answer_renewal(&on, answer);
+    let effects = harness.commit(&back);
     let again = starts(&effects).into_iter();
     let again = again.filter(|(_, order)| order.task == first.task);
     assert_eq!(again.count(), 0, "it is done");
 }
 
 fn silent_after(token: u64, uses: u32) -> bool {
-    let mut bed = Bed::new();
-    bed.apply(Command::WorkerSilent {
+    let mut harness = Harness::new();
+    harness.apply(Command::WorkerSilent {
         name: "w2".into(),
         token,
         uses,
     });
-    bed.state.workers["w2"].history.silent_at.is_some()
+    harness.state.workers["w2"].history.silent_at.is_some()
 }
 
 #[test]
 fn apply_silent_counts_for_the_current_owner_and_use_only() {
-    let token = Bed::new().owner.owner().token;
+    let token = Harness::new().owner.owner().token;
     assert!(silent_after(token, 1));
     assert!(!silent_after(token - 1, 1), "of an earlier owner");
     assert!(!silent_after(token, 0), "of an earlier use");
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -4,9 +4,9 @@
 
 use cleat_jobs::{JobId, Scheduler, TaskOrder};
 
-use super::check::Violation;
-use super::faults::looser;
+use super::faults::looser_cap;
 use super::jobs::customer_of;
+use super::violation::Violation;
 use super::world::{CAPS, FAULTS_END, MAX_ATTEMPTS, World, ms};
 
 /// How long a cancelled job may run on: late starts included.
@@ -53,21 +53,21 @@
     pub(super) fn check_cap(&mut self, order: &TaskOrder) -> Result<(), Violation> {
         let (task, now) = (order.task, self.now);
         let at = usize::try_from(task.job().0 % CAPS.len() as u64).expect("short");
-        let (mut held, mut largest) = (0, 0);
+        let (mut in_use, mut largest) = (0, 0);
         for worker in self.workers.iter_mut().filter(|worker| worker.up) {
             worker.advance(now);
             for (other, run) in &worker.runs {
                 if customer_of(other.job()) == customer_of(task.job()) {
-                    held += run.size.cpu_milli;
+                    in_use += run.size.cpu_milli;
                     largest = largest.max(run.size.cpu_milli);
                 }
             }
         }
         let mut cap = self.caps()[at];
         if now <= self.caps_before.1 {
-            cap = looser(cap, self.caps_before.0[at]);
+            cap = looser_cap(cap, self.caps_before.0[at]);
         }
-        let allowed = cap == 0 || held <= cap || (held - largest) * 2 < cap;
+        let allowed = cap == 0 || in_use <= cap || (in_use - largest) * 2 < cap;
         let ms = now.as_millis();
         allowed.then_some(()).ok_or(Violation::OverCap { task, ms })
     }
@@ -75,7 +75,7 @@
     /// A start may not bring a worker over what it offers.
     pub(super) fn check_capacity(&self, at: usize, order: &TaskOrder) -> Result<(), Violation> {
         let worker = &self.workers[at];
-        let (before, until) = self.shrunk[at];
+        let (before, until) = self.capacity_before_shrink[at];
         let mut capacity = worker.record.capacity;
         if self.now <= until {
             capacity = capacity.max_of_each(before);
@@ -103,7 +103,7 @@
     /// reachable.
     pub(super) fn check_workers(&mut self) -> Result<(), Violation> {
         let (now, ms) = (self.now, self.now.as_millis());
-        if self.now < FAULTS_END + ms_of_late_orders() + CANCEL_LIMIT || self.owner.is_none() {
+        if self.now < FAULTS_END + max_order_delay() + CANCEL_LIMIT || self.owner.is_none() {
             return Ok(());
         }
         for worker in &mut self.workers {
@@ -138,6 +138,6 @@
 }
 
 /// The latest that an order is carried out after it was sent.
-fn ms_of_late_orders() -> Duration {
+fn max_order_delay() -> Duration {
     ms(12_000)
 }
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -8,24 +8,24 @@
 
 use super::jobs::catalogue;
 use super::plan::Fault;
-use super::world::{BEAT, CAPACITY, CAPS, Happening, WORKERS, World, ms};
+use super::world::{CAPACITY, CAPS, HEARTBEAT_INTERVAL, SimEvent, WORKERS, World, ms};
 
 /// How long an order that goes as it should may be under way.
 const ORDER_UNDER_WAY: Duration = Duration::from_millis(10);
 /// How long a worker may be out of touch before what it says of itself counts.
-const CONTACT: Duration = Duration::from_secs(3);
+const MAX_CONTACT_GAP: Duration = Duration::from_secs(3);
 
 impl World {
     /// A fault of the plan comes about.
-    pub(super) fn strike(&mut self, fault: Fault) {
+    pub(super) fn inject(&mut self, fault: Fault) {
         let at = self.rng.random_range(0..WORKERS);
         match fault {
             Fault::OwnerDies => {
                 self.owner = None;
-                self.crashes.disturb(self.now);
+                self.crashes.record_owner_change(self.now);
                 self.settle_commits();
                 let delay = ms(self.rng.random_range(50..3_000));
-                self.after(delay, Happening::TakeOver);
+                self.after(delay, SimEvent::TakeOver);
             }
             Fault::WorkerCut => {
                 self.workers[at].unreachable_until =
@@ -34,12 +34,12 @@
             Fault::WorkerLost => {
                 // One stays, or nothing can be finished.
                 if at > 0 {
-                    self.go_down(at);
+                    self.crash_worker(at);
                 }
             }
             Fault::WorkerRestarts => {
                 if self.workers[at].up {
-                    self.go_down(at);
+                    self.crash_worker(at);
                     self.restart(at);
                 }
             }
@@ -63,45 +63,47 @@
             memory_mb: CAPACITY.memory_mb / parts,
             ..CAPACITY
         };
-        let (earlier, until) = self.shrunk[at];
+        let (earlier, until) = self.capacity_before_shrink[at];
         let before = match self.now <= until {
             true => before.max_of_each(earlier),
             false => before,
         };
-        self.shrunk[at] = (before, self.now + CONTACT + BEAT);
+        self.capacity_before_shrink[at] = (before, self.now + MAX_CONTACT_GAP + HEARTBEAT_INTERVAL);
     }
 
     /// A worker crashes with all that runs there.
-    fn go_down(&mut self, at: usize) {
+    fn crash_worker(&mut self, at: usize) {
         let worker = &mut self.workers[at];
         worker.advance(self.now);
         worker.up = false;
         // Nobody can tell a run whose end was not listed yet from one under way.
-        let unheard = worker
+        let unlisted = worker
             .ended
             .iter()
-            .filter(|end| end.number > self.heard[at]);
-        let unheard = unheard.map(|end| end.end.task);
-        let lost: Vec<TaskId> = worker.runs.keys().copied().chain(unheard).collect();
+            .filter(|end| end.number > self.last_listed_end[at]);
+        let unlisted = unlisted.map(|end| end.end.task);
+        let lost: Vec<TaskId> = worker.runs.keys().copied().chain(unlisted).collect();
         worker.runs.clear();
-        lost.into_iter().for_each(|task| self.crashes.note(task));
+        lost.into_iter()
+            .for_each(|task| self.crashes.record_crash(task));
     }
 
     /// A worker begins a new life.
     pub(super) fn restart(&mut self, at: usize) {
         let life = self.new_life(at);
         self.workers[at] = life;
-        self.heard[at] = 0;
+        self.last_listed_end[at] = 0;
     }
 
     /// A task crashes its worker, if it still runs there.
-    pub(super) fn crash_by(&mut self, at: usize, life: &str, task: TaskId) {
+    pub(super) fn crash_worker_by(&mut self, at: usize, life: &str, task: TaskId) {
         let worker = &self.workers[at];
-        let there = worker.up && *worker.record.name == *life && worker.runs.contains_key(&task);
-        if there {
-            self.go_down(at);
-            let away = ms(self.rng.random_range(500..3_000));
-            self.after(away, Happening::Restart(at));
+        let running_there =
+            worker.up && *worker.record.name == *life && worker.runs.contains_key(&task);
+        if running_there {
+            self.crash_worker(at);
+            let downtime = ms(self.rng.random_range(500..3_000));
+            self.after(downtime, SimEvent::Restart(at));
         }
     }
 
@@ -113,14 +115,14 @@
 
     /// Cuts the caps far below what is sent, or raises them again.
     fn change_caps(&mut self) {
-        let held = self.state.catalogue.as_ref().expect("configured");
-        let version = held.version + 1;
+        let current = self.state.catalogue.as_ref().expect("configured");
+        let version = current.version + 1;
         let mut before = self.caps();
         if self.now <= self.caps_before.1 {
             // Those of the change before are under way as well.
             let earlier = before.iter().zip(&self.caps_before.0);
             before = earlier
-                .map(|(cap, earlier)| looser(*cap, *earlier))
+                .map(|(cap, earlier)| looser_cap(*cap, *earlier))
                 .collect();
         }
         self.caps_before = (before, self.now + ORDER_UNDER_WAY);
@@ -128,7 +130,7 @@
         self.apply(Command::Configure(Arc::new(catalogue(
             version,
             &caps,
-            self.guards,
+            self.guards_capacity,
         ))));
     }
 
@@ -142,11 +144,11 @@
 
     /// What a lost owner proposed was committed, or never will be.
     fn settle_commits(&mut self) {
-        for slot in 0..self.happenings.len() {
-            if !matches!(self.happenings[slot], Some(Happening::Commit(..))) {
+        for slot in 0..self.sim_events.len() {
+            if !matches!(self.sim_events[slot], Some(SimEvent::Commit(..))) {
                 continue;
             }
-            let Some(Happening::Commit(_, command)) = self.happenings[slot].take() else {
+            let Some(SimEvent::Commit(_, command)) = self.sim_events[slot].take() else {
                 continue;
             };
             if self.rng.random_bool(0.5) {
@@ -157,7 +159,7 @@
 }
 
 /// The cap of the two that allows more; 0 is no limit.
-pub(super) fn looser(cap: u64, other: u64) -> u64 {
+pub(super) fn looser_cap(cap: u64, other: u64) -> u64 {
     if cap == 0 || other == 0 {
         0
     } else {
--- a/crates/cleat-jobs/tests/simulation/jobs.rs
+++ b/crates/cleat-jobs/tests/simulation/jobs.rs
@@ -14,7 +14,7 @@
 }
 
 /// `guards` says whether workers refuse what does not fit.
-pub(super) fn catalogue(version: u64, caps: &[u64], guards: bool) -> Catalogue {
+pub(super) fn catalogue(version: u64, caps: &[u64], guards_capacity: bool) -> Catalogue {
     let queue = Queue {
         name: "queue".into(),
         host: "host".into(),
@@ -30,7 +30,7 @@
     };
     let pool = Pool {
         name: "pool".into(),
-        guards_capacity: guards,
+        guards_capacity,
         spare: false,
         health_path: "/health".into(),
     };
@@ -57,7 +57,7 @@
     Catalogue::new(draft).expect("a valid catalogue")
 }
 
-pub(super) fn spec(rng: &mut StdRng, lasts: bool) -> JobSpec {
+pub(super) fn spec(rng: &mut StdRng, is_long_running: bool) -> JobSpec {
     let steps = (0..rng.random_range(1..4u16)).map(|step| StepSpec {
         count: rng.random_range(1..6),
         size: Size {
@@ -66,12 +66,12 @@
             gpu: 0,
         },
         estimate_ms: 500,
-        after: if step > 0 && !lasts {
+        after: if step > 0 && !is_long_running {
             vec![step - 1]
         } else {
             Vec::new()
         },
-        long_running: lasts,
+        long_running: is_long_running,
         ..StepSpec::default()
     });
     JobSpec {
--- a/crates/cleat-jobs/tests/simulation/plan.rs
+++ b/crates/cleat-jobs/tests/simulation/plan.rs
@@ -60,29 +60,29 @@
 
 /// A step in the life of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Moment {
+pub(crate) enum JobStage {
     /// It was committed.
     Submitted,
     /// A start of it was sent.
-    Placed,
+    StartSent,
     /// A start of it was carried out.
     Started,
     /// A worker listed an end of it.
-    Listed,
+    EndListed,
     /// An end of it was committed.
-    Noted,
+    EndCommitted,
     /// Its cancel was committed.
     Cancelled,
 }
 
-impl Moment {
-    pub(crate) const ALL: [Moment; 6] = [
-        Moment::Submitted,
-        Moment::Placed,
-        Moment::Started,
-        Moment::Listed,
-        Moment::Noted,
-        Moment::Cancelled,
+impl JobStage {
+    pub(crate) const ALL: [JobStage; 6] = [
+        JobStage::Submitted,
+        JobStage::StartSent,
+        JobStage::Started,
+        JobStage::EndListed,
+        JobStage::EndCommitted,
+        JobStage::Cancelled,
     ];
 }
 
@@ -91,7 +91,7 @@
 pub(crate) struct Plan {
     pub(crate) faults: Vec<Fault>,
     /// A fault that strikes right at such a step, some times in a schedule.
-    pub(crate) strike: Option<(Moment, Fault)>,
+    pub(crate) injection: Option<(JobStage, Fault)>,
     pub(crate) protections: Protections,
 }
 
@@ -99,15 +99,15 @@
     pub(crate) fn with(faults: &[Fault]) -> Plan {
         Plan {
             faults: faults.to_vec(),
-            strike: None,
+            injection: None,
             protections: Protections::default(),
         }
     }
 
     /// Cancels some jobs, and strikes at each of some steps.
-    pub(crate) fn striking_at(moment: Moment, fault: Fault) -> Plan {
+    pub(crate) fn injecting_at(stage: JobStage, fault: Fault) -> Plan {
         Plan {
-            strike: Some((moment, fault)),
+            injection: Some((stage, fault)),
             ..Plan::with(&[Fault::Cancels])
         }
     }
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -15,19 +15,19 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::check::Violation;
 use super::crashes::Crashes;
 use super::jobs::{catalogue, customer_of, spec};
-use super::plan::{Fault, Moment, Plan};
+use super::plan::{Fault, JobStage, Plan};
+use super::violation::Violation;
 
 /// Faults come until then.
 pub(super) const FAULTS_END: Duration = Duration::from_secs(12);
 /// By then everything has to be finished: a lease, late orders and the work.
 const END: Duration = Duration::from_secs(60);
 const TICK: Duration = Duration::from_millis(50);
-pub(super) const BEAT: Duration = Duration::from_millis(1_500);
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How often a fault strikes at its step in one schedule.
-const STRIKES: u32 = 3;
+const INJECTIONS: u32 = 3;
 pub(super) const WORKERS: usize = 4;
 const JOBS: u64 = 12;
 pub(super) const MAX_ATTEMPTS: u32 = 3;
@@ -46,7 +46,7 @@
 }
 
 /// What happens at some time.
-pub(super) enum Happening {
+pub(super) enum SimEvent {
     Tick,
     Heartbeat(usize),
     Submit(JobId),
@@ -61,15 +61,15 @@
     Commit(u32, Command),
     Renew(u32, usize, Box<str>, RenewalOrder, Duration),
     RenewalDue(u32, usize, Box<str>, u64, Duration),
-    Order(u32, usize, Box<str>, u64, TaskOrder, Way),
-    Tell(u32, Event),
+    Order(u32, usize, Box<str>, u64, TaskOrder, Delivery),
+    Deliver(u32, Event),
 }
 
 /// How an order goes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Way {
+pub(super) enum Delivery {
     /// Soon, and its answer comes.
-    Plain,
+    Prompt,
     /// Soon, and its answer is lost.
     Unanswered,
     /// Seconds later, without an answer.
@@ -81,7 +81,7 @@
     pub(super) rng: StdRng,
     pub(super) now: Duration,
     pub(super) queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    pub(super) happenings: Vec<Option<Happening>>,
+    pub(super) sim_events: Vec<Option<SimEvent>>,
     pub(super) state: ControlState,
     index: u64,
     pub(super) owner: Option<Scheduler>,
@@ -90,21 +90,21 @@
     pub(super) accepted: IndexMap<TaskId, Run>,
     pub(super) cancelled: IndexMap<JobId, Duration>,
     /// Tasks that never succeed.
-    hopeless: Vec<JobId>,
+    always_failing: Vec<JobId>,
     /// Jobs of which one task crashes its workers.
     pub(super) crashing: Vec<JobId>,
     pub(super) crashes: Crashes,
     /// Whether the workers refuse what does not fit.
-    pub(super) guards: bool,
+    pub(super) guards_capacity: bool,
     /// What each worker offered before it shrank last, and until when a start may still
     /// reckon with that.
-    pub(super) shrunk: [(Size, Duration); WORKERS],
+    pub(super) capacity_before_shrink: [(Size, Duration); WORKERS],
     /// The number of the last end that each worker's present life has listed.
-    pub(super) heard: [u64; WORKERS],
+    pub(super) last_listed_end: [u64; WORKERS],
     /// How many runs of each job ended as failed.
     pub(super) failures: IndexMap<JobId, u32>,
     /// How often a fault still strikes at its step.
-    strikes: u32,
+    injections_left: u32,
     /// The caps that were in force before, and until when orders given under them
     /// may arrive.
     pub(super) caps_before: (Vec<u64>, Duration),
@@ -118,8 +118,8 @@
             break;
         }
         world.now = at;
-        if let Some(happening) = world.happenings[slot].take() {
-            world.happen(happening)?;
+        if let Some(sim_event) = world.sim_events[slot].take() {
+            world.dispatch(sim_event)?;
         }
     }
     world.check_end()
@@ -128,12 +128,12 @@
 impl World {
     fn new(plan: Plan, seed: u64) -> World {
         let mut world = World {
-            guards: !plan.has(Fault::WorkersShrink),
+            guards_capacity: !plan.has(Fault::WorkersShrink),
             plan,
             rng: StdRng::seed_from_u64(seed),
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            happenings: Vec::new(),
+            sim_events: Vec::new(),
             state: ControlState::default(),
             index: 1,
             owner: None,
@@ -141,13 +141,13 @@
             lives: 0,
             accepted: IndexMap::new(),
             cancelled: IndexMap::new(),
-            hopeless: Vec::new(),
+            always_failing: Vec::new(),
             crashing: Vec::new(),
             crashes: Crashes::default(),
-            shrunk: [(Size::default(), Duration::ZERO); WORKERS],
-            heard: [0; WORKERS],
+            capacity_before_shrink: [(Size::default(), Duration::ZERO); WORKERS],
+            last_listed_end: [0; WORKERS],
             failures: IndexMap::new(),
-            strikes: STRIKES,
+            injections_left: INJECTIONS,
             caps_before: (Vec::new(), Duration::ZERO),
         };
         world.begin();
@@ -163,35 +163,35 @@
         self.apply(Command::Configure(Arc::new(catalogue(
             1,
             &caps,
-            self.guards,
+            self.guards_capacity,
         ))));
         for at in 0..WORKERS {
             let worker = self.new_life(at);
             self.workers.push(worker);
-            self.after(ms(10 * at as u64), Happening::Heartbeat(at));
+            self.after(ms(10 * at as u64), SimEvent::Heartbeat(at));
         }
-        self.after(Duration::ZERO, Happening::TakeOver);
-        self.after(Duration::ZERO, Happening::Tick);
+        self.after(Duration::ZERO, SimEvent::TakeOver);
+        self.after(Duration::ZERO, SimEvent::Tick);
         for job in 0..JOBS {
             let at = ms(self.rng.random_range(100..10_000));
-            self.after(at, Happening::Submit(JobId(job)));
-            let lasts = self.lasts(JobId(job));
-            if self.plan.has(Fault::Cancels) && (lasts || self.rng.random_bool(0.4)) {
+            self.after(at, SimEvent::Submit(JobId(job)));
+            let is_long_running = self.is_long_running(JobId(job));
+            if self.plan.has(Fault::Cancels) && (is_long_running || self.rng.random_bool(0.4)) {
                 let later = at + ms(self.rng.random_range(1..3_000));
-                self.after(later, Happening::Cancel(JobId(job)));
+                self.after(later, SimEvent::Cancel(JobId(job)));
             }
         }
         let faults = self.plan.faults.clone();
         for fault in faults {
             for _ in 0..2 {
                 let at = ms(self.rng.random_range(500..12_000));
-                self.after(at, Happening::Fault(fault));
+                self.after(at, SimEvent::Fault(fault));
             }
         }
     }
 
     /// Whether a job runs until it is cancelled.
-    fn lasts(&self, id: JobId) -> bool {
+    fn is_long_running(&self, id: JobId) -> bool {
         self.plan.has(Fault::Cancels) && id.0.is_multiple_of(4)
     }
 
@@ -210,13 +210,13 @@
         };
         let percent = self.rng.random_range(98..=100);
         let mut worker = SimulatedWorker::new(record, percent, 1_000 * self.lives);
-        worker.enforces_capacity = self.guards;
+        worker.enforces_capacity = self.guards_capacity;
         worker
     }
 
-    pub(super) fn after(&mut self, delay: Duration, happening: Happening) {
-        let slot = self.happenings.len();
-        self.happenings.push(Some(happening));
+    pub(super) fn after(&mut self, delay: Duration, sim_event: SimEvent) {
+        let slot = self.sim_events.len();
+        self.sim_events.push(Some(sim_event));
         let key = (self.now + delay, slot as u64, slot);
         self.queue.push(Reverse(key));
     }
@@ -225,11 +225,11 @@
         Duration::from_micros(self.rng.random_range(200..6_000))
     }
 
-    fn happen(&mut self, happening: Happening) -> Result<(), Violation> {
-        match happening {
-            Happening::Tick => {
-                self.after(TICK, Happening::Tick);
-                if !self.in_faults() {
+    fn dispatch(&mut self, sim_event: SimEvent) -> Result<(), Violation> {
+        match sim_event {
+            SimEvent::Tick => {
+                self.after(TICK, SimEvent::Tick);
+                if !self.faults_active() {
                     // Else the largest tasks may never have a place.
                     let workers = self.workers.iter_mut();
                     workers.for_each(|worker| worker.record.capacity = CAPACITY);
@@ -238,24 +238,24 @@
                 let wall_ms = self.wall_ms();
                 self.feed(Event::Tick { wall_ms });
             }
-            Happening::Heartbeat(at) => self.beat(at),
-            Happening::Submit(id) => self.submit(id),
-            Happening::Cancel(id) => self.cancel(id),
-            Happening::Fault(fault) => self.strike(fault),
-            Happening::TakeOver => self.take_over(),
-            Happening::Crash(at, life, task) => self.crash_by(at, &life, task),
-            Happening::Restart(at) => self.restart(at),
-            Happening::Commit(ordinal, command) => self.commit(ordinal, command),
-            Happening::Renew(ordinal, at, life, order, sent) => {
+            SimEvent::Heartbeat(at) => self.heartbeat(at),
+            SimEvent::Submit(id) => self.submit(id),
+            SimEvent::Cancel(id) => self.cancel(id),
+            SimEvent::Fault(fault) => self.inject(fault),
+            SimEvent::TakeOver => self.take_over(),
+            SimEvent::Crash(at, life, task) => self.crash_worker_by(at, &life, task),
+            SimEvent::Restart(at) => self.restart(at),
+            SimEvent::Commit(ordinal, command) => self.commit(ordinal, command),
+            SimEvent::Renew(ordinal, at, life, order, sent) => {
                 self.renew(ordinal, at, life, &order, sent);
             }
-            Happening::RenewalDue(ordinal, at, life, acked, sent) => {
+            SimEvent::RenewalDue(ordinal, at, life, acked, sent) => {
                 self.renewal_due(ordinal, at, life, acked, sent);
             }
-            Happening::Order(ordinal, at, life, token, order, way) => {
-                self.order(ordinal, at, life, token, order, way)?;
+            SimEvent::Order(ordinal, at, life, token, order, delivery) => {
+                self.order(ordinal, at, life, token, order, delivery)?;
             }
-            Happening::Tell(ordinal, event) => {
+            SimEvent::Deliver(ordinal, event) => {
                 if self.ordinal() == Some(ordinal) {
                     self.feed(event);
                 }
@@ -266,18 +266,18 @@
 
     /// A step of a job's life: the plan's fault may strike, right after what
     /// goes on now. Orders that are late or lose their answer do so from then on.
-    fn reach(&mut self, moment: Moment) {
-        let Some((at, fault)) = self.plan.strike else {
+    fn reach_stage(&mut self, stage: JobStage) {
+        let Some((at, fault)) = self.plan.injection else {
             return;
         };
-        if at != moment || self.strikes == 0 || !self.rng.random_bool(0.1) {
+        if at != stage || self.injections_left == 0 || !self.rng.random_bool(0.1) {
             return;
         }
-        self.strikes -= 1;
+        self.injections_left -= 1;
         if !self.plan.has(fault) {
             self.plan.faults.push(fault);
         }
-        self.after(Duration::ZERO, Happening::Fault(fault));
+        self.after(Duration::ZERO, SimEvent::Fault(fault));
     }
 
     pub(super) fn wall_ms(&self) -> u64 {
@@ -290,9 +290,9 @@
 
     pub(super) fn apply(&mut self, command: Command) {
         match &command {
-            Command::Submit { .. } => self.reach(Moment::Submitted),
-            Command::Cancel { .. } => self.reach(Moment::Cancelled),
-            Command::Ends { .. } => self.reach(Moment::Noted),
+            Command::Submit { .. } => self.reach_stage(JobStage::Submitted),
+            Command::Cancel { .. } => self.reach_stage(JobStage::Cancelled),
+            Command::Ends { .. } => self.reach_stage(JobStage::EndCommitted),
             _ => {}
         }
         self.index += 1;
@@ -321,11 +321,11 @@
         let ordinal = owner.owner().ordinal;
         self.owner = Some(owner);
         for effect in effects {
-            self.carry_out(ordinal, effect);
+            self.execute(ordinal, effect);
         }
     }
 
-    fn carry_out(&mut self, ordinal: u32, effect: Effect) {
+    fn execute(&mut self, ordinal: u32, effect: Effect) {
         let delay = self.delay();
         match effect {
             Effect::Renew {
@@ -333,18 +333,15 @@
                 address,
                 order,
             } => {
-                let at = place(&address);
-                self.after(
-                    delay,
-                    Happening::Renew(ordinal, at, worker, order, self.now),
-                );
+                let at = worker_index(&address);
+                self.after(delay, SimEvent::Renew(ordinal, at, worker, order, self.now));
             }
             Effect::Order {
                 worker,
                 address,
                 token,
                 order,
-            } => self.send_order(ordinal, place(&address), worker, token, order),
+            } => self.send_order(ordinal, worker_index(&address), worker, token, order),
             Effect::Propose(command) => self.propose(ordinal, command),
             Effect::Fenced { .. } => self.owner = None,
             Effect::Log(_)
@@ -356,19 +353,19 @@
 
     /// A command is committed soon; or late, or never, and given up before.
     fn propose(&mut self, ordinal: u32, command: Command) {
-        if !self.plan.has(Fault::SlowCommits) || !self.in_faults() {
+        if !self.plan.has(Fault::SlowCommits) || !self.faults_active() {
             let delay = ms(self.rng.random_range(5..20));
-            return self.after(delay, Happening::Commit(ordinal, command));
+            return self.after(delay, SimEvent::Commit(ordinal, command));
         }
         let lost = self.rng.random_bool(0.1);
         if lost || self.rng.random_bool(0.2) {
             let command = Arc::new(command.clone());
             let event = Event::ProposalFailed { command };
-            self.after(ms(200), Happening::Tell(ordinal, event));
+            self.after(ms(200), SimEvent::Deliver(ordinal, event));
         }
         if !lost {
             let delay = ms(self.rng.random_range(5..600));
-            self.after(delay, Happening::Commit(ordinal, command));
+            self.after(delay, SimEvent::Commit(ordinal, command));
         }
     }
 
@@ -382,12 +379,12 @@
         order: TaskOrder,
     ) {
         if matches!(order.order, Order::Start { .. }) {
-            self.reach(Moment::Placed);
+            self.reach_stage(JobStage::StartSent);
         }
         let late =
-            self.plan.has(Fault::LateOrders) && self.in_faults() && self.rng.random_bool(0.1);
+            self.plan.has(Fault::LateOrders) && self.faults_active() && self.rng.random_bool(0.1);
         let lost =
-            self.plan.has(Fault::LostAnswers) && self.in_faults() && self.rng.random_bool(0.1);
+            self.plan.has(Fault::LostAnswers) && self.faults_active() && self.rng.random_bool(0.1);
         let delay = if late {
             ms(self.rng.random_range(2_000..12_000))
         } else {
@@ -395,49 +392,49 @@
         };
         if late || lost {
             let event = unanswered(&life, &order);
-            self.after(ms(400), Happening::Tell(ordinal, event));
+            self.after(ms(400), SimEvent::Deliver(ordinal, event));
         }
-        let way = match (late, lost) {
-            (true, _) => Way::Late,
-            (false, true) => Way::Unanswered,
-            (false, false) => Way::Plain,
+        let delivery = match (late, lost) {
+            (true, _) => Delivery::Late,
+            (false, true) => Delivery::Unanswered,
+            (false, false) => Delivery::Prompt,
         };
-        let arrives = Happening::Order(ordinal, at, life, token, order, way);
+        let arrives = SimEvent::Order(ordinal, at, life, token, order, delivery);
         self.after(delay, arrives);
     }
 
-    fn in_faults(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < FAULTS_END
     }
 
-    fn beat(&mut self, at: usize) {
-        self.after(BEAT, Happening::Heartbeat(at));
+    fn heartbeat(&mut self, at: usize) {
+        self.after(HEARTBEAT_INTERVAL, SimEvent::Heartbeat(at));
         let worker = &mut self.workers[at];
         if !worker.reachable(self.now) {
             return;
         }
         worker.sequence += 1;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             record: worker.record.clone(),
             draining: false,
             sequence: worker.sequence,
         };
-        self.feed(Event::Heartbeat(beat));
+        self.feed(Event::Heartbeat(heartbeat));
     }
 
     fn submit(&mut self, id: JobId) {
         if self.owner.is_none() {
-            return self.after(ms(300), Happening::Submit(id));
+            return self.after(ms(300), SimEvent::Submit(id));
         }
         if self.rng.random_bool(0.1) {
-            self.hopeless.push(id);
+            self.always_failing.push(id);
         }
         if self.plan.has(Fault::CrashingTasks) && id.0 % 5 == 3 {
             self.crashing.push(id);
         }
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
-        let lasts = self.lasts(id);
-        let spec = Arc::new(spec(&mut self.rng, lasts));
+        let is_long_running = self.is_long_running(id);
+        let spec = Arc::new(spec(&mut self.rng, is_long_running));
         let came_ms = self.wall_ms();
         self.apply(Command::Submit {
             id,
@@ -450,7 +447,7 @@
 
     fn cancel(&mut self, id: JobId) {
         if self.owner.is_none() || self.state.job_state(id).is_none() {
-            return self.after(ms(300), Happening::Cancel(id));
+            return self.after(ms(300), SimEvent::Cancel(id));
         }
         if self.state.job_state(id) == Some(JobState::Active) {
             self.cancelled.insert(id, self.now);
@@ -463,7 +460,7 @@
             return;
         }
         self.apply(Command::TakeOver { member: 1 });
-        self.crashes.disturb(self.now);
+        self.crashes.record_owner_change(self.now);
         let cfg = SchedulerConfig {
             protections: self.plan.protections,
             ..SchedulerConfig::default()
@@ -492,7 +489,7 @@
                 worker: life,
                 other_life: false,
             };
-            return self.after(order.wait + ms(500), Happening::Tell(ordinal, event));
+            return self.after(order.wait + ms(500), SimEvent::Deliver(ordinal, event));
         }
         if worker.record.name != life {
             let event = Event::RenewalFailed {
@@ -500,7 +497,7 @@
                 other_life: true,
             };
             let delay = self.delay();
-            return self.after(delay, Happening::Tell(ordinal, event));
+            return self.after(delay, SimEvent::Deliver(ordinal, event));
         }
         if !worker.renew(now, order) {
             return;
@@ -511,7 +508,7 @@
         } else {
             Duration::ZERO
         };
-        let due = Happening::RenewalDue(ordinal, at, life, order.acked, sent);
+        let due = SimEvent::RenewalDue(ordinal, at, life, order.acked, sent);
         self.after(wait, due);
     }
 
@@ -522,8 +519,8 @@
         let event = if worker.reachable(now) && worker.record.name == life {
             let answer = worker.report(now);
             if let Some(last) = answer.ended.last() {
-                self.heard[at] = last.number;
-                self.reach(Moment::Listed);
+                self.last_listed_end[at] = last.number;
+                self.reach_stage(JobStage::EndListed);
             }
             Event::RenewalAnswered {
                 worker: life,
@@ -537,7 +534,7 @@
                 other_life: false,
             }
         };
-        self.after(delay, Happening::Tell(ordinal, event));
+        self.after(delay, SimEvent::Deliver(ordinal, event));
     }
 
     fn order(
@@ -547,53 +544,56 @@
         life: Box<str>,
         token: u64,
         order: TaskOrder,
-        way: Way,
+        delivery: Delivery,
     ) -> Result<(), Violation> {
         let now = self.now;
         let planned = self.planned(&order);
         let worker = &mut self.workers[at];
         let answer = if !worker.reachable(now) {
             let event = unanswered(&life, &order);
-            self.after(ms(400), Happening::Tell(ordinal, event));
+            self.after(ms(400), SimEvent::Deliver(ordinal, event));
             return Ok(());
         } else if worker.record.name != life {
             OrderAnswer::OtherLife
         } else {
-            let there = worker.runs.contains_key(&order.task);
+            let already_running = worker.runs.contains_key(&order.task);
             let answer = worker.execute_order(now, token, &order, &planned);
             let started = matches!(order.order, Order::Start { .. }) && answer == OrderAnswer::Done;
-            if started && !there {
+            if started && !already_running {
                 self.check_start(at, &order)?;
                 if self.is_crashing(order.task) {
-                    if way != Way::Late {
-                        self.crashes.check(order.task, now)?;
+                    if delivery != Delivery::Late {
+                        self.crashes.check_start(order.task, now)?;
                     }
-                    let soon = ms(self.rng.random_range(1..30));
-                    self.after(soon, Happening::Crash(at, life.clone(), order.task));
+                    let delay_to_crash = ms(self.rng.random_range(1..30));
+                    self.after(
+                        delay_to_crash,
+                        SimEvent::Crash(at, life.clone(), order.task),
+                    );
                 }
-                if way != Way::Late {
+                if delivery != Delivery::Late {
                     self.check_cap(&order)?;
                     self.check_capacity(at, &order)?;
                 }
-                self.reach(Moment::Started);
+                self.reach_stage(JobStage::Started);
             }
             answer
         };
-        if way == Way::Plain {
+        if delivery == Delivery::Prompt {
             let event = Event::Ordered {
                 worker: life,
                 order,
                 answer,
             };
             let delay = self.delay();
-            self.after(delay, Happening::Tell(ordinal, event));
+            self.after(delay, SimEvent::Deliver(ordinal, event));
         }
         Ok(())
     }
 
     fn planned(&mut self, order: &TaskOrder) -> SimulatedRun {
-        let hopeless = self.hopeless.contains(&order.task.job());
-        let end_kind = if hopeless || self.rng.random_bool(0.03) {
+        let always_failing = self.always_failing.contains(&order.task.job());
+        let end_kind = if always_failing || self.rng.random_bool(0.03) {
             *self.failures.entry(order.task.job()).or_default() += 1;
             EndKind::Failed
         } else {
@@ -603,7 +603,7 @@
             Order::Start { spec, .. } => spec.steps[usize::from(order.task.step.step)].footprint(),
             _ => Size::default(),
         };
-        let span = if self.lasts(order.task.job()) {
+        let span = if self.is_long_running(order.task.job()) {
             END
         } else {
             ms(self.rng.random_range(50..1_500))
@@ -625,7 +625,7 @@
     }
 }
 
-fn place(address: &str) -> usize {
+fn worker_index(address: &str) -> usize {
     let digits = address.trim_start_matches("10.0.0.");
     let (at, _) = digits.split_once(':').expect("an address of ours");
     at.parse().expect("a number")
--- a/crates/cleat-jobs/tests/state.rs
+++ b/crates/cleat-jobs/tests/state.rs
@@ -1,6 +1,6 @@
 //! What commands do to the replicated state.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     Answer, Catalogue, Command, ControlState, Draft, EndKind, JobId, JobSpec, JobState, Queue,
     StepSpec, TaskId,
 };
-use scaffold::{catalogue, draft, end, ends, job, pool, queue, record, step, task};
+use support::{catalogue, draft, end, ends, job, pool, queue, record, step, task};
 
 fn with_job(steps: Vec<StepSpec>) -> ControlState {
     let mut state = ControlState::default();
@@ -30,7 +30,7 @@
     }
 }
 
-fn note(state: &mut ControlState, number: u64, task: TaskId, kind: EndKind) {
+fn record_end(state: &mut ControlState, number: u64, task: TaskId, kind: EndKind) {
     state.apply(
         10 + number,
         ends("w1", vec![end(number, task, number, kind)]),
@@ -40,7 +40,7 @@
 #[test]
 fn apply_submit_twice_stays_one_job() {
     let mut state = with_job(vec![step(2, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     let before = state.clone();
     let queue = state.catalogue.as_ref().expect("configured").queues[0].clone();
     let (id, spec) = (JobId(7), job(vec![step(5, 100)]));
@@ -55,38 +55,38 @@
         ..step(1, 100)
     };
     let mut state = with_job(vec![step(2, 100), second]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     assert!(!state.jobs[&JobId(7)].is_step_due(task(7, 1, 0).step));
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert!(state.jobs[&JobId(7)].is_step_due(task(7, 1, 0).step));
-    note(&mut state, 3, task(7, 1, 0), EndKind::Done);
+    record_end(&mut state, 3, task(7, 1, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
 #[test]
 fn apply_ends_listed_again_count_once() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Failed);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Failed);
     assert_eq!(
         state.job_state(JobId(7)),
         Some(JobState::Active),
         "one of two attempts"
     );
-    note(&mut state, 2, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 2, task(7, 0, 0), EndKind::Failed);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Failed));
 }
 
 /// The ends in between are still on their way: the worker must list them
 /// again, so nothing after them may be acknowledged.
 #[test]
-fn apply_ends_after_a_gap_are_not_noted() {
+fn apply_ends_after_a_gap_are_not_recorded() {
     let mut state = with_job(vec![step(2, 1_000)]);
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert_eq!(state.workers["w1"].history.noted, 0);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
@@ -100,20 +100,20 @@
         EndKind::Alone,
     ];
     for (number, kind) in (1..).zip(kinds) {
-        note(&mut state, number, task(7, 0, 0), kind);
+        record_end(&mut state, number, task(7, 0, 0), kind);
     }
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
 
 #[test]
 fn apply_ends_long_running_never_ends_the_job() {
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(1, 100)
     };
-    let mut state = with_job(vec![lasting]);
+    let mut state = with_job(vec![long_running]);
     for (number, kind) in (1..).zip([EndKind::Done, EndKind::Failed, EndKind::Failed]) {
-        note(&mut state, number, task(7, 0, 0), kind);
+        record_end(&mut state, number, task(7, 0, 0), kind);
     }
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
@@ -125,16 +125,16 @@
         ..step(3, 100)
     };
     let mut state = with_job(vec![gang]);
-    note(&mut state, 1, task(7, 0, 2), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 2), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
 #[test]
 fn apply_ends_unknown_task_changes_nothing() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 3, 0), EndKind::Done);
-    note(&mut state, 2, task(7, 0, 9), EndKind::Done);
-    note(&mut state, 3, task(8, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 3, 0), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 9), EndKind::Done);
+    record_end(&mut state, 3, task(8, 0, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
 
@@ -159,7 +159,7 @@
 #[test]
 fn apply_cancel_completed_job_stays_completed() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     let answer = state.apply(20, Command::Cancel { id: JobId(7) });
     assert_eq!(answer, Answer::Over(JobState::Completed));
 }
@@ -206,7 +206,7 @@
 #[test]
 fn snapshot_restores_everything() {
     let mut state = with_job(vec![step(2, 100)]);
-    note(&mut state, 1, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 1), EndKind::Done);
     state.apply(30, Command::TakeOver { member: 1 });
     let restored = ControlState::restore(&state.snapshot()).expect("our own bytes");
     assert_eq!(restored, state);
--- a/crates/cleat-jobs/tests/scaffold/play.rs
+++ b/crates/cleat-jobs/tests/support/crash_scenario.rs
@@ -7,17 +7,17 @@
     TaskEnd, TaskId, TaskOrder,
 };
 
-use super::{Bed, end, ended, running, starts};
+use super::{Harness, end, ended, running, starts};
 
 /// After how many crashes under a task it must not go on being started.
 pub(crate) const CRASHES_ALLOWED: usize = 3;
 /// How many starts more are too many then.
-pub(crate) const STARTS_TOO_MANY: usize = 3;
+pub(crate) const EXCESS_STARTS: usize = 3;
 /// More starts than a task may have that crashes its workers.
-pub(crate) const MOST: usize = CRASHES_ALLOWED + STARTS_TOO_MANY;
+pub(crate) const TOO_MANY_STARTS: usize = CRASHES_ALLOWED + EXCESS_STARTS;
 
 /// The task that crashes its workers.
-pub(crate) const CULPRIT: TaskId = TaskId {
+pub(crate) const CRASHING_TASK: TaskId = TaskId {
     step: StepId {
         job: JobId(1),
         occurrence: 0,
@@ -27,12 +27,12 @@
 };
 
 /// Workers of one pool, and what runs there.
-pub(crate) struct Play {
-    pub(crate) bed: Bed,
+pub(crate) struct CrashScenario {
+    pub(crate) harness: Harness,
     /// The tasks that crash each worker on which they start.
-    pub(crate) culprits: Vec<TaskId>,
+    pub(crate) crashing_tasks: Vec<TaskId>,
     /// A job whose tasks go on.
-    pub(crate) lasting: Option<JobId>,
+    pub(crate) long_running_job: Option<JobId>,
     /// How many lives there were so far.
     lives: usize,
     /// What starts are answered.
@@ -45,12 +45,12 @@
     ends: IndexMap<Box<str>, u64>,
 }
 
-impl Play {
-    pub(crate) fn new(workers: usize) -> Play {
-        let mut play = Play {
-            bed: Bed::with_workers(&[]),
-            culprits: vec![CULPRIT],
-            lasting: None,
+impl CrashScenario {
+    pub(crate) fn new(workers: usize) -> CrashScenario {
+        let mut scenario = CrashScenario {
+            harness: Harness::with_workers(&[]),
+            crashing_tasks: vec![CRASHING_TASK],
+            long_running_job: None,
             lives: 0,
             answer: OrderAnswer::Done,
             started: Vec::new(),
@@ -58,34 +58,34 @@
             ends: IndexMap::new(),
         };
         for _ in 0..workers {
-            play.new_life();
+            scenario.new_life();
         }
-        play
+        scenario
     }
 
     /// A worker begins a life of its own.
     pub(crate) fn new_life(&mut self) {
         self.lives += 1;
         let name = format!("w{}", self.lives);
-        let effects = self.bed.add_worker(&name, "a");
-        self.take(effects);
+        let effects = self.harness.add_worker(&name, "a");
+        self.process(effects);
     }
 
     pub(crate) fn submit(&mut self, id: u64, steps: Vec<StepSpec>) {
-        let effects = self.bed.submit(id, steps);
-        self.take(effects);
+        let effects = self.harness.submit(id, steps);
+        self.process(effects);
     }
 
     /// Answers starts and commits what is proposed, until nothing follows.
-    pub(crate) fn take(&mut self, mut effects: Vec<Effect>) {
+    pub(crate) fn process(&mut self, mut effects: Vec<Effect>) {
         while !effects.is_empty() {
             let mut next = Vec::new();
             for (worker, order) in starts(&effects) {
-                next.extend(self.bed.answer(&worker, &order, self.answer));
+                next.extend(self.harness.answer(&worker, &order, self.answer));
                 self.runs.insert(order.task, (worker.clone(), order.run));
                 self.started.push((worker, order));
             }
-            next.extend(self.bed.commit(&effects));
+            next.extend(self.harness.commit(&effects));
             effects = next;
         }
     }
@@ -93,14 +93,14 @@
     /// A worker crashes, and another life answers at its address.
     pub(crate) fn crash(&mut self, worker: &str) {
         self.runs.retain(|_, (at, _)| **at != *worker);
-        let effects = self.replaced(worker);
-        self.take(effects);
+        let effects = self.report_other_life(worker);
+        self.process(effects);
         self.new_life();
     }
 
     /// The owner learns that another life answers at a worker's address.
-    pub(crate) fn replaced(&mut self, worker: &str) -> Vec<Effect> {
-        self.bed.feed(Event::RenewalFailed {
+    pub(crate) fn report_other_life(&mut self, worker: &str) -> Vec<Effect> {
+        self.harness.feed(Event::RenewalFailed {
             worker: worker.into(),
             other_life: true,
         })
@@ -108,35 +108,38 @@
 
     /// All that runs is done, but for the culprits and what lasts.
     pub(crate) fn finish_others(&mut self) {
-        let others = self.runs.iter().filter(|(task, _)| !self.goes_on(task));
+        let others = self
+            .runs
+            .iter()
+            .filter(|(task, _)| !self.keeps_running(task));
         let others: Vec<_> = others.map(|(task, run)| (*task, run.clone())).collect();
         for (task, (worker, run)) in others {
             self.runs.swap_remove(&task);
             let number = self.ends.entry(worker.clone()).or_default();
             *number += 1;
             let done = end(*number, task, run.0, EndKind::Done);
-            self.list(&worker, vec![done]);
+            self.list_runs(&worker, vec![done]);
         }
     }
 
-    fn goes_on(&self, task: &TaskId) -> bool {
-        self.culprits.contains(task) || self.lasting == Some(task.job())
+    fn keeps_running(&self, task: &TaskId) -> bool {
+        self.crashing_tasks.contains(task) || self.long_running_job == Some(task.job())
     }
 
     /// A worker lists its runs, and these ends.
-    pub(crate) fn list(&mut self, worker: &str, ends: Vec<TaskEnd>) {
+    pub(crate) fn list_runs(&mut self, worker: &str, ends: Vec<TaskEnd>) {
         let here = self.runs.iter().filter(|(_, (at, _))| **at == *worker);
         let running = here.map(|(task, (_, run))| running(*task, run.0)).collect();
         let answer = RenewalAnswer {
             running,
             ..ended(ends)
         };
-        let effects = self.bed.answer_renewal(worker, answer);
-        self.take(effects);
+        let effects = self.harness.answer_renewal(worker, answer);
+        self.process(effects);
     }
 
     /// The worker on which a task was started last.
-    pub(crate) fn at(&self, task: TaskId) -> Box<str> {
+    pub(crate) fn worker_of(&self, task: TaskId) -> Box<str> {
         let mut starts = self.started.iter().rev();
         let last = starts.find(|(_, order)| order.task == task);
         last.expect("it was started").0.clone()
@@ -148,23 +151,23 @@
     }
 
     /// Lets the culprit crash its worker after each start.
-    pub(crate) fn crash_again_and_again(&mut self) {
-        for round in 0..MOST {
-            if self.starts_of(CULPRIT) <= round {
+    pub(crate) fn crash_repeatedly(&mut self) {
+        for round in 0..TOO_MANY_STARTS {
+            if self.starts_of(CRASHING_TASK) <= round {
                 return;
             }
-            let worker = self.at(CULPRIT);
+            let worker = self.worker_of(CRASHING_TASK);
             self.crash(&worker);
         }
     }
 
     pub(crate) fn state_of(&self, job: u64) -> Option<JobState> {
-        self.bed.state.job_state(JobId(job))
+        self.harness.state.job_state(JobId(job))
     }
 
     /// How many crashes under a task are in the replicated state.
     pub(crate) fn crashes(&self, task: TaskId) -> usize {
-        let job = &self.bed.state.jobs[&task.job()];
+        let job = &self.harness.state.jobs[&task.job()];
         let progress = job.progress(task.step).into_iter();
         let mut crashes = progress.flat_map(|step| step.crashes());
         crashes
--- a/crates/cleat-jobs/tests/scaffold/mod.rs
+++ b/crates/cleat-jobs/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-pub(crate) mod play;
+pub(crate) mod crash_scenario;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -138,7 +138,7 @@
 }
 
 /// A replicated state and its owner, step by step.
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) state: ControlState,
     pub(crate) owner: Scheduler,
     pub(crate) now: Duration,
@@ -147,19 +147,19 @@
     index: u64,
 }
 
-impl Bed {
+impl Harness {
     /// An owner over workers `w1` and `w2` of pool `a`, which have answered.
-    pub(crate) fn new() -> Bed {
-        Bed::with_workers(&["w1", "w2"])
+    pub(crate) fn new() -> Harness {
+        Harness::with_workers(&["w1", "w2"])
     }
 
-    pub(crate) fn with_workers(workers: &[&str]) -> Bed {
+    pub(crate) fn with_workers(workers: &[&str]) -> Harness {
         let mut state = ControlState::default();
         state.apply(1, Command::Found);
         state.apply(2, Command::Configure(catalogue(1)));
         state.apply(3, Command::TakeOver { member: 1 });
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
-        let mut bed = Bed {
+        let mut harness = Harness {
             state,
             owner: owner.expect("owned"),
             now: Duration::ZERO,
@@ -167,9 +167,9 @@
             index: 3,
         };
         for worker in workers {
-            bed.add_worker(worker, "a");
+            harness.add_worker(worker, "a");
         }
-        bed
+        harness
     }
 
     /// The next owner, which knows what is in the state only.
@@ -188,29 +188,29 @@
 
     /// A worker that beats, answers and is recorded.
     pub(crate) fn add_worker(&mut self, name: &str, pool: &str) -> Vec<Effect> {
-        self.beat(record(name, pool));
+        self.heartbeat(record(name, pool));
         let effects = self.answer_renewal(name, RenewalAnswer::default());
         self.commit(&effects)
     }
 
-    pub(crate) fn beat(&mut self, record: WorkerRecord) -> Vec<Effect> {
-        let beat = Heartbeat {
+    pub(crate) fn heartbeat(&mut self, record: WorkerRecord) -> Vec<Effect> {
+        let heartbeat = Heartbeat {
             record,
             draining: false,
             sequence: 1,
         };
-        self.feed(Event::Heartbeat(beat))
+        self.feed(Event::Heartbeat(heartbeat))
     }
 
     /// A heartbeat of a known or new worker of pool `a` that is about to end, as
     /// the control instance that takes it acts on it.
-    pub(crate) fn beat_draining(&mut self, name: &str, sequence: u64) -> Vec<Effect> {
-        let beat = Heartbeat {
+    pub(crate) fn heartbeat_draining(&mut self, name: &str, sequence: u64) -> Vec<Effect> {
+        let heartbeat = Heartbeat {
             record: record(name, "a"),
             draining: true,
             sequence,
         };
-        let heard = self.feed(Event::Heartbeat(beat));
+        let heard = self.feed(Event::Heartbeat(heartbeat));
         let noted = self.apply(Command::Draining { name: name.into() });
         [heard, noted].concat()
     }
@@ -223,7 +223,7 @@
 
     /// Lets a worker's lease run out while the others answer; gives what the
     /// owner does at the end.
-    pub(crate) fn let_lapse(&mut self, silent: &str, others: &[&str]) -> Vec<Effect> {
+    pub(crate) fn let_lease_expire(&mut self, silent: &str, others: &[&str]) -> Vec<Effect> {
         let mut effects = Vec::new();
         while !self.is_believed(silent, WorkerState::Lapsed) {
             self.fail_renewal(silent);
@@ -379,7 +379,7 @@
 }
 
 /// The paces among effects, with their tasks.
-pub(crate) fn paces(effects: &[Effect]) -> Vec<(TaskId, u8)> {
+pub(crate) fn throttles(effects: &[Effect]) -> Vec<(TaskId, u8)> {
     let pace = |(_, order): (Box<str>, TaskOrder)| match order.order {
         Order::Throttle(percent) => Some((order.task, percent)),
         _ => None,
@@ -401,10 +401,10 @@
 }
 
 /// Lets the platform answer a list that was asked for now.
-pub(crate) fn list_machines(bed: &mut Bed, machines: Vec<MachineView>) -> Vec<Effect> {
-    let sent_at = bed.now;
+pub(crate) fn list_machines(harness: &mut Harness, machines: Vec<MachineView>) -> Vec<Effect> {
+    let sent_at = harness.now;
     let machines = Some(machines);
-    bed.feed(Event::MachinesListed { sent_at, machines })
+    harness.feed(Event::MachinesListed { sent_at, machines })
 }
 
 /// The moves among effects, with their pools.
--- /dev/null
+++ b/crates/cleat-jobs/tests/throttle.rs
@@ -0,0 +1,95 @@
+//! Pacing work that fills beside work that serves.
+
+mod support;
+
+use std::time::Duration;
+
+use cleat_jobs::{RenewalAnswer, Run, RunningTask, StepSpec};
+use support::{Harness, starts, step, task, throttles};
+
+const TARGET_MS: u64 = 100;
+const SETTLED: Duration = Duration::from_millis(700);
+
+/// One serving and one filling task on the only worker.
+fn shared() -> Harness {
+    let serving = StepSpec {
+        long_running: true,
+        target_ms: Some(TARGET_MS),
+        ..step(1, 1_000)
+    };
+    let filling = StepSpec {
+        fills: true,
+        ..step(1, 7_500)
+    };
+    let mut harness = Harness::with_workers(&["w1"]);
+    harness.submit(1, vec![serving]);
+    let started = starts(&harness.submit(2, vec![filling]));
+    assert_eq!(
+        started.len(),
+        1,
+        "what fills needs no processor time of its own"
+    );
+    harness
+}
+
+fn list(harness: &mut Harness, tail_ms: u64, percent: u64) -> Vec<u8> {
+    harness.now += SETTLED;
+    let run = |task, percent, load| RunningTask {
+        task,
+        run: Run(1),
+        checkpoint: "".into(),
+        percent,
+        load,
+    };
+    let answer = RenewalAnswer {
+        running: vec![
+            run(task(1, 0, 0), 100, tail_ms),
+            run(task(2, 0, 0), percent, 4_000),
+        ],
+        ..RenewalAnswer::default()
+    };
+    let effects = harness.answer_renewal("w1", answer);
+    throttles(&effects)
+        .into_iter()
+        .map(|(_, percent)| percent)
+        .collect()
+}
+
+#[test]
+fn throttle_falls_before_the_target_is_reached() {
+    let mut harness = shared();
+    assert_eq!(list(&mut harness, TARGET_MS * 9 / 10, 100), vec![50]);
+    assert_eq!(list(&mut harness, TARGET_MS * 2, 50), vec![25]);
+}
+
+#[test]
+fn throttle_falls_to_zero() {
+    let mut harness = shared();
+    let mut percent = 100;
+    for _ in 0..6 {
+        if let [next] = list(&mut harness, TARGET_MS * 3, percent)[..] {
+            percent = u64::from(next);
+        }
+    }
+    assert_eq!(percent, 0);
+}
+
+#[test]
+fn throttle_rises_slowly_below_the_target() {
+    let mut harness = shared();
+    assert_eq!(list(&mut harness, TARGET_MS, 100), vec![50]);
+    assert_eq!(list(&mut harness, TARGET_MS / 4, 50), vec![65]);
+    assert_eq!(
+        list(&mut harness, TARGET_MS * 7 / 10, 65),
+        Vec::<u8>::new(),
+        "it fits"
+    );
+}
+
+#[test]
+fn throttle_waits_for_measurements_to_settle() {
+    let mut harness = shared();
+    assert_eq!(list(&mut harness, TARGET_MS, 100), vec![50]);
+    harness.now -= SETTLED;
+    assert_eq!(list(&mut harness, TARGET_MS * 2, 100), Vec::<u8>::new());
+}
