--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -1,6 +1,6 @@
-//! What the owner's decisions cost: one scheduler over a fleet of model
-//! workers on a simulated clock, with demand that rises and falls by turns.
-//! Prints processor time a start and the share of one core.
+//! Measures the processor time of the owner's decisions: one scheduler with a fleet of
+//! simulated workers on a simulated clock, where each pool in turn has a demand peak.
+//! Prints the processor time per start and per event, and the fraction of one core.
 //!
 //! `cargo run --release -p cleat-jobs --example decision_cost -- [WORKERS] [SECONDS] [CUSTOMERS]`
 
@@ -19,12 +19,13 @@
 use rand::{RngExt, SeedableRng};
 
 const POOLS: usize = 4;
-/// How long a pool's turn of high demand lasts.
+/// How long the demand peak of a pool lasts.
 const PEAK_DURATION: Duration = Duration::from_secs(5);
-/// Demand in a turn and between turns, in percent of the mean.
+/// Demand at a peak and between peaks, in percent of the mean.
 const PEAK_PERCENT: u64 = 800;
 const BASE_PERCENT: u64 = 15;
-/// Steps of eight tasks that a hundred workers are asked for on average.
+/// The mean arrival rate of jobs per hundred workers. Each job has one or two steps of
+/// eight tasks.
 const JOBS_PER_SECOND: u64 = 28;
 const CALL_LATENCY: Duration = Duration::from_millis(3);
 const COMMIT_LATENCY: Duration = Duration::from_millis(12);
@@ -55,7 +56,7 @@
     owner: Scheduler,
     workers: Vec<SimulatedWorker>,
     jobs: u64,
-    /// How many customers send the jobs in turn; none if 0.
+    /// The number of customers that submit the jobs in turn; 0 for jobs without a customer.
     customers: u64,
     starts: u64,
     events: u64,
@@ -303,7 +304,7 @@
     format!("customer{at}").into()
 }
 
-/// Customers that may have twice their part of all the room running.
+/// Customers with a cap of twice an equal share of the capacity of 350 workers.
 fn customers(count: u64) -> Vec<CustomerDraft> {
     let part = |all: u64| 2 * all * 350 / count.max(1);
     let cap = Cap(Size {
--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -1,7 +1,7 @@
-//! What it costs the owner to look after the machines of a fleet: a scheduler over
-//! idle workers, of which those of the pools go back to the spare pool, and then a pool
-//! that asks for a tenth of them. Prints processor time a tick while nothing happens,
-//! while machines go back, and while they come.
+//! Measures the processor time that the owner needs to manage the machines of a fleet. The
+//! machines of all pools are idle and move back to the spare pool; then one pool needs a
+//! tenth of them. Prints the processor time per tick without changes, while machines move
+//! back, and while machines move to the pool.
 //!
 //! `cargo run --release -p cleat-jobs --example fleet_cost -- [MACHINES]...`
 
@@ -83,7 +83,7 @@
         world
     }
 
-    /// A worker begins on a machine, and answers.
+    /// Starts a worker on a machine; it sends a heartbeat and answers a renewal.
     fn add_worker(&mut self, at: usize, life: u64) {
         let view = &self.machines[at];
         let name: Box<str> = format!("w{at}-{life}").into();
@@ -119,12 +119,13 @@
         });
     }
 
-    /// Lets all orders come to an end.
+    /// Advances the clock until all orders are settled.
     fn pass_settling_time(&mut self) {
         self.now += Duration::from_secs(7);
     }
 
-    /// Processor time a tick in microseconds, and the moves.
+    /// Runs `TICKS` ticks, and returns the processor time per tick in microseconds and the number
+    /// of moves.
     fn run_ticks(&mut self) -> (u128, usize) {
         self.decision_time = Duration::ZERO;
         self.moves = 0;
@@ -148,7 +149,7 @@
         self.execute(effects);
     }
 
-    /// Orders are carried out and commands committed at once.
+    /// Commits commands and executes orders immediately.
     fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
--- a/crates/cleat-jobs/examples/machine_bound.rs
+++ b/crates/cleat-jobs/examples/machine_bound.rs
@@ -1,15 +1,15 @@
-//! How many machine-seconds the pools had, and how few would have done.
+//! Computes the machine-seconds that the pools had, and a lower bound for what they needed.
 //!
-//! Reads the log of the owners from standard input and sums their `pool` lines, one
-//! a second for each pool. The bound is what hindsight needs: at each second as many
-//! machines as the tasks under way fill, and at least as many as a step needs that
-//! may put only so many tasks on one. It knows neither that a machine takes time to
-//! come, nor that tasks of different sizes leave room unused.
+//! Reads the log of the owners from standard input and sums their `pool` lines, one per
+//! second and pool. The bound assumes perfect foresight: in each second as many machines as
+//! the running tasks fill, and at least as many as a step with a limit of tasks per worker
+//! needs. It ignores the time that a move takes and the capacity that is left unused when
+//! tasks of different sizes share a machine.
 //!
-//! With what a move costs, in seconds of a machine, it adds how few of both would have
-//! done: each machine that a pool needs stays through a pause that is shorter than a
-//! move is dear, and else goes and comes back. The way back costs nothing, since another
-//! pool may need the machine, so no policy does with less.
+//! Given the cost of a move in machine-seconds, it also prints the fewest machine-seconds
+//! and moves: a machine stays during a pause that is shorter than the cost of a move, and
+//! otherwise leaves and returns. Leaving costs nothing, because another pool may need the
+//! machine, so no policy can need less.
 //!
 //!     cargo run --release -p cleat-jobs --example machine_bound -- [MOVE_SECONDS] < owners.log
 
@@ -18,7 +18,7 @@
 
 use serde::Deserialize;
 
-/// What a `pool` line says; other lines lack some of it.
+/// The fields of a `pool` line. Other lines lack some of them and are skipped.
 #[derive(Deserialize)]
 struct PoolLine {
     /// Milliseconds since the Unix epoch.
@@ -38,7 +38,7 @@
     machine_seconds: f64,
     bound: f64,
     waiting: u64,
-    /// How many machines were needed, by second.
+    /// The number of machines needed in each second.
     needs: BTreeMap<u64, usize>,
 }
 
@@ -57,14 +57,14 @@
             .insert(line.time_ms / 1_000, need.ceil() as usize);
     }
 
-    /// The fewest machine-seconds and moves for these needs.
+    /// The fewest machine-seconds and moves that cover `needs`.
     fn fewest(&self, move_seconds: u64) -> (u64, u64) {
         let most = self.needs.values().copied().max().unwrap_or_default();
         let each = (1..=most).map(|nth| self.fewest_for(nth, move_seconds));
         each.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
-    /// The same for the one machine that is needed while at least `nth` are.
+    /// The machine-seconds and moves of the `nth` machine, needed while `nth` or more are.
     fn fewest_for(&self, nth: usize, move_seconds: u64) -> (u64, u64) {
         let needed = self.needs.iter().filter(|(_, need)| **need >= nth);
         let mut last: Option<u64> = None;
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-/// One row: machine-seconds, their ratio, and task-seconds without a place.
+/// Prints a row: machine-seconds, their bound and ratio, and the task-seconds spent waiting.
 fn print(pool: &str, sums: &Sums) {
     let times = sums.machine_seconds / sums.bound.max(1.0);
     println!(
--- a/crates/cleat-jobs/tests/absent.rs
+++ b/crates/cleat-jobs/tests/absent.rs
@@ -1,4 +1,4 @@
-//! Workers that do not answer, and lists of machines that say why.
+//! Workers that do not answer renewals, and machine lists that show whether they are gone.
 
 mod support;
 
@@ -16,14 +16,13 @@
     MachineView { state, ..view }
 }
 
-/// A list that was asked for now.
+/// Feeds a machine list requested 100 ms later.
 fn list(harness: &mut Harness, machines: &[MachineView]) -> Vec<Effect> {
     harness.now += ms(100);
     list_machines(harness, machines.to_vec())
 }
 
-/// A new owner that has heard of `w1` and not of `w2`, on which the job's task
-/// may run.
+/// A new owner that `w1` has answered. `w2` has not, and the job's task may run on it.
 fn harness_after_takeover() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, vec![step(1, 1_000)]);
@@ -32,11 +31,14 @@
     harness
 }
 
-/// How many tasks start after this is listed twice.
+/// The number of tasks that start after the entry was listed twice.
 fn starts_after(entry: &MachineView) -> usize {
     let mut harness = harness_after_takeover();
     let first = list(&mut harness, std::slice::from_ref(entry));
-    assert!(starts(&first).is_empty(), "one list is not enough");
+    assert!(
+        starts(&first).is_empty(),
+        "a task started after a single list"
+    );
     let second = list(&mut harness, std::slice::from_ref(entry));
     starts(&second).len()
 }
@@ -60,14 +62,14 @@
     assert_eq!(starts_after(&entry), 1);
 }
 
-/// It is cut off from its owner, not from the platform.
+/// The platform still sees the worker, so it may only be cut off from its owner.
 #[test]
 fn absent_worker_that_is_listed_may_still_run_tasks() {
     let entry = machine("m-w2", MachineState::Up, Some("w2"));
     assert_eq!(starts_after(&entry), 0);
 }
 
-/// The entry does not say what the machine runs.
+/// The entry does not say which worker the machine runs.
 #[test]
 fn absent_worker_of_a_machine_that_names_no_worker_may_still_run_tasks() {
     assert_eq!(starts_after(&machine("m-w2", MachineState::Up, None)), 0);
@@ -89,7 +91,7 @@
     assert_eq!(starts_after(&machine("m-w8", MachineState::Down, None)), 0);
 }
 
-/// The list was asked for before its heartbeat came.
+/// The list was requested before the worker's first heartbeat arrived.
 #[test]
 fn absent_worker_that_joined_after_the_list_request_stays() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -104,8 +106,8 @@
     assert_eq!(harness.owner.workers().count(), 2);
 }
 
-/// Its tasks start elsewhere once it counts as silent, long before its lease is
-/// over.
+/// The worker's tasks start elsewhere once it counts as silent, long before its lease
+/// expires.
 #[test]
 fn absent_worker_loses_its_tasks_at_once() {
     let mut harness = Harness::new();
@@ -121,7 +123,10 @@
         list(&mut harness, std::slice::from_ref(&entry)),
     ]
     .concat();
-    assert!(starts(&effects).is_empty(), "the crash is being committed");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task started before the crash was committed"
+    );
     let started = starts(&harness.commit(&effects));
     assert_eq!(started.len(), 1);
     assert_eq!(&*started[0].0, other);
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -54,7 +54,7 @@
     for (worker, order) in started {
         assert_eq!(&*worker, "w2");
         let Order::Start { ticket, .. } = order.order else {
-            panic!("a start");
+            panic!("not a start order");
         };
         assert_eq!(ticket.as_deref(), Some("ticket-w2"));
     }
@@ -66,7 +66,10 @@
     let (id, asked) = advice(&submit(&mut harness, 1, 1)).remove(0);
     let effects = answer(&mut harness, id, &asked, Some(&[]));
     assert!(starts(&effects).is_empty());
-    assert!(advice(&effects).is_empty(), "it never changes");
+    assert!(
+        advice(&effects).is_empty(),
+        "refused workers were asked about again"
+    );
     let effects = harness.add_worker("w3", "a");
     assert_eq!(advice(&effects)[0].1, vec![Box::from("w3")]);
 }
@@ -85,13 +88,21 @@
     let mut harness = Harness::with_workers(&["w1"]);
     let (id, asked) = advice(&submit(&mut harness, 1, 9)).remove(0);
     let started = starts(&answer(&mut harness, id, &asked, Some(&["w1"])));
-    assert_eq!(started.len(), 8, "one waits for room");
+    assert_eq!(
+        started.len(),
+        8,
+        "not all but one of the tasks were started"
+    );
     harness.now += Duration::from_millis(VALIDITY_MS);
     let (worker, order) = &started[0];
     let effects = harness.answer(worker, order, OrderAnswer::NoRoom);
     assert!(starts(&effects).is_empty());
     let effects = harness.tick(Duration::from_secs(1));
-    assert_eq!(advice(&effects).len(), 1, "the ticket is too old");
+    assert_eq!(
+        advice(&effects).len(),
+        1,
+        "an expired ticket was not requested again"
+    );
 }
 
 #[test]
--- a/crates/cleat-jobs/tests/capacity.rs
+++ b/crates/cleat-jobs/tests/capacity.rs
@@ -9,7 +9,7 @@
 };
 use support::{Harness, draft, pool, record, running, starts, step, task};
 
-/// A heartbeat of a worker of pool `a` that offers so much.
+/// Feeds a heartbeat of a worker of pool `a` that reports this CPU capacity.
 fn heartbeat(harness: &mut Harness, name: &str, cpu_milli: u64, sequence: u64) -> Vec<Effect> {
     let mut record: WorkerRecord = record(name, "a");
     record.capacity.cpu_milli = cpu_milli;
@@ -22,7 +22,8 @@
     [heard, follows].concat()
 }
 
-/// A state whose pool `a` starts whatever it is told to start.
+/// A configuration in which the workers of pool `a` do not refuse starts beyond their
+/// capacity.
 fn pool_without_capacity_guard(version: u64) -> Command {
     let trusting = Pool {
         guards_capacity: false,
@@ -35,9 +36,9 @@
     Command::Configure(Arc::new(Catalogue::new(draft).expect("valid")))
 }
 
-/// What a worker said first was taken as what it offers for all of its life: one that
-/// had shrunk from 8 cores to 2 was given 8 all the same, and its pool does not refuse
-/// what is too much.
+/// Guards against using the capacity of a worker's first heartbeat for its whole life: a
+/// worker that had shrunk from 8 cores to 2 was assigned 8 cores of tasks, and its pool
+/// does not refuse starts beyond capacity.
 #[test]
 fn capacity_that_shrank_is_not_assigned() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -62,7 +63,7 @@
     assert_eq!(starts(&heartbeat(&mut harness, "w1", 8_000, 3)).len(), 6);
 }
 
-/// What was held up on its way says what was, not what is.
+/// A delayed heartbeat reports an outdated capacity.
 #[test]
 fn capacity_of_a_late_heartbeat_is_ignored() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -81,8 +82,8 @@
     assert_eq!(starts(&harness.submit(1, vec![step(8, 1_000)])).len(), 2);
 }
 
-/// It may have shrunk while nobody owned it. A pool that refuses what is too much
-/// needs no such care.
+/// The worker may have shrunk while there was no owner. Pools whose workers refuse starts
+/// beyond their capacity do not need to wait for a heartbeat.
 #[test]
 fn capacity_in_an_unguarded_pool_is_reported_before_the_next_owner_starts_tasks() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -93,8 +94,8 @@
     assert_eq!(starts(&heartbeat(&mut harness, "w1", 2_000, 2)).len(), 2);
 }
 
-/// A cancelled job's task runs on until its worker lists the end, and a new owner
-/// knows of it by the worker's list only.
+/// A task of a cancelled job runs until its worker lists the end. A new owner learns of
+/// the run only from the worker's list.
 #[test]
 fn capacity_of_a_run_to_be_stopped_is_not_assigned() {
     let mut harness = Harness::with_workers(&["w1"]);
--- a/crates/cleat-jobs/tests/caps.rs
+++ b/crates/cleat-jobs/tests/caps.rs
@@ -1,4 +1,4 @@
-//! What a customer may have running, and where that is in doubt.
+//! Customer caps, and how runs in an unknown state count against them.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::{Harness, customer, draft, end, ended, running, starts, step, stops, task};
 
-/// A bed of 16 cores in pool `a`, whose customer `c` may have so much running.
+/// A harness with 16 cores in pool `a` and a customer `c` with this cap.
 fn capped(cpu_milli: u64) -> Harness {
     let mut harness = Harness::new();
     configure(&mut harness, 2, cpu_milli);
@@ -40,7 +40,7 @@
     }
 }
 
-/// The worker says that it runs nothing any more and has ended these.
+/// The worker lists no runs and these ends, which are then committed.
 fn finish(harness: &mut Harness, worker: &str, ends: Vec<cleat_jobs::TaskEnd>) -> Vec<Effect> {
     let listed = harness.answer_renewal(worker, ended(ends));
     let noted = harness.commit(&listed);
@@ -55,7 +55,11 @@
         3
     );
     let other = harness.submit_for(Some("d"), 0, 2, vec![step(5, 1_000)]);
-    assert_eq!(starts(&other).len(), 5, "another customer has no cap");
+    assert_eq!(
+        starts(&other).len(),
+        5,
+        "the cap was applied to another customer"
+    );
 }
 
 #[test]
@@ -96,7 +100,11 @@
 fn cap_smaller_than_a_task_admits_one_at_a_time() {
     let mut harness = capped(1_500);
     let begun = starts(&submit(&mut harness, 1, vec![step(3, 2_000)]));
-    assert_eq!(begun.len(), 1, "it would never run otherwise");
+    assert_eq!(
+        begun.len(),
+        1,
+        "a task larger than the cap was not started alone"
+    );
 }
 
 #[test]
@@ -117,7 +125,10 @@
     assert!(starts(&doubted).is_empty());
     let (_, stop) = &stops(&doubted)[0];
     let closed = harness.answer(worker, stop, OrderAnswer::Done);
-    assert!(starts(&closed).is_empty(), "it may have ended before");
+    assert!(
+        starts(&closed).is_empty(),
+        "a task started before the worker listed its runs"
+    );
     harness.now += Duration::from_millis(50);
     let listed = harness.answer_renewal(worker, RenewalAnswer::default());
     assert_eq!(starts(&listed).len(), 1);
@@ -129,7 +140,7 @@
     let begun = starts(&submit(&mut harness, 1, vec![step(1, 1_000)]));
     let (worker, order) = &begun[0];
     let refused = harness.answer(worker, order, OrderAnswer::NoRoom);
-    assert_eq!(starts(&refused).len(), 1, "on the other worker");
+    assert_eq!(starts(&refused).len(), 1, "the refused start still counts");
 }
 
 #[test]
@@ -140,14 +151,21 @@
     harness.replace_owner();
     harness.answer_renewal("v1", RenewalAnswer::default());
     let other = harness.submit_for(Some("c"), 1, 2, vec![step(1, 1_000)]);
-    assert!(starts(&other).is_empty(), "two may run on w1 and w2");
+    assert!(
+        starts(&other).is_empty(),
+        "two runs that may exist on w1 and w2 were not counted"
+    );
     let runs = RenewalAnswer {
         running: vec![running(task(1, 0, 0), 1)],
         ..RenewalAnswer::default()
     };
     harness.answer_renewal("w1", runs);
     let heard = harness.answer_renewal("w2", RenewalAnswer::default());
-    assert_eq!(starts(&heard).len(), 1, "one of the two did not run");
+    assert_eq!(
+        starts(&heard).len(),
+        1,
+        "a run that no worker lists is still counted"
+    );
 }
 
 #[test]
@@ -164,7 +182,10 @@
     let stray = harness.answer_renewal("w1", runs);
     assert!(starts(&stray).is_empty());
     let whole = harness.answer_renewal("w2", RenewalAnswer::default());
-    assert!(starts(&whole).is_empty(), "the cancelled task runs on w1");
+    assert!(
+        starts(&whole).is_empty(),
+        "the cancelled task on w1 was not counted"
+    );
     let gone = harness.answer_renewal("w1", RenewalAnswer::default());
     assert_eq!(starts(&gone).len(), 1);
     let settled = harness.tick(Duration::from_millis(50));
--- a/crates/cleat-jobs/tests/crash_storms.rs
+++ b/crates/cleat-jobs/tests/crash_storms.rs
@@ -1,11 +1,10 @@
-//! Many tasks that crash their workers at once, beside others that do not.
+//! Many tasks that crash their workers at the same time, next to tasks that do not.
 //!
-//! Callers saw a task start six times after it had crashed three workers, and a job that
-//! had run for 30 s fail because other jobs crashed the workers beside it. Each crash had
-//! several possible culprits, and all of them were counted alike: the real ones could go
-//! on until five crashes were possible, and the innocent were given up by the same count.
-//! Evidence: in the lasting job's log one task is lost with a crashed worker for the fifth
-//! time, and the job's other tasks are stopped within 0.2 s.
+//! Guards against counting a crash equally against every task that ran on the worker. A
+//! task then started six times after it had crashed three workers, because only the fifth
+//! possible crash failed it, and a long-running job failed after 30 s because other jobs
+//! crashed its workers: one of its tasks was lost in a crash for the fifth time, and its
+//! other tasks were stopped within 0.2 s.
 
 mod support;
 
@@ -15,10 +14,10 @@
 use support::crash_scenario::{CrashScenario, TOO_MANY_STARTS};
 use support::{step, task};
 
-/// Tasks of a job, of which the first is a culprit in some.
+/// The number of tasks per job. In some jobs the first one crashes its workers.
 const TASKS_PER_JOB: u32 = 8;
 
-/// What a storm came to.
+/// A pool in which crashing and other jobs are submitted together.
 struct Storm {
     scenario: CrashScenario,
     /// The jobs whose first task crashes its workers.
@@ -27,8 +26,8 @@
 }
 
 impl Storm {
-    /// Each round brings jobs, then the workers of all culprits crash, and then the
-    /// other runs are done.
+    /// In each round, submits jobs, crashes the worker of each crashing task and ends the
+    /// other runs.
     fn run(workers: usize, crashing_tasks: u64, rounds: u64) -> Storm {
         let mut scenario = CrashScenario::new(workers);
         scenario.crashing_tasks = (1..=crashing_tasks).map(|job| task(job, 0, 0)).collect();
@@ -53,7 +52,7 @@
         storm
     }
 
-    /// Each worker crashes on which a culprit runs.
+    /// Crashes each worker on which a crashing task runs.
     fn crash_culprit_workers(&mut self) {
         let crashing_runs = self.scenario.runs.iter();
         let crashing_runs =
@@ -72,7 +71,7 @@
         self.scenario.process(effects);
     }
 
-    /// Workers list what goes on, and the rest is done.
+    /// All workers list their runs, then the runs of other tasks end.
     fn renew_all(&mut self) {
         self.scenario.harness.now += Duration::from_millis(400);
         let workers: Vec<Box<str>> = self
@@ -89,7 +88,7 @@
         self.settle();
     }
 
-    /// Lets all that goes on come to its end.
+    /// Crashes workers and ends runs until every job has ended.
     fn run_to_end(mut self) -> Storm {
         for _ in 0..200 {
             self.crash_culprit_workers();
@@ -139,10 +138,10 @@
     storm.assert_other_jobs_completed();
 }
 
-/// The job that lasts.
+/// The job whose tasks run until it is cancelled.
 const LONG_RUNNING_JOB: u64 = 500;
 
-/// What lasts is not ended because other tasks crash the workers beside it.
+/// A long-running job does not fail because other tasks crash its workers.
 #[test]
 fn storm_beside_a_long_running_job() {
     let long_running_step = StepSpec {
--- a/crates/cleat-jobs/tests/crashes.rs
+++ b/crates/cleat-jobs/tests/crashes.rs
@@ -1,11 +1,9 @@
 //! Tasks that crash each worker on which they start.
 //!
-//! Callers saw a job that never ended, and jobs beside it that lost their work
-//! again and again: each time its task started, the worker crashed and took along
-//! whatever ran there. Only ends that a worker lists as failed counted against a
-//! task; a worker that crashed lists nothing, so the task was free to start again for
-//! ever, under one owner as under the next. Evidence: before each of eight starts by
-//! one owner the log has the run before as lost with its worker, and no end of it.
+//! Guards against restarting such a task forever. Only ends that a worker lists as failed
+//! used to count against a task, and a crashed worker lists no ends. The job never ended,
+//! and each crash also lost the runs of other jobs on that worker. One owner started the
+//! task eight times, each time after its previous run was lost with the worker.
 
 mod support;
 
@@ -19,7 +17,7 @@
 use support::crash_scenario::{CRASHES_ALLOWED, CRASHING_TASK, CrashScenario, TOO_MANY_STARTS};
 use support::{list_machines, machine, moved, proposals, record, running, starts, step, task};
 
-/// Eight starts by one owner and 23 by the next, in the day that showed it.
+/// Without the crash count, one owner started the task 8 times and the next one 23 times.
 #[test]
 fn crashing_task_is_given_up() {
     let mut scenario = CrashScenario::new(4);
@@ -27,7 +25,7 @@
     scenario.crash_repeatedly();
     assert!(
         scenario.starts_of(CRASHING_TASK) < TOO_MANY_STARTS,
-        "it is started three times more after three crashes"
+        "the task was started three more times after three crashes"
     );
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
 }
@@ -69,8 +67,8 @@
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
 }
 
-/// Jobs come all the while to a pool that the culprit goes round in. Theirs are done,
-/// and no more workers crash than it takes to tell the culprit from what is beside it.
+/// Other jobs keep arriving while the crashing task moves from worker to worker. They
+/// complete, and no more workers crash than are needed to identify the crashing task.
 #[test]
 fn crashing_task_fails_no_other_job() {
     let mut scenario = CrashScenario::new(4);
@@ -99,8 +97,8 @@
     assert!(crashes <= CRASHES_ALLOWED, "{crashes} workers crashed");
 }
 
-/// Nothing tells at first which task of a worker crashed it. Packed together again,
-/// all of them would be lost again.
+/// After the first crash the cause is not known. If the worker's tasks were placed on one
+/// worker again, the next crash would lose all of them.
 #[test]
 fn crash_separates_the_tasks_of_a_worker() {
     let mut scenario = CrashScenario::new(4);
@@ -113,11 +111,16 @@
         .collect();
     now.sort();
     now.dedup();
-    assert_eq!(now.len(), 3, "each on a worker of its own");
+    assert_eq!(
+        now.len(),
+        3,
+        "tasks of a crashed worker share a worker again"
+    );
 }
 
-/// Of two tasks that were lost together neither is blamed. They start alone from then on,
-/// one after the other where there is one worker, so the next crash tells.
+/// Two tasks that were lost in the same crash are equally suspect, so neither fails. From
+/// then on each starts alone, one after the other if there is only one worker, so that the
+/// next crash identifies the cause.
 #[test]
 fn crash_under_two_tasks_blames_neither_and_separates_them() {
     let mut scenario = CrashScenario::new(1);
@@ -128,7 +131,11 @@
     scenario.crash(&worker);
     assert_eq!(scenario.state_of(1), Some(JobState::Active));
     assert_eq!(scenario.starts_of(CRASHING_TASK), 2);
-    assert_eq!(scenario.starts_of(other_task), 1, "it waits for its turn");
+    assert_eq!(
+        scenario.starts_of(other_task),
+        1,
+        "both tasks were started on the same worker"
+    );
     let worker = scenario.worker_of(CRASHING_TASK);
     scenario.crash(&worker);
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
@@ -137,8 +144,8 @@
     assert_eq!(scenario.state_of(2), Some(JobState::Completed));
 }
 
-/// A machine may crash under any run, the likelier the longer it takes: one that had
-/// been at work for a while is given up after three crashes only.
+/// A machine may crash under any run, and more likely under a longer one. A task that had
+/// run for a while fails only after three crashes.
 #[test]
 fn crash_long_after_the_start_is_weaker_evidence() {
     let mut scenario = CrashScenario::new(2);
@@ -155,7 +162,7 @@
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
 }
 
-/// A start that reached another life never began in the one that crashed.
+/// A start that reached the next life never ran in the life that crashed.
 #[test]
 fn crash_is_not_counted_for_a_start_that_reached_the_next_life() {
     let mut scenario = CrashScenario::new(1);
@@ -169,7 +176,7 @@
     assert_eq!(scenario.crashes(CRASHING_TASK), 0);
 }
 
-/// A worker that leaves, was about to, or whose machine an order took away did not
+/// A worker that leaves, was draining, or whose machine was moved to another pool did not
 /// crash.
 #[test]
 fn crash_is_not_inferred_from_a_planned_end() {
@@ -192,7 +199,7 @@
     assert_eq!(scenario.crashes(CRASHING_TASK), 0);
 }
 
-/// Lets the lease of the culprit's worker run out; gives the worker.
+/// Lets the lease of the crashing task's worker expire, and returns the worker.
 fn let_lease_expire(scenario: &mut CrashScenario) -> Box<str> {
     let worker = scenario.worker_of(CRASHING_TASK);
     let workers: Vec<Box<str>> = scenario.harness.state.workers.keys().cloned().collect();
@@ -204,7 +211,7 @@
     worker
 }
 
-/// The worker falls silent, its lease runs out, and only then another life answers.
+/// The worker stops answering, its lease expires, and only then another life answers.
 #[test]
 fn crash_detected_after_lease_expiry_is_counted() {
     let mut scenario = CrashScenario::new(4);
@@ -223,7 +230,7 @@
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
 }
 
-/// Workers that were cut off are no crashes, however often.
+/// Workers that were cut off and come back did not crash, no matter how often.
 #[test]
 fn crash_is_not_inferred_from_expired_leases() {
     let mut scenario = CrashScenario::new(4);
@@ -238,7 +245,7 @@
     assert_eq!(scenario.state_of(1), Some(JobState::Active));
 }
 
-/// Machines crash, and tasks that last see many of them.
+/// Machines crash now and then, and a long-running task experiences many crashes.
 #[test]
 fn crash_does_not_count_against_a_task_that_ran_for_long() {
     let long_running = StepSpec {
@@ -262,7 +269,8 @@
     assert_eq!(scenario.crashes(CRASHING_TASK), 0);
 }
 
-/// Its tasks wait for the commit: else the next owner would not know of the crash.
+/// The worker's tasks start again only after the crash is committed. Otherwise the next
+/// owner would not know of the crash.
 #[test]
 fn crash_is_committed_before_its_tasks_start_again() {
     let mut scenario = CrashScenario::new(2);
@@ -309,7 +317,7 @@
     assert_eq!(scenario.harness.state.snapshot(), before);
 }
 
-/// The machine starts again with another address.
+/// The machine restarts, and its next worker has another address.
 #[test]
 fn crash_detected_by_the_next_life_of_the_machine_is_counted() {
     let mut scenario = CrashScenario::new(1);
@@ -333,11 +341,11 @@
     assert_eq!(&*scenario.worker_of(CRASHING_TASK), "w9");
 }
 
-/// Two tasks were each started six times although they had crashed three workers. One
-/// of those workers had joined its pool 10 ms before: the order that had moved its
-/// machine there was still open, and the crash was put down to it. Evidence: both runs
-/// are logged as lost with a worker that is gone, not as crashed, 3 s after the move of
-/// its machine was accepted and 1.5 s after the worker had answered.
+/// Guards against attributing a crash to the move that brought the machine to the pool.
+/// That order was still open, because the worker had joined only 10 ms before. Two tasks
+/// were each started six times although they had crashed three workers: their runs counted
+/// as lost with a removed worker, not as crashed, 3 s after the move of the machine was
+/// accepted and 1.5 s after the worker had answered.
 #[test]
 fn crash_on_a_machine_that_has_just_moved_is_counted() {
     let mut scenario = CrashScenario::new(1);
--- a/crates/cleat-jobs/tests/customers.rs
+++ b/crates/cleat-jobs/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Customers in a configuration, whose a call is, and whose a job.
+//! Customers in the configuration, and which customer a call or a job belongs to.
 
 mod support;
 
@@ -170,8 +170,8 @@
 }
 
 proptest! {
-    /// Whatever the customers, a configuration is taken exactly if no name and no
-    /// key stands with two, no key is empty, and each key then leads to its own.
+    /// A configuration is accepted exactly if no two customers share a name or a key and
+    /// no key is empty. Each key then identifies its customer.
     #[test]
     fn catalogue_accepts_customers_only_without_faults(
         lists in prop::collection::vec(
--- a/crates/cleat-jobs/tests/draining.rs
+++ b/crates/cleat-jobs/tests/draining.rs
@@ -1,11 +1,11 @@
-//! Workers that said that they are about to end.
+//! Workers that reported that they are draining.
 
 mod support;
 
 use cleat_jobs::{Command, ControlState, Event, RenewalAnswer};
 use support::{Harness, record, starts, step};
 
-/// Starts of a job of one task, once the workers have answered.
+/// The workers on which a job of one task starts after these workers have answered.
 fn starts_after_answers(harness: &mut Harness, workers: &[&str]) -> Vec<Box<str>> {
     for worker in workers {
         let effects = harness.answer_renewal(worker, RenewalAnswer::default());
@@ -23,7 +23,7 @@
     assert_eq!(started, vec!["w2".into()]);
 }
 
-/// The next owner has to know before the worker's next heartbeat.
+/// The next owner knows that the worker drains before the worker's next heartbeat.
 #[test]
 fn draining_worker_takes_no_work_from_the_next_owner() {
     let mut harness = Harness::new();
@@ -33,7 +33,7 @@
     assert_eq!(started, vec!["w2".into()]);
 }
 
-/// A heartbeat that was held up on its way tells what held before.
+/// A delayed heartbeat from before the worker drained does not put it back in use.
 #[test]
 fn draining_worker_takes_no_work_after_an_earlier_heartbeat() {
     let mut harness = Harness::new();
@@ -44,7 +44,7 @@
     assert_eq!(started, vec!["w2".into()]);
 }
 
-/// Lists of machines ended its life, and it is heard of again.
+/// The worker was removed, and then sends another heartbeat.
 #[test]
 fn draining_worker_takes_no_work_when_it_becomes_known_again() {
     let mut harness = Harness::with_workers(&["w1"]);
--- a/crates/cleat-jobs/tests/durations.rs
+++ b/crates/cleat-jobs/tests/durations.rs
@@ -1,4 +1,4 @@
-//! Durations learned from tasks whose estimates are good, bad, or biased.
+//! Task durations learned from estimates that are good, bad or biased.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 const SEEDS: u64 = 20;
 const TASKS: usize = 200;
 
-/// A task's estimate and duration.
+/// The estimate and the actual duration of a task.
 struct Task {
     estimate_ms: u64,
     ran: Duration,
 }
 
-/// About a standard normal number: the sum of twelve uniform ones.
+/// An approximately standard normal sample: the sum of twelve uniform ones, less 6.
 fn normal(rng: &mut StdRng) -> f64 {
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
 
-/// Tasks whose durations differ by `spread` and whose estimates are off by
-/// `error`, both as standard deviations of logarithms.
+/// Tasks with log-normal durations and estimates. `spread` and `error` are the standard
+/// deviations of the logarithms of the duration and of the estimation error.
 fn tasks(seed: u64, spread: f64, error: f64, bias: f64) -> Vec<Task> {
     let mut rng = StdRng::seed_from_u64(seed);
     let task = |_| {
@@ -37,8 +37,8 @@
     (0..TASKS).map(task).collect()
 }
 
-/// By how much expectations are off on average, as logarithms, once half of the
-/// tasks are learned; and the estimates by themselves.
+/// The mean absolute logarithmic error of the expected durations, measured after half of
+/// the tasks were observed, and that of the estimates themselves.
 fn errors(spread: f64, error: f64, bias: f64) -> (f64, f64) {
     let (mut expected, mut estimated, mut count) = (0.0, 0.0, 0.0);
     for seed in 0..SEEDS {
@@ -83,8 +83,8 @@
     assert!(estimated > 1.0, "{estimated:.2}");
 }
 
-/// The tasks of one step share an estimate: they tell its error, and nothing of
-/// how others relate.
+/// The tasks of one step share an estimate. They show its bias, but not how durations vary
+/// with other estimates.
 #[test]
 fn expect_after_one_step_only_scales() {
     let mut durations = DurationModel::default();
--- a/crates/cleat-jobs/tests/forecast.rs
+++ b/crates/cleat-jobs/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! The forecast against load that comes by chance, in turns.
+//! The demand forecast for random arrivals with demand peaks.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use rand::{RngExt, SeedableRng};
 
 const SEEDS: u64 = 40;
-/// What one job brings: a core for a second.
+/// The usage of one job: one core for one second.
 const JOB: JobUsage = JobUsage {
     cpu_milli_ms: 1_000_000.0,
     memory_mb_ms: 1_000_000.0,
     duration_ms: 1_000.0,
 };
-/// How often the owner asks.
+/// The interval at which the owner asks for a forecast.
 const TICK: Duration = Duration::from_millis(50);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A load that changes its rate, in jobs a second, at some times.
+/// Random arrivals whose rate, in jobs per second, changes at given times.
 struct Load {
     rates: Vec<(Duration, f64)>,
     job: JobUsage,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Little, then much from 10 s to 15 s, then little again.
+    /// A low rate, a demand peak from 10 s to 15 s, then the low rate again.
     fn peak(little: f64, much: f64) -> Load {
         Load {
             rates: vec![
@@ -74,8 +74,8 @@
         forecasts
     }
 
-    /// For each seed, how long after `from` the forecast first meets a
-    /// condition; sorted.
+    /// The delay from `from` until the forecast first meets the condition, for each seed,
+    /// sorted; 5 s if it does not.
     fn delays(&self, from: Duration, condition: impl Fn(f64) -> bool) -> Vec<Duration> {
         let delay = |seed| {
             let forecasts = self.forecasts(seed, from + ms(5_000));
@@ -102,8 +102,8 @@
     assert_eq!(Arrivals::default().forecast(ms(1_000)).cpu_milli, 0);
 }
 
-/// Chance alone moves the forecast little, and seldom far: machines that it
-/// calls for are paid for.
+/// Random variation moves the forecast only a little, because each machine that it
+/// requests costs money.
 #[test]
 fn forecast_steady_load_stays_near_its_rate() {
     let (mut count, mut far) = (0, 0);
@@ -115,7 +115,10 @@
             far += u32::from(!(14.0..=27.0).contains(cores));
         }
     }
-    assert!(far * 20 < count, "{far} of {count} are off by a third");
+    assert!(
+        far * 20 < count,
+        "{far} of {count} forecasts are off by a third"
+    );
 }
 
 #[test]
@@ -129,7 +132,7 @@
     }
 }
 
-/// A move takes 1.5 s, so each tenth of a second counts.
+/// Moving a machine takes 1.5 s, so each 100 ms of delay in the forecast matters.
 #[test]
 fn forecast_demand_peak_of_many_small_jobs_is_seen_soon() {
     let load = Load::peak(0.35, 28.0);
@@ -155,8 +158,8 @@
     assert!(median(&over) <= ms(1_800), "{:?}", median(&over));
 }
 
-/// Three jobs in a bunch are a rise, but not to the rate that they had while
-/// they came: the fewer, the shorter a bunch by chance.
+/// Three jobs in quick succession indicate a higher rate, but a lower one than their
+/// spacing suggests: few jobs often arrive close together by chance.
 #[test]
 fn forecast_bunch_of_few_jobs_claims_little() {
     let mut arrivals = Arrivals::default();
@@ -166,7 +169,8 @@
     assert!(arrivals.forecast(ms(10_000)).cpu_milli <= 20_000);
 }
 
-/// Gateways held them while nobody led; they count from when callers came.
+/// Gateways held these jobs while there was no leader. They count from the time their
+/// callers sent them.
 #[test]
 fn forecast_held_jobs_count_from_when_they_came() {
     let mut arrivals = Arrivals::default();
@@ -182,10 +186,10 @@
     );
 }
 
-/// Machines came for a whole turn of jobs that take as long as the turn: three times as
-/// many as ever had work, and each went back. What comes is in full use only once jobs
-/// have come for as long as one takes. Evidence: a pool that was offered 346 machines
-/// when its tasks filled 116 at the most, for half a second's forecast.
+/// Guards against requesting machines at once for the full usage of long jobs. That usage
+/// is reached only after jobs have arrived for the duration of one job. A pool was
+/// offered 346 machines for a forecast that lasted half a second, three times the 116 at
+/// most that its tasks filled, and the others were moved back unused.
 #[test]
 fn forecast_long_jobs_add_up_as_they_come() {
     let long = JobUsage {
@@ -205,9 +209,16 @@
         let late = forecasts.iter().filter(|(at, _)| *at > ms(13_000));
         least += late.map(|(_, cores)| *cores).fold(f64::MAX, f64::min);
     }
-    // 28 jobs a second with a core each: 112 run from 4 s on, and 70 of them 2.5 s after
-    // the first has come. At first chance may add up to the whole, later take a fifth.
+    // At 28 jobs per second with a core each, 112 run from 4 s on, and 70 of them 2.5 s
+    // after the first arrived. Random variation may raise an early forecast to the full
+    // 112 cores and lower a later one by a fifth.
     let [most, least] = [most, least].map(|sum| sum / 40.0);
-    assert!(most <= 112.0, "{most} cores at the most, in the mean");
-    assert!(least >= 90.0, "{least} cores at the least, in the mean");
+    assert!(
+        most <= 112.0,
+        "{most} cores on average for the highest early forecast"
+    );
+    assert!(
+        least >= 90.0,
+        "{least} cores on average for the lowest late forecast"
+    );
 }
--- a/crates/cleat-jobs/tests/in_doubt.rs
+++ b/crates/cleat-jobs/tests/in_doubt.rs
@@ -1,4 +1,4 @@
-//! Starts without an answer of tasks that run until they are cancelled.
+//! Unanswered starts, mainly of tasks that run until they are cancelled.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use cleat_jobs::{Effect, OrderAnswer, RenewalAnswer, StepSpec, TaskOrder};
 use support::{Harness, running, starts, step, stops, task};
 
-/// Two tasks, of which one may be away.
+/// Two long-running tasks, of which one may be unavailable.
 fn long_running_step() -> StepSpec {
     StepSpec {
         long_running: true,
@@ -17,16 +17,16 @@
     }
 }
 
-/// Two starts without an answer.
+/// An owner with two unanswered starts.
 struct InDoubt {
     harness: Harness,
-    /// What the owner did about it.
+    /// The effects of the missing answers.
     effects: Vec<Effect>,
-    /// The starts, with their workers.
+    /// The start orders, with their workers.
     orders: Vec<(Box<str>, TaskOrder)>,
 }
 
-/// Both tasks are started, and neither start is answered.
+/// Starts both tasks and leaves both starts unanswered.
 fn harness_in_doubt() -> InDoubt {
     let mut harness = Harness::new();
     let orders = starts(&harness.submit(1, vec![long_running_step()]));
@@ -49,8 +49,8 @@
     }
 }
 
-/// A stop would end a task that has just begun its work, while the other may not
-/// be there either.
+/// Stopping both runs could end a task that has just begun while the other is unavailable
+/// as well.
 #[test]
 fn start_in_doubt_of_a_long_running_task_continues_if_it_runs() {
     let InDoubt {
@@ -67,7 +67,7 @@
     assert_eq!(harness.owner.running_tasks(task(1, 0, 0).job()), 2);
 }
 
-/// It may still be carried out, later than anything that is sent now.
+/// The unanswered start may still be executed later, after any order sent now.
 #[test]
 fn start_in_doubt_of_a_long_running_task_is_stopped_if_it_does_not_run() {
     let InDoubt {
@@ -78,7 +78,7 @@
     assert_eq!(
         stops(&effects),
         vec![],
-        "its worker has not listed its runs"
+        "a run was stopped before its worker listed its runs"
     );
     harness.now += Duration::from_millis(100);
     let (worker, order) = &orders[0];
@@ -87,7 +87,7 @@
     assert_eq!(stopped.len(), 1, "{stopped:?}");
     assert!(
         starts(&listed).is_empty(),
-        "not before the stop is answered"
+        "the task started before the stop was answered"
     );
     harness.answer(worker, &stopped[0].1, OrderAnswer::Old);
     harness.now += Duration::from_millis(100);
@@ -96,7 +96,7 @@
     assert!(again[0].1.run > order.run);
 }
 
-/// A list that was asked for before the start was given up says nothing of it.
+/// A list requested before the start was declared unanswered does not tell whether it runs.
 #[test]
 fn start_in_doubt_of_a_long_running_task_waits_for_a_later_list() {
     let InDoubt {
@@ -108,7 +108,7 @@
     assert_eq!(stops(&listed), vec![]);
 }
 
-/// How long the renewals among effects may wait for an end.
+/// The wait times of the renewals among the effects.
 fn waits(effects: &[Effect]) -> Vec<Duration> {
     let wait = |effect: &Effect| match effect {
         Effect::Renew { order, .. } => Some(order.wait),
@@ -117,7 +117,7 @@
     effects.iter().filter_map(wait).collect()
 }
 
-/// A task that ends by itself, whose start has no answer.
+/// A task that ends by itself and whose start is unanswered.
 fn harness_with_a_task_in_doubt() -> (Harness, Box<str>, TaskOrder) {
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
@@ -126,7 +126,8 @@
     (harness, worker, stopped[0].1.clone())
 }
 
-/// Once the stop is answered, the next list tells what became of the run.
+/// Once the stop is answered, the next list shows whether the run ended, so the renewal
+/// does not wait.
 #[test]
 fn renewal_after_an_answered_stop_does_not_wait() {
     let (mut harness, worker, stop) = harness_with_a_task_in_doubt();
@@ -135,12 +136,19 @@
     assert_eq!(waits(&next), vec![Duration::ZERO]);
     harness.now += Duration::from_millis(3);
     let settled = harness.answer_renewal(&worker, RenewalAnswer::default());
-    assert_eq!(starts(&settled).len(), 1, "it is started again");
-    assert!(waits(&settled)[0] > Duration::ZERO, "nothing is in doubt");
+    assert_eq!(
+        starts(&settled).len(),
+        1,
+        "the stopped task was not started again"
+    );
+    assert!(
+        waits(&settled)[0] > Duration::ZERO,
+        "the renewal does not wait although no start is in doubt"
+    );
 }
 
-/// While the stop has no answer, a list tells nothing, but the one that does has
-/// to be asked for soon.
+/// Until the stop is answered, a list does not settle the start, but the list after the
+/// answer has to be requested soon.
 #[test]
 fn renewal_of_a_worker_with_a_run_in_doubt_waits_briefly() {
     let (mut harness, worker, _) = harness_with_a_task_in_doubt();
--- a/crates/cleat-jobs/tests/machines.rs
+++ b/crates/cleat-jobs/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that follow the demand, and waves of maintenance.
+//! Machine moves that follow demand, and waves of maintenance.
 
 mod support;
 
@@ -26,10 +26,13 @@
     harness.submit(1, vec![step(3, 4_000)]);
     let effects = harness.tick(ms(50));
     assert_eq!(moved(&effects), vec![("m1".into(), "a".into())]);
-    assert!(moved(&harness.tick(ms(50))).is_empty(), "one is enough");
+    assert!(
+        moved(&harness.tick(ms(50))).is_empty(),
+        "a second machine was moved"
+    );
 }
 
-/// Room there is, but not enough workers to keep the tasks apart.
+/// There is enough free capacity, but too few workers for a step with `max_per_worker`.
 #[test]
 fn move_spare_machine_for_tasks_kept_apart() {
     let mut harness = harness_with_a_spare_machine();
@@ -44,11 +47,11 @@
     );
 }
 
-/// Callers saw eight of 80 lasting tasks wait for a whole day while a third of their pool
-/// was free: each took most of a worker's memory, and every worker had a bit less free.
-/// The pool's need was compared with its room in all, a tenth left unused. Evidence: the
-/// balance of the pool says for 25 s that eight tasks wait, with 1,050 of 1,376 cores
-/// free and no machine on its way.
+/// Guards against comparing a pool's need only with its total free capacity, less a tenth
+/// that is left unused. Eight of 80 long-running tasks waited a whole day while a third of
+/// the pool was free, because each needed most of a worker's memory and every worker had
+/// slightly less free. For 25 s the pool reported eight waiting tasks, 1,050 of 1,376 cores
+/// free and no machine being moved to it.
 #[test]
 fn move_machine_for_a_task_that_takes_most_of_a_worker() {
     let mut harness = Harness::with_workers(&["w1", "w2", "w3", "w4"]);
@@ -66,15 +69,16 @@
     assert_eq!(
         moved(&effects).len(),
         2,
-        "one for each, of 8 cores of which 6 are free"
+        "not one machine per task that needs more than the 6 free cores of a worker"
     );
     assert!(
         moved(&harness.tick(ms(50))).is_empty(),
-        "they are on their way"
+        "machines were requested again while others were being moved"
     );
 }
 
-/// The same where two would share a worker, and none has room for one.
+/// As above, with tasks of which two fit on one worker, but which fit into no worker's free
+/// capacity.
 #[test]
 fn move_machine_for_tasks_that_fit_in_no_free_capacity() {
     let workers = ["w1", "w2", "w3", "w4"];
@@ -85,11 +89,15 @@
     harness.submit(1, vec![step(4, 5_500)]);
     harness.submit(2, vec![step(2, 3_000)]);
     let effects = harness.tick(ms(50));
-    assert_eq!(moved(&effects).len(), 1, "2.5 of 8 cores are free on each");
+    assert_eq!(
+        moved(&effects).len(),
+        1,
+        "not one machine for two tasks of 3 cores with 2.5 of 8 cores free on each worker"
+    );
 }
 
-/// The same where the only worker with room for a task has another of its step, from
-/// which it has to be apart.
+/// As above, where the only worker with enough free capacity already runs a task of the
+/// step, which allows one task per worker.
 #[test]
 fn move_machine_for_tasks_kept_apart_where_others_fill_the_rest() {
     let workers = ["w1", "w2", "w3"];
@@ -107,23 +115,26 @@
     assert_eq!(
         moved(&effects).len(),
         1,
-        "of 24 cores 6 are free on one worker"
+        "not one machine with 6 of 24 cores free, all on one worker"
     );
 }
 
-/// No machine helps a task that is larger than all of them.
+/// A task that is larger than every machine causes no further moves.
 #[test]
 fn move_no_machine_for_a_task_that_fits_no_worker() {
     let mut harness = harness_with_a_spare_machine();
     harness.submit(1, vec![step(1, 100)]);
     harness.submit(2, vec![step(1, 9_000)]);
     let effects = harness.tick(ms(50));
-    assert!(moved(&effects).len() <= 1, "its size counts, and no more");
+    assert!(
+        moved(&effects).len() <= 1,
+        "more machines were moved than the size of the task accounts for"
+    );
     assert!(moved(&harness.tick(ms(50))).is_empty());
 }
 
-/// How many machines move at once for twenty jobs of half a core second that
-/// come at this pace, where a machine and what it has room for is 8 cores.
+/// The number of machines moved at once for twenty jobs of half a core second each that
+/// arrive at this interval. A machine has 8 cores.
 fn moves_for_twenty_jobs(interval: Duration) -> usize {
     let mut harness = Harness::with_workers(&["w1"]);
     let names: Vec<String> = (0..20).map(|at| format!("s{at}")).collect();
@@ -138,7 +149,7 @@
     moved(&harness.tick(ms(1))).len()
 }
 
-/// Twenty jobs within 80 ms tell what a whole turn of demand will need.
+/// Twenty jobs within 80 ms are enough to forecast the need of a demand peak.
 #[test]
 fn move_machines_for_a_rise_of_demand() {
     // 20 jobs of 0.5 core seconds in 77 ms are 130 cores, a machine has 8.
@@ -146,12 +157,13 @@
     assert!(moves >= 12, "{moves}");
 }
 
-/// What waits has to be done beside what goes on coming, or the pool would never
-/// catch up.
+/// Waiting tasks need machines in addition to those for arriving jobs, or the pool would
+/// never catch up.
 #[test]
 fn move_machines_for_waiting_and_arriving_jobs() {
-    // 80 jobs a second of half a core second are 40 cores, and 12 tasks of a
-    // core wait: with a tenth left unused, eight machines of 8 cores.
+    // 80 jobs per second of half a core second need 40 cores, and 12 tasks of one core
+    // wait. With a tenth left unused, that is eight machines of 8 cores, and the
+    // pool has one.
     assert_eq!(moves_for_twenty_jobs(ms(12)), 7);
 }
 
@@ -161,9 +173,16 @@
     let mut harness = Harness::with_workers(&workers);
     let fleet = workers.map(|name| machine(&format!("m-{name}"), "a", Some(name)));
     list_machines(&mut harness, fleet.to_vec());
-    assert!(moved(&harness.tick(ms(50))).is_empty(), "not at once");
+    assert!(
+        moved(&harness.tick(ms(50))).is_empty(),
+        "a machine was moved back at once"
+    );
     let back = moved(&harness.tick(ms(1_000)));
-    assert_eq!(back.len(), 1, "two stay: {back:?}");
+    assert_eq!(
+        back.len(),
+        1,
+        "not exactly one of three machines was moved back: {back:?}"
+    );
     assert_eq!(&*back[0].1, "spare");
 }
 
@@ -190,7 +209,7 @@
     assert_eq!(maintained.count(), 2);
 }
 
-/// A machine is chosen while its worker has not sent a heartbeat yet.
+/// A wave chooses a machine whose worker has not sent a heartbeat yet.
 #[test]
 fn wave_worker_that_joins_after_its_machine_was_chosen_takes_no_work() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -204,14 +223,22 @@
     harness.tick(ms(3_000));
     harness.add_worker("w2", "a");
     let first = starts(&harness.submit(1, vec![step(4, 3_000)]));
-    assert_eq!(first.len(), 4, "two on each, before it is noticed");
+    assert_eq!(
+        first.len(),
+        4,
+        "not two tasks on each worker before the next tick"
+    );
     harness.tick(ms(50));
     let next = starts(&harness.submit(2, vec![step(2, 2_000)]));
     let workers: Vec<&str> = next.iter().map(|(worker, _)| &**worker).collect();
-    assert_eq!(workers, ["w1"], "the room on w2 stays free");
+    assert_eq!(
+        workers,
+        ["w1"],
+        "a task started on the worker of a machine in the wave"
+    );
 }
 
-/// Both pools have more to do than room; one has far more.
+/// Both pools have more tasks than capacity, and pool `b` has far more.
 #[test]
 fn move_shares_machines_between_full_pools() {
     let workers = ["w1", "w2", "w3"];
@@ -223,9 +250,12 @@
     fleet.push(machine("m-w4", "b", Some("w4")));
     list_machines(&mut harness, fleet);
     let started = starts(&harness.submit(1, vec![step(6, 4_000)]));
-    assert_eq!(started.len(), 6, "the three workers are full");
+    assert_eq!(started.len(), 6, "the three workers are not full");
     harness.submit_to(1, 2, vec![step(10, 4_000)]);
-    assert!(moved(&harness.tick(ms(50))).is_empty(), "none is idle");
+    assert!(
+        moved(&harness.tick(ms(50))).is_empty(),
+        "a machine was moved although none is idle"
+    );
     let mut given = Vec::new();
     for name in workers {
         let here = started.iter().filter(|(worker, _)| **worker == *name);
@@ -239,11 +269,11 @@
         harness.confirm_renewal(name, 2, confirmed);
         given.extend(moved(&harness.tick(ms(50))));
     }
-    assert!(!given.is_empty(), "one was kept free for it");
+    assert!(!given.is_empty(), "no machine was moved to the other pool");
     assert!(given.iter().all(|(_, pool)| &**pool == "b"), "{given:?}");
 }
 
-/// A fleet that has just started: every machine is idle, and a pool lacks some.
+/// After start-up every machine of one pool is idle, and another pool needs machines.
 #[test]
 fn move_to_a_short_pool_precedes_moves_to_the_spare_pool() {
     let names: Vec<String> = (0..100).map(|at| format!("w{at}")).collect();
@@ -258,18 +288,22 @@
     harness.tick(ms(50));
     let back = moved(&harness.tick(ms(1_000)));
     assert!(back.iter().all(|(_, pool)| &**pool == "spare"), "{back:?}");
-    assert!(back.len() < 30, "all others wait: {}", back.len());
+    assert!(
+        back.len() < 30,
+        "too many machines were moved back at once: {}",
+        back.len()
+    );
     harness.submit_to(1, 1, vec![step(1, 4_000)]);
     let next = moved(&harness.tick(ms(50)));
     let pools: Vec<&str> = next.iter().map(|(_, pool)| &**pool).collect();
     assert_eq!(
         pools,
         ["b"],
-        "one at once, and no other goes back before it"
+        "the pool that needs a machine was not served first"
     );
 }
 
-/// One move where two would do: back to the spare pool, and out of it again.
+/// One move instead of two: to the spare pool, and from there to the other pool.
 #[test]
 fn move_takes_an_idle_machine_of_another_pool_before_a_spare_one() {
     let workers = ["w1", "w2", "w3", "w4"];
@@ -285,7 +319,7 @@
     assert!(name.starts_with("m-w") && &**pool == "b", "{given:?}");
 }
 
-/// A new owner has not seen enough to say that a pool needs less than it has.
+/// A new owner has not observed enough demand to conclude that a pool has idle machines.
 #[test]
 fn move_by_a_new_owner_takes_no_machine_from_other_pools() {
     let workers = ["w1", "w2", "w3", "w4"];
@@ -299,9 +333,9 @@
     assert_eq!(given, vec![("m-spare".into(), "b".into())]);
 }
 
-/// A turn of demand that ends: ten workers are full, then one job comes each
-/// 300 ms. What stays has room for each, and the other machines have gone back
-/// half a second after the last task of the turn.
+/// At the end of a demand peak ten workers are full, and then one job arrives every
+/// 300 ms. The remaining machines have free capacity for each job, and the others are moved
+/// back within half a second after the last task of the peak.
 #[test]
 fn move_after_a_demand_peak_leaves_capacity_for_later_jobs() {
     let names: Vec<String> = (0..10).map(|at| format!("w{at}")).collect();
@@ -313,7 +347,7 @@
     list_machines(&mut harness, fleet.collect());
     harness.now += ms(7_000);
     let peak = starts(&harness.submit(1, vec![step(20, 4_000)]));
-    assert_eq!(peak.len(), 20, "two on each");
+    assert_eq!(peak.len(), 20, "not two tasks on each worker");
     for name in &workers {
         let here = peak.iter().filter(|(worker, _)| **worker == **name);
         let done: Vec<_> = (1..)
@@ -324,20 +358,30 @@
         harness.apply(ends(name, done));
         harness.confirm_renewal(name, 2, RenewalAnswer::default());
     }
-    // An order without an answer is repeated, so each machine counts once.
+    // Unanswered orders are repeated, so each machine is counted once.
     let mut back = BTreeSet::new();
     for (at, job) in (10..30).enumerate() {
         if at % 6 == 0 {
             let started = starts(&harness.submit(job, vec![step(1, 4_000)]));
-            assert_eq!(started.len(), 1, "it finds room at once");
+            assert_eq!(
+                started.len(),
+                1,
+                "no free capacity for a job after the peak"
+            );
         }
         let gone = moved(&harness.tick(ms(50))).into_iter();
         back.extend(gone.map(|(name, _)| name));
         if at == 9 {
             let count = back.len();
-            assert!(count >= 6, "{count} of 10 went back in half a second");
+            assert!(
+                count >= 6,
+                "only {count} of 10 were moved back in half a second"
+            );
         }
     }
     let left = 10 - back.len();
-    assert!(left >= 2, "one with work, one free for what comes: {left}");
+    assert!(
+        left >= 2,
+        "fewer than one busy and one free machine remain: {left}"
+    );
 }
--- a/crates/cleat-jobs/tests/scheduler.rs
+++ b/crates/cleat-jobs/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Single rules of the scheduler, each with the events that need it.
+//! Individual scheduling rules, each with the events that exercise it.
 
 mod support;
 
@@ -26,7 +26,11 @@
 fn submit_beyond_free_capacity_waits() {
     let mut harness = Harness::with_workers(&["w1"]);
     let started = starts(&harness.submit(1, vec![step(3, 4_000)]));
-    assert_eq!(started.len(), 2, "8 cores hold two of 4");
+    assert_eq!(
+        started.len(),
+        2,
+        "not exactly two tasks of 4 cores were started on 8 cores"
+    );
 }
 
 #[test]
@@ -42,7 +46,7 @@
     assert_eq!(
         starts(&effects).len(),
         1,
-        "the third takes the place of the first"
+        "the third task did not start when the first ended"
     );
     let committed = proposals(&effects);
     assert!(
@@ -66,7 +70,7 @@
     assert_eq!(starts(&after)[0].1.task, task(1, 1, 0));
 }
 
-/// Two proposals of one worker's ends: the first end, and the second.
+/// Two proposals of ends of one worker: the first end, then the second.
 fn propose_two_ends(harness: &mut Harness) -> (Command, Command) {
     harness.submit(1, vec![step(2, 1_000)]);
     let first = end(1, task(1, 0, 0), 1, EndKind::Done);
@@ -83,7 +87,10 @@
     let passed = harness.apply(second.clone());
     assert_eq!(proposals(&passed), vec![second.clone()]);
     let effects = [harness.apply(first), harness.apply(second)].concat();
-    assert!(starts(&effects).is_empty(), "both tasks are done");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task that is done was started again"
+    );
     assert_eq!(harness.state.job_state(JobId(1)), Some(JobState::Completed));
 }
 
@@ -95,12 +102,15 @@
     let failed = harness.feed(Event::ProposalFailed { command });
     assert_eq!(proposals(&failed), vec![first]);
     let effects = [harness.commit(&failed), harness.apply(second)].concat();
-    assert!(starts(&effects).is_empty(), "both tasks are done");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task that is done was started again"
+    );
     assert_eq!(harness.state.job_state(JobId(1)), Some(JobState::Completed));
 }
 
-/// Its record is gone before its ends are committed, so they count for
-/// nothing: their task is started elsewhere.
+/// The worker's record is removed before its ends are committed, so the ends are ignored
+/// and their task starts elsewhere.
 #[test]
 fn ends_of_a_removed_worker_release_their_tasks() {
     let mut harness = Harness::new();
@@ -112,7 +122,7 @@
     assert_eq!(starts(&harness.commit(&proposed)).len(), 1);
 }
 
-/// They are listed to this owner by the worker, or lost with it.
+/// The worker lists these ends to the new owner, or they are lost with the worker.
 #[test]
 fn ends_of_an_earlier_owner_after_a_gap_are_not_proposed_again() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -121,7 +131,7 @@
     assert_eq!(proposals(&harness.apply(second)), vec![]);
 }
 
-/// How many jobs of the first queue are said to wait.
+/// The number of jobs of the first queue that the owner reports as waiting.
 fn waiting(harness: &Harness) -> usize {
     harness.owner.waiting_jobs(&harness.state, "host", "/q/")
 }
@@ -130,15 +140,27 @@
 fn job_waits_until_a_start_is_known_to_be_carried_out() {
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
-    assert_eq!(waiting(&harness), 1, "its start is on its way");
+    assert_eq!(
+        waiting(&harness),
+        1,
+        "the job does not count as waiting while its start is unanswered"
+    );
     harness.answer(&worker, &order, OrderAnswer::Unknown);
-    assert_eq!(waiting(&harness), 1, "its start is in doubt");
+    assert_eq!(
+        waiting(&harness),
+        1,
+        "the job does not count as waiting while its start is in doubt"
+    );
     let listed = RenewalAnswer {
         running: vec![running(order.task, order.run.0)],
         ..RenewalAnswer::default()
     };
     harness.answer_renewal(&worker, listed);
-    assert_eq!(waiting(&harness), 0, "its worker lists it");
+    assert_eq!(
+        waiting(&harness),
+        0,
+        "the job counts as waiting although its worker lists it"
+    );
 }
 
 #[test]
@@ -159,7 +181,7 @@
     assert_eq!(waiting(&harness), 0);
 }
 
-/// Neither an order that was refused nor one that came too late began it.
+/// A refused start did not begin the job.
 #[test]
 fn job_waits_after_a_refused_start() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -175,7 +197,7 @@
     assert_eq!(harness.owner.workers().count(), 0);
 }
 
-/// The next owner would not wait for what is started there.
+/// Otherwise the next owner would not wait for the tasks started on this worker.
 #[test]
 fn lapsed_worker_is_recorded_before_it_gets_work() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -183,11 +205,14 @@
     harness.commit(&lapsed);
     harness.submit(1, vec![step(1, 1_000)]);
     let back = harness.answer_renewal("w1", RenewalAnswer::default());
-    assert!(starts(&back).is_empty(), "its use is being committed");
+    assert!(
+        starts(&back).is_empty(),
+        "a task started before the use of the worker was committed"
+    );
     assert_eq!(starts(&harness.commit(&back)).len(), 1);
 }
 
-/// The note that its lease was over is committed after its new use.
+/// The expiry of the worker's lease is committed after its new use.
 #[test]
 fn lapsed_worker_late_commit_of_its_lapse_is_ignored() {
     let mut harness = Harness::with_workers(&["w1", "w2"]);
@@ -198,7 +223,10 @@
     harness.submit(1, vec![step(1, 1_000)]);
     harness.replace_owner();
     let effects = harness.answer_renewal("w2", RenewalAnswer::default());
-    assert!(starts(&effects).is_empty(), "w1 may run it");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task that may run on w1 was started again"
+    );
 }
 
 #[test]
@@ -232,10 +260,13 @@
     harness.heartbeat(on_machine(record("w2", "a"), "m-w1"));
     let back = harness.answer_renewal("w2", RenewalAnswer::default());
     let (worker, _) = starts(&harness.commit(&back)).remove(0);
-    assert_eq!(&*worker, "w2", "what ran on w1 is over");
+    assert_eq!(
+        &*worker, "w2",
+        "the task of the earlier life was not started on w2"
+    );
 }
 
-/// Its answer was on its way when the new life became known.
+/// The earlier life's answer arrives after the new life became known.
 #[test]
 fn new_life_is_kept_after_a_late_answer_of_the_earlier_one() {
     let mut harness = Harness::with_workers(&[]);
@@ -267,7 +298,10 @@
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     let effects = harness.answer(&worker, &order, OrderAnswer::Unknown);
-    assert!(starts(&effects).is_empty(), "it may run");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task whose start may have been executed was started again"
+    );
     let (_, stop) = stops(&effects).remove(0);
     harness.answer(&worker, &stop, OrderAnswer::Done);
     harness.now += ms(10);
@@ -285,7 +319,7 @@
     assert_ne!(other, worker);
 }
 
-/// Calls without an answer may arrive, so they put off the end of a lease.
+/// A renewal without an answer may still arrive and would extend the lease.
 #[test]
 fn silent_worker_gets_no_lease_extension() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -310,14 +344,17 @@
     while again.is_empty() && waited < ms(10_000) {
         waited += ms(100);
         let effects = harness.tick(ms(100));
-        assert!(starts(&effects).is_empty(), "its loss is being committed");
+        assert!(
+            starts(&effects).is_empty(),
+            "a task started before the loss of its run was committed"
+        );
         again = starts(&harness.commit(&effects));
         harness.answer_renewal(other, RenewalAnswer::default());
         harness.fail_renewal(&silent);
     }
     assert!(
         waited >= ms(4_000),
-        "not before the lease is over: {waited:?}"
+        "the task was started again before the lease expired: {waited:?}"
     );
     assert_eq!(&*again[0].0, other);
 }
@@ -333,7 +370,7 @@
     assert_eq!(stops(&effects).len(), 2);
 }
 
-/// A start of a cancelled job that the worker carried out late.
+/// The worker executed a start of the cancelled job late.
 #[test]
 fn cancel_stops_runs_listed_later() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -356,13 +393,16 @@
         worker: gone.clone(),
         other_life: true,
     });
-    assert!(starts(&effects).is_empty(), "the crash is being committed");
+    assert!(
+        starts(&effects).is_empty(),
+        "a task started before the crash was committed"
+    );
     let (other, _) = starts(&harness.commit(&effects)).remove(0);
     assert_ne!(other, gone);
 }
 
-/// Its record would hold up the next owner, and its last ends would never be
-/// settled.
+/// The record of a removed worker would delay the next owner, and its last ends would never
+/// be settled.
 #[test]
 fn other_life_whose_removal_failed_is_removed_again() {
     let mut harness = Harness::new();
@@ -387,7 +427,11 @@
     let mut workers: Vec<_> = started.into_iter().map(|(worker, _)| worker).collect();
     workers.sort();
     workers.dedup();
-    assert_eq!(workers.len(), 2, "two of three have a worker of their own");
+    assert_eq!(
+        workers.len(),
+        2,
+        "the tasks are not on two different workers"
+    );
 }
 
 #[test]
@@ -399,7 +443,7 @@
     let mut harness = Harness::new();
     assert!(
         starts(&harness.submit(1, vec![gang(5)])).is_empty(),
-        "only 4 fit"
+        "a gang of 5 was started although only 4 fit"
     );
     let started = starts(&harness.submit(2, vec![gang(4)]));
     assert_eq!(started.len(), 4);
--- a/crates/cleat-jobs/tests/schedules.rs
+++ b/crates/cleat-jobs/tests/schedules.rs
@@ -1,13 +1,13 @@
-//! Seeded schedules of owners, workers and faults.
+//! Simulated schedules of owners, workers and faults, each determined by its seed.
 
 mod simulation;
 
 use cleat_jobs::Protections;
 use simulation::{Fault, JobStage, Plan, Violation, run};
 
-/// Seeds of the plans that have to hold.
+/// The number of seeds for which each plan has to run without a violation.
 const SEEDS: u64 = 60;
-/// Seeds that are tried until a plan without a protection breaks a promise.
+/// The number of seeds tried until a plan without a protection causes a violation.
 const SEEDS_WITHOUT_PROTECTION: u64 = 300;
 
 fn assert_holds(plan: &Plan) {
@@ -23,7 +23,7 @@
         (0..SEEDS_WITHOUT_PROTECTION).find_map(|seed| run(plan, seed).err().filter(expected));
     assert!(
         found.is_some(),
-        "the check must notice the missing protection"
+        "the checks did not notice the missing protection"
     );
 }
 
@@ -83,7 +83,7 @@
     assert_holds(&Plan::with(&[Fault::CapsChange]));
 }
 
-/// Owners die while caps are cut, workers are cut off and jobs are cancelled.
+/// Owners die while caps are lowered, workers are cut off and jobs are cancelled.
 fn caps_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::OwnerDies,
@@ -130,8 +130,8 @@
     assert_holds(&crashing_tasks_and_dying_owners());
 }
 
-/// Workers of a pool that refuses nothing shrink while owners die and jobs are
-/// cancelled.
+/// Workers that do not refuse starts beyond their capacity shrink while owners die and jobs
+/// are cancelled.
 fn shrinking_workers_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::WorkersShrink,
@@ -153,8 +153,8 @@
     assert_holds(&shrinking_workers_and_dying_owners());
 }
 
-/// A new owner gave out the room of a run that it was stopping as a stray: a job had
-/// been cancelled while its owner died.
+/// Guards against assigning the capacity of a stray run before it has stopped. A job was
+/// cancelled while its owner died, and the new owner was stopping the run.
 #[test]
 fn schedule_capacity_of_a_stray() {
     let plan = shrinking_workers_and_dying_owners();
@@ -168,8 +168,8 @@
     run(&crashing_tasks_and_dying_owners(), 1432).unwrap_or_else(|violation| panic!("{violation}"));
 }
 
-/// Starts in doubt on workers that other tasks had crashed counted against a task, and
-/// an end that came late was forgotten for a crash that was being committed.
+/// Guards against counting an unanswered start on a worker that another task crashed as a
+/// crash of the task, and against losing a late end because a crash was being committed.
 #[test]
 fn schedule_crashes_not_caused_by_a_task() {
     run(&Plan::with(&[Fault::CrashingTasks]), 952).unwrap_or_else(|found| panic!("{found}"));
@@ -197,7 +197,7 @@
     assert_holds(&Plan::with(&Fault::ALL));
 }
 
-/// Owners die while workers are cut off, with commits that pass each other.
+/// Owners die while workers are cut off and commits overtake each other.
 fn cut_workers_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::OwnerDies,
@@ -213,8 +213,8 @@
     assert_holds(&cut_workers_and_dying_owners());
 }
 
-/// A worker comes back after its lease and had done what was started elsewhere
-/// since: the task was started a third time.
+/// Guards against a third start of a task that is done. A worker comes back after its lease
+/// expired and lists the task as done, which was meanwhile started elsewhere.
 #[test]
 fn schedule_done_by_a_run_taken_as_lost() {
     run(&cut_workers_and_dying_owners(), 194).unwrap_or_else(|violation| panic!("{violation}"));
@@ -236,7 +236,7 @@
     }
 }
 
-/// Each fault right at each step of a job's life.
+/// Each fault immediately after each stage of a job.
 #[test]
 fn matrix_faults_at_each_step_of_a_job() {
     for moment in JobStage::ALL {
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What callers get where one customer sends far more than its share.
+//! The service that customers get while one of them sends far more than its share.
 
 mod support;
 
@@ -15,20 +15,20 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const DURATION: Duration = Duration::from_secs(12);
-/// What a task takes, and how much it may take to be in time: half as much again,
-/// and 500 ms.
+/// How long a task runs, and the time limit of a job: one and a half times as long, plus
+/// 500 ms.
 const TASK_DURATION: Duration = Duration::from_millis(400);
 const OBJECTIVE: Duration = Duration::from_millis(1_100);
-/// Both may count on 2 jobs a second; the room is for 10.
+/// The weight of each customer, in jobs per second; the pool has capacity for 10.
 const SHARE: f64 = 2.0;
 
-/// A renewal that a worker holds back until it has something to tell.
+/// A renewal that a worker answers when a run ends or the wait time is over.
 struct PendingRenewal {
     order: RenewalOrder,
     sent_at: Duration,
 }
 
-/// A pool of 16 cores, and two customers.
+/// A pool of 16 cores with two customers.
 struct Simulation {
     state: ControlState,
     owner: Scheduler,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Lets 10 ms pass.
+    /// Advances the clock by 10 ms.
     fn advance(&mut self) {
         self.now += STEP;
         let wall_ms = 1 + u64::try_from(self.now.as_millis()).expect("short");
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Which share of a customer's jobs was done in time.
+    /// The fraction of a customer's jobs that completed in time.
     fn in_time(&self, customer: &str) -> f64 {
         let jobs = self
             .submitted_at
@@ -199,14 +199,14 @@
     }
 }
 
-/// Plays customers that send so many jobs a second each.
+/// Simulates two customers that each send this many jobs per second.
 fn simulate(sharing: SharePolicy, large: u32, small: u32) -> Simulation {
     let mut simulation = Simulation::new(sharing);
     let mut tick = 0;
     let sends = |tick: u32, rate: u32| tick * rate / 100 < (tick + 1) * rate / 100;
     while simulation.now < DURATION {
         simulation.advance();
-        // The last jobs find the time to end.
+        // No jobs near the end, so that the last ones have time to complete.
         if simulation.now + OBJECTIVE * 2 < DURATION {
             (0..u32::from(sends(tick, large))).for_each(|_| simulation.submit("large"));
             (0..u32::from(sends(tick, small))).for_each(|_| simulation.submit("small"));
@@ -250,7 +250,7 @@
     }
 }
 
-/// Whoever sends beyond its share still has what the others leave.
+/// A customer that exceeds its share still gets the capacity that the others do not use.
 #[test]
 fn excess_gets_what_other_customers_leave() {
     let after = simulate(SharePolicy::ArrivalRate, 20, 2);
--- a/crates/cleat-jobs/tests/silent.rs
+++ b/crates/cleat-jobs/tests/silent.rs
@@ -1,4 +1,4 @@
-//! Workers that fell silent before a change of owner, and what has to wait for
+//! Workers that became silent before a change of owner, and which tasks have to wait for
 //! them.
 
 mod support;
@@ -12,8 +12,8 @@
     Duration::from_millis(ms)
 }
 
-/// `w2` leaves its renewals unanswered until the owner takes it as silent, and
-/// that is noted.
+/// `w2` leaves its renewals unanswered until the owner considers it silent, and the
+/// `WorkerSilent` command is committed.
 fn let_become_silent(harness: &mut Harness) {
     harness.fail_renewal("w2");
     harness.now += ms(850);
@@ -27,7 +27,7 @@
     harness.commit(&effects);
 }
 
-/// What the next owner starts once `w1` has answered it.
+/// The number of tasks that the next owner starts once `w1` has answered.
 fn next_owner_starts(harness: &mut Harness) -> usize {
     harness.replace_owner();
     starts(&harness.answer_renewal("w1", RenewalAnswer::default())).len()
@@ -41,7 +41,7 @@
     assert_eq!(
         next_owner_starts(&mut harness),
         1,
-        "it was given none of it"
+        "a job submitted after the worker became silent was delayed"
     );
 }
 
@@ -50,11 +50,14 @@
     let mut harness = Harness::new();
     harness.submit(1, vec![step(1, 1_000)]);
     let_become_silent(&mut harness);
-    assert_eq!(next_owner_starts(&mut harness), 0, "it may run it");
+    assert_eq!(
+        next_owner_starts(&mut harness),
+        0,
+        "a task that the silent worker may run was started again"
+    );
 }
 
-/// The job is old, but its second step became ready after the worker fell
-/// silent.
+/// The job is older, but its second step became ready after the worker became silent.
 #[test]
 fn silent_worker_delays_no_step_that_became_ready_later() {
     let second = StepSpec {
@@ -70,7 +73,7 @@
     assert_eq!(next_owner_starts(&mut harness), 1);
 }
 
-/// A step that becomes ready in the new owner's time was started by nobody.
+/// No earlier owner can have started a step that becomes ready under the new owner.
 #[test]
 fn worker_without_contact_delays_no_step_that_became_ready_since() {
     let second = StepSpec {
@@ -86,14 +89,17 @@
     assert_eq!(starts(&effects)[0].1.task, task(1, 1, 0));
 }
 
-/// The next owner would take what starts there as started nowhere.
+/// Otherwise the next owner would assume that nothing was started on this worker.
 #[test]
 fn silent_worker_is_recorded_again_before_it_gets_work() {
     let mut harness = Harness::new();
     let_become_silent(&mut harness);
     harness.submit(1, vec![step(4, 3_000)]);
     let back = harness.answer_renewal("w2", RenewalAnswer::default());
-    assert!(starts(&back).is_empty(), "its use is being committed");
+    assert!(
+        starts(&back).is_empty(),
+        "a task started before the use of the worker was committed"
+    );
     assert_eq!(starts(&harness.commit(&back)).len(), 2);
 }
 
@@ -105,12 +111,15 @@
     harness.answer_renewal("w1", RenewalAnswer::default());
     harness.submit(1, vec![step(4, 3_000)]);
     let back = harness.answer_renewal("w2", RenewalAnswer::default());
-    assert!(starts(&back).is_empty(), "its use is being committed");
+    assert!(
+        starts(&back).is_empty(),
+        "a task started before the use of the worker was committed"
+    );
     assert_eq!(starts(&harness.commit(&back)).len(), 2);
 }
 
-/// A second owner dies as well before it heard of the worker: what the first
-/// noted still holds, and covers what the second accepted.
+/// A second owner dies before the worker answers it. The first owner's `WorkerSilent`
+/// record is still valid and covers jobs that the second owner accepted.
 #[test]
 fn silent_worker_delays_no_later_job_after_two_owners() {
     let mut harness = Harness::new();
@@ -120,7 +129,8 @@
     assert_eq!(next_owner_starts(&mut harness), 1);
 }
 
-/// It answers again and gets work before the owner dies: the note is void.
+/// The worker answers again and gets tasks before the owner dies, which invalidates the
+/// `WorkerSilent` record.
 #[test]
 fn silent_worker_that_came_back_delays_its_new_tasks() {
     let mut harness = Harness::new();
@@ -134,11 +144,14 @@
         ..RenewalAnswer::default()
     };
     let effects = harness.answer_renewal("w1", listed);
-    assert!(starts(&effects).is_empty(), "w2 may run the others");
+    assert!(
+        starts(&effects).is_empty(),
+        "tasks that w2 may run were started again"
+    );
 }
 
-/// It had done the task before its lease ran out; the task waits for room or
-/// runs elsewhere by then.
+/// The worker had completed the task before its lease expired. By the time it answers, the
+/// task waits for free capacity or runs elsewhere.
 #[test]
 fn lapsed_worker_that_had_done_its_task_leaves_it_done() {
     let mut harness = Harness::new();
@@ -154,7 +167,7 @@
     let effects = harness.commit(&back);
     let again = starts(&effects).into_iter();
     let again = again.filter(|(_, order)| order.task == first.task);
-    assert_eq!(again.count(), 0, "it is done");
+    assert_eq!(again.count(), 0, "a task that is done was started again");
 }
 
 fn silent_after(token: u64, uses: u32) -> bool {
@@ -171,6 +184,12 @@
 fn apply_silent_counts_for_the_current_owner_and_use_only() {
     let token = Harness::new().owner.owner().token;
     assert!(silent_after(token, 1));
-    assert!(!silent_after(token - 1, 1), "of an earlier owner");
-    assert!(!silent_after(token, 0), "of an earlier use");
+    assert!(
+        !silent_after(token - 1, 1),
+        "the command of an earlier owner was applied"
+    );
+    assert!(
+        !silent_after(token, 0),
+        "the command for an earlier use was applied"
+    );
 }
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a world against the promises.
+//! Checks of the simulation's guarantees.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::violation::Violation;
 use super::world::{CAPS, FAULTS_END, MAX_ATTEMPTS, World, ms};
 
-/// How long a cancelled job may run on: late starts included.
+/// How long a task of a cancelled job may still run after the last late start.
 const CANCEL_LIMIT: Duration = Duration::from_secs(4);
 
 impl World {
@@ -47,9 +47,9 @@
         Ok(())
     }
 
-    /// A start may not take its customer over its cap; but one task may, where the
-    /// others have less than half of it. Orders may arrive in another order than
-    /// they were given in, so which start is that one does not matter.
+    /// A start may not exceed its customer's cap, except by one task while the others use
+    /// less than half of the cap. Orders may be reordered in transit, so any one of the
+    /// runs may be that task.
     pub(super) fn check_cap(&mut self, order: &TaskOrder) -> Result<(), Violation> {
         let (task, now) = (order.task, self.now);
         let at = usize::try_from(task.job().0 % CAPS.len() as u64).expect("short");
@@ -72,7 +72,7 @@
         allowed.then_some(()).ok_or(Violation::OverCap { task, ms })
     }
 
-    /// A start may not bring a worker over what it offers.
+    /// A start may not exceed the capacity of its worker.
     pub(super) fn check_capacity(&self, at: usize, order: &TaskOrder) -> Result<(), Violation> {
         let worker = &self.workers[at];
         let (before, until) = self.capacity_before_shrink[at];
@@ -86,7 +86,7 @@
             .ok_or(Violation::OverCapacity { task, ms })
     }
 
-    /// What is kept of each customer has to be what follows from its runs.
+    /// The account of each customer has to match the sum recounted from its runs.
     pub(super) fn check_accounts(&self) -> Result<(), Violation> {
         let rows = self.owner.as_ref().map(Scheduler::recounted);
         let mut rows = rows.unwrap_or_default().into_iter();
@@ -99,8 +99,7 @@
         }
     }
 
-    /// Nothing of a cancelled job may go on, but on a worker that was not
-    /// reachable.
+    /// No task of a cancelled job may still run on a worker that is up.
     pub(super) fn check_workers(&mut self) -> Result<(), Violation> {
         let (now, ms) = (self.now, self.now.as_millis());
         if self.now < FAULTS_END + max_order_delay() + CANCEL_LIMIT || self.owner.is_none() {
@@ -117,8 +116,8 @@
         Ok(())
     }
 
-    /// A job may fail only if a task of it failed as often as is allowed, or if two
-    /// workers crashed under one.
+    /// A job may fail only if its runs failed as often as allowed, or if two workers
+    /// crashed under one of its tasks.
     fn check_failed(&self) -> Result<(), Violation> {
         let ms = self.now.as_millis();
         let innocent = |id: &JobId| !self.may_fail(*id) && !self.crashes.may_give_up(*id);
@@ -137,7 +136,7 @@
     }
 }
 
-/// The latest that an order is carried out after it was sent.
+/// The longest time between sending and executing a late order.
 fn max_order_delay() -> Duration {
     ms(12_000)
 }
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What faults do to the world.
+//! The effects of each fault on the simulation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use super::plan::Fault;
 use super::world::{CAPACITY, CAPS, HEARTBEAT_INTERVAL, SimEvent, WORKERS, World, ms};
 
-/// How long an order that goes as it should may be under way.
+/// The longest latency of an order without a fault.
 const ORDER_UNDER_WAY: Duration = Duration::from_millis(10);
-/// How long a worker may be out of touch before what it says of itself counts.
+/// The longest time without contact after which a start may still reach a worker.
 const MAX_CONTACT_GAP: Duration = Duration::from_secs(3);
 
 impl World {
-    /// A fault of the plan comes about.
+    /// Injects a fault of the plan.
     pub(super) fn inject(&mut self, fault: Fault) {
         let at = self.rng.random_range(0..WORKERS);
         match fault {
@@ -32,7 +32,7 @@
                     self.now + ms(self.rng.random_range(300..9_000));
             }
             Fault::WorkerLost => {
-                // One stays, or nothing can be finished.
+                // Worker 0 stays, or no job could be finished.
                 if at > 0 {
                     self.crash_worker(at);
                 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A worker shrinks far below what it takes, or grows again.
+    /// Sets the capacity of a worker to a full, half, third or quarter of `CAPACITY`.
     fn resize(&mut self, at: usize) {
         let parts = self.rng.random_range(1..5);
         let worker = &mut self.workers[at];
@@ -71,12 +71,12 @@
         self.capacity_before_shrink[at] = (before, self.now + MAX_CONTACT_GAP + HEARTBEAT_INTERVAL);
     }
 
-    /// A worker crashes with all that runs there.
+    /// Crashes a worker, with all its runs.
     fn crash_worker(&mut self, at: usize) {
         let worker = &mut self.workers[at];
         worker.advance(self.now);
         worker.up = false;
-        // Nobody can tell a run whose end was not listed yet from one under way.
+        // The owner cannot tell a run whose end was not listed yet from a running one.
         let unlisted = worker
             .ended
             .iter()
@@ -88,14 +88,14 @@
             .for_each(|task| self.crashes.record_crash(task));
     }
 
-    /// A worker begins a new life.
+    /// Starts a new life of a worker.
     pub(super) fn restart(&mut self, at: usize) {
         let life = self.new_life(at);
         self.workers[at] = life;
         self.last_listed_end[at] = 0;
     }
 
-    /// A task crashes its worker, if it still runs there.
+    /// Crashes the worker if the task still runs there.
     pub(super) fn crash_worker_by(&mut self, at: usize, life: &str, task: TaskId) {
         let worker = &self.workers[at];
         let running_there =
@@ -107,19 +107,19 @@
         }
     }
 
-    /// Whether a task crashes its workers.
+    /// Whether the task crashes its workers.
     pub(super) fn is_crashing(&self, task: TaskId) -> bool {
         let first = task.step.step == 0 && task.index == 0;
         first && self.crashing.contains(&task.job())
     }
 
-    /// Cuts the caps far below what is sent, or raises them again.
+    /// Lowers the caps far below the demand, or raises them again.
     fn change_caps(&mut self) {
         let current = self.state.catalogue.as_ref().expect("configured");
         let version = current.version + 1;
         let mut before = self.caps();
         if self.now <= self.caps_before.1 {
-            // Those of the change before are under way as well.
+            // Orders sent under the caps before the previous change may also still arrive.
             let earlier = before.iter().zip(&self.caps_before.0);
             before = earlier
                 .map(|(cap, earlier)| looser_cap(*cap, *earlier))
@@ -142,7 +142,7 @@
         customers.iter().map(cap).collect()
     }
 
-    /// What a lost owner proposed was committed, or never will be.
+    /// Commits or drops each pending proposal of an owner that died.
     fn settle_commits(&mut self) {
         for slot in 0..self.sim_events.len() {
             if !matches!(self.sim_events[slot], Some(SimEvent::Commit(..))) {
@@ -158,7 +158,7 @@
     }
 }
 
-/// The cap of the two that allows more; 0 is no limit.
+/// The cap of the two that allows more; 0 means no limit.
 pub(super) fn looser_cap(cap: u64, other: u64) -> u64 {
     if cap == 0 || other == 0 {
         0
--- a/crates/cleat-jobs/tests/simulation/jobs.rs
+++ b/crates/cleat-jobs/tests/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs, queues and customers of a schedule.
+//! The jobs, queues and customers of a simulated schedule.
 
 use cleat_jobs::{
     Cap, Catalogue, Customer, CustomerDraft, Draft, JobId, JobSpec, Pool, Queue, Size, StepSpec,
@@ -8,12 +8,12 @@
 
 use super::world::{CAPS, MAX_ATTEMPTS};
 
-/// Whose a job is.
+/// The customer that a job belongs to.
 pub(super) fn customer_of(id: JobId) -> Box<str> {
     format!("customer{}", id.0 % CAPS.len() as u64).into()
 }
 
-/// `guards` says whether workers refuse what does not fit.
+/// `guards_capacity` tells whether workers refuse starts beyond their capacity.
 pub(super) fn catalogue(version: u64, caps: &[u64], guards_capacity: bool) -> Catalogue {
     let queue = Queue {
         name: "queue".into(),
--- a/crates/cleat-jobs/tests/simulation/mod.rs
+++ b/crates/cleat-jobs/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Owners, workers and faults on one seeded schedule, and what must hold.
+//! Simulates owners, workers and faults on a seeded schedule and checks guarantees.
 
 mod checks;
 mod crashes;
--- a/crates/cleat-jobs/tests/simulation/plan.rs
+++ b/crates/cleat-jobs/tests/simulation/plan.rs
@@ -1,36 +1,37 @@
-//! What a schedule contains.
+//! The faults of a schedule and when they are injected.
 
 use cleat_jobs::Protections;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The owner ends; another takes over after a while.
+    /// The owner dies, and another takes over after a delay.
     OwnerDies,
-    /// A worker is cut off for some seconds and runs on.
+    /// A worker is unreachable for up to some seconds and keeps running.
     WorkerCut,
-    /// A worker crashes for good.
+    /// A worker crashes and does not come back.
     WorkerLost,
     /// A worker crashes and starts again at the same address.
     WorkerRestarts,
-    /// Orders get no answer and are carried out seconds later.
+    /// Orders get no answer and are executed seconds later.
     LateOrders,
-    /// Orders are carried out, and the answer is lost.
+    /// Orders are executed, and the answer is lost.
     LostAnswers,
     /// Jobs are cancelled.
     Cancels,
-    /// The customers' caps are cut and raised; without it they have none.
+    /// The customers' caps are lowered and raised; without this fault there are no caps.
     CapsChange,
-    /// Commits take long, pass each other, or come after they were given up.
+    /// Commits are slow, overtake each other, or succeed after they were reported as failed.
     SlowCommits,
     /// Some jobs have a task that crashes its worker soon after each start.
     CrashingTasks,
-    /// Workers shrink and grow again, in a pool that starts whatever it is told to.
+    /// Workers shrink and grow again, in a pool whose workers do not refuse starts beyond
+    /// their capacity.
     WorkersShrink,
 }
 
 impl Fault {
-    /// The faults of schedules without caps. Recorded seeds are of these.
+    /// The faults of schedules without caps. Recorded seeds depend on this list.
     pub(crate) const ALL: [Fault; 8] = [
         Fault::OwnerDies,
         Fault::WorkerCut,
@@ -42,7 +43,7 @@
         Fault::SlowCommits,
     ];
 
-    /// Each fault there is.
+    /// Every fault.
     pub(crate) const EACH: [Fault; 11] = [
         Fault::OwnerDies,
         Fault::WorkerCut,
@@ -58,20 +59,20 @@
     ];
 }
 
-/// A step in the life of a job.
+/// A stage in the processing of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobStage {
-    /// It was committed.
+    /// The job was committed.
     Submitted,
-    /// A start of it was sent.
+    /// A start of one of its tasks was sent.
     StartSent,
-    /// A start of it was carried out.
+    /// A start of one of its tasks was executed.
     Started,
-    /// A worker listed an end of it.
+    /// A worker listed the end of a run.
     EndListed,
-    /// An end of it was committed.
+    /// The end of a run was committed.
     EndCommitted,
-    /// Its cancel was committed.
+    /// The cancellation of the job was committed.
     Cancelled,
 }
 
@@ -86,11 +87,11 @@
     ];
 }
 
-/// A schedule, but for its seed.
+/// Everything that determines a schedule except its seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) faults: Vec<Fault>,
-    /// A fault that strikes right at such a step, some times in a schedule.
+    /// A fault injected immediately after this stage, a few times per schedule.
     pub(crate) injection: Option<(JobStage, Fault)>,
     pub(crate) protections: Protections,
 }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Cancels some jobs, and strikes at each of some steps.
+    /// Cancels some jobs, and injects the fault at this stage.
     pub(crate) fn injecting_at(stage: JobStage, fault: Fault) -> Plan {
         Plan {
             injection: Some((stage, fault)),
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world: one clock, one replicated state, one owner at a time.
+//! The simulation: one clock, one replicated state, one owner at a time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,19 +20,20 @@
 use super::plan::{Fault, JobStage, Plan};
 use super::violation::Violation;
 
-/// Faults come until then.
+/// Faults are injected until this time.
 pub(super) const FAULTS_END: Duration = Duration::from_secs(12);
-/// By then everything has to be finished: a lease, late orders and the work.
+/// By this time all jobs must have ended. Leaves time for a lease to expire, late orders
+/// and the tasks themselves.
 const END: Duration = Duration::from_secs(60);
 const TICK: Duration = Duration::from_millis(50);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How often a fault strikes at its step in one schedule.
+/// The number of times that a plan injects its fault at its stage.
 const INJECTIONS: u32 = 3;
 pub(super) const WORKERS: usize = 4;
 const JOBS: u64 = 12;
 pub(super) const MAX_ATTEMPTS: u32 = 3;
-/// What each customer may have running, in thousandths of a core: a fourth and an
-/// eighth of the room.
+/// The cap of each customer, in thousandths of a core: a fourth and an eighth of the total
+/// capacity.
 pub(super) const CAPS: [u64; 2] = [8_000, 4_000];
 const NO_CAPS: [u64; 2] = [0, 0];
 pub(super) const CAPACITY: Size = Size {
@@ -45,7 +46,7 @@
     Duration::from_millis(ms)
 }
 
-/// What happens at some time.
+/// A scheduled event of the simulation.
 pub(super) enum SimEvent {
     Tick,
     Heartbeat(usize),
@@ -53,11 +54,11 @@
     Cancel(JobId),
     Fault(Fault),
     TakeOver,
-    /// A run crashes its worker if it is still there.
+    /// A task crashes its worker if it still runs there.
     Crash(usize, Box<str>, TaskId),
-    /// A worker that is down begins a new life.
+    /// A worker that is down starts a new life.
     Restart(usize),
-    /// A command of the owner with this ordinal is committed.
+    /// A command proposed by the owner with this ordinal is committed.
     Commit(u32, Command),
     Renew(u32, usize, Box<str>, RenewalOrder, Duration),
     RenewalDue(u32, usize, Box<str>, u64, Duration),
@@ -65,14 +66,14 @@
     Deliver(u32, Event),
 }
 
-/// How an order goes.
+/// How an order is delivered.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// Soon, and its answer comes.
+    /// Executed soon, and its answer arrives.
     Prompt,
-    /// Soon, and its answer is lost.
+    /// Executed soon, and its answer is lost.
     Unanswered,
-    /// Seconds later, without an answer.
+    /// Executed seconds later, without an answer.
     Late,
 }
 
@@ -89,24 +90,23 @@
     lives: u64,
     pub(super) accepted: IndexMap<TaskId, Run>,
     pub(super) cancelled: IndexMap<JobId, Duration>,
-    /// Tasks that never succeed.
+    /// Jobs whose tasks always fail.
     always_failing: Vec<JobId>,
-    /// Jobs of which one task crashes its workers.
+    /// Jobs with a task that crashes its workers.
     pub(super) crashing: Vec<JobId>,
     pub(super) crashes: Crashes,
-    /// Whether the workers refuse what does not fit.
+    /// Whether the workers refuse starts beyond their capacity.
     pub(super) guards_capacity: bool,
-    /// What each worker offered before it shrank last, and until when a start may still
-    /// reckon with that.
+    /// The capacity of each worker before it last changed, and until when a start may still
+    /// rely on it.
     pub(super) capacity_before_shrink: [(Size, Duration); WORKERS],
-    /// The number of the last end that each worker's present life has listed.
+    /// The number of the last end that the current life of each worker has listed.
     pub(super) last_listed_end: [u64; WORKERS],
-    /// How many runs of each job ended as failed.
+    /// The number of failed runs planned for each job.
     pub(super) failures: IndexMap<JobId, u32>,
-    /// How often a fault still strikes at its step.
+    /// How often the plan's fault will still be injected at its stage.
     injections_left: u32,
-    /// The caps that were in force before, and until when orders given under them
-    /// may arrive.
+    /// The previous caps, and until when orders sent under them may arrive.
     pub(super) caps_before: (Vec<u64>, Duration),
 }
 
@@ -230,7 +230,7 @@
             SimEvent::Tick => {
                 self.after(TICK, SimEvent::Tick);
                 if !self.faults_active() {
-                    // Else the largest tasks may never have a place.
+                    // Otherwise the largest tasks might never fit on a worker.
                     let workers = self.workers.iter_mut();
                     workers.for_each(|worker| worker.record.capacity = CAPACITY);
                 }
@@ -264,8 +264,9 @@
         self.check_accounts()
     }
 
-    /// A step of a job's life: the plan's fault may strike, right after what
-    /// goes on now. Orders that are late or lose their answer do so from then on.
+    /// Marks that a job reached a stage, at which the plan's fault may be injected
+    /// immediately after the current event. Late orders and lost answers then occur for the
+    /// rest of the fault phase.
     fn reach_stage(&mut self, stage: JobStage) {
         let Some((at, fault)) = self.plan.injection else {
             return;
@@ -308,7 +309,7 @@
         failed.map(|(id, _)| *id)
     }
 
-    /// Whether the job's tasks may have failed as often as is allowed.
+    /// Whether runs of the job may have failed as often as allowed.
     pub(super) fn may_fail(&self, id: JobId) -> bool {
         self.failures.get(&id).copied().unwrap_or_default() >= MAX_ATTEMPTS
     }
@@ -351,7 +352,8 @@
         }
     }
 
-    /// A command is committed soon; or late, or never, and given up before.
+    /// Schedules the commit of a command. With slow commits it may be late, lost, or reported
+    /// as failed before it succeeds.
     fn propose(&mut self, ordinal: u32, command: Command) {
         if !self.plan.has(Fault::SlowCommits) || !self.faults_active() {
             let delay = ms(self.rng.random_range(5..20));
@@ -369,7 +371,7 @@
         }
     }
 
-    /// An order arrives soon, or late and without an answer.
+    /// Schedules the delivery of an order, which may be late or lose its answer.
     fn send_order(
         &mut self,
         ordinal: u32,
--- a/crates/cleat-jobs/tests/stale_lists.rs
+++ b/crates/cleat-jobs/tests/stale_lists.rs
@@ -1,5 +1,5 @@
-//! Lists of machines that were asked for before something changed, or that leave
-//! a worker out: nothing that runs may be ended by what they say.
+//! Machine lists that were requested before a change, or that leave out a worker. They must
+//! not cause an order that ends a running task.
 
 mod support;
 
@@ -22,8 +22,8 @@
     ]
 }
 
-/// `m-w2` has moved to pool `a`, and its worker runs a task. Gives when a list was
-/// asked for before the move.
+/// `m-w2` has moved to pool `a`, and its worker runs a task. Also returns a time before the
+/// move at which a list was requested.
 fn harness_with_a_moved_machine() -> (Harness, Duration) {
     let mut harness = Harness::with_workers(&["w1"]);
     list_machines(&mut harness, before_the_move());
@@ -43,13 +43,17 @@
     harness.now += ms(1_500);
     let third = harness.add_worker("w2", "a");
     let started = starts(&third);
-    assert_eq!(started.len(), 1, "the task that found no room");
+    assert_eq!(
+        started.len(),
+        1,
+        "the task without free capacity was not started on the new worker"
+    );
     harness.answer("w2", &started[0].1, OrderAnswer::Done);
     harness.tick(ms(50));
     (harness, asked_before)
 }
 
-/// What `w2` lists while its task runs.
+/// `w2` lists its running task.
 fn list_running_task(harness: &mut Harness) {
     let task = support::task(1, 0, 2);
     let listed = RenewalAnswer {
@@ -71,7 +75,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// Asks for the maintenance of `m-w2`; gives what is done within half a second.
+/// Starts a wave for `m-w2`, and returns the effects of the next half second.
 fn start_wave(harness: &mut Harness) -> Vec<Effect> {
     harness.apply(Command::StartWave {
         wave: 1,
@@ -79,7 +83,7 @@
         duration_ms: 10_000,
         max_at_once: 1,
     });
-    // Waves begin some time after a takeover.
+    // Waves begin only some time after a takeover.
     harness.now += ms(3_000);
     let ticks = (0..10).flat_map(|_| {
         list_running_task(harness);
@@ -94,7 +98,10 @@
     let machines = Some(before_the_move());
     harness.feed(Event::MachinesListed { sent_at, machines });
     let effects = start_wave(&mut harness);
-    assert!(maintained(&effects).is_empty(), "a task runs there");
+    assert!(
+        maintained(&effects).is_empty(),
+        "an order would end the running task"
+    );
 }
 
 #[test]
@@ -103,10 +110,13 @@
     let own = machine("m-w1", "a", Some("w1"));
     list_machines(&mut harness, vec![own, machine("m-w2", "a", None)]);
     let effects = start_wave(&mut harness);
-    assert!(maintained(&effects).is_empty(), "a task runs there");
+    assert!(
+        maintained(&effects).is_empty(),
+        "an order would end the running task"
+    );
 }
 
-/// A worker that no list names is emptied for a wave as any other.
+/// A worker that no list names is drained for a wave like any other.
 #[test]
 fn list_without_a_worker_does_not_block_the_wave() {
     let (mut harness, _) = harness_with_a_moved_machine();
@@ -114,7 +124,10 @@
     list_machines(&mut harness, vec![own, machine("m-w2", "a", None)]);
     start_wave(&mut harness);
     let started = starts(&harness.submit(2, vec![step(1, 2_000)]));
-    assert!(started.is_empty(), "the only room is on w2: {started:?}");
+    assert!(
+        started.is_empty(),
+        "a task started on the worker of a machine in the wave: {started:?}"
+    );
 }
 
 #[test]
@@ -125,5 +138,8 @@
     list_running_task(&mut harness);
     let lacking = harness.submit_to(1, 3, vec![step(1, 4_000)]);
     let effects = [lacking, harness.tick(ms(50))].concat();
-    assert!(moved(&effects).is_empty(), "a task runs there");
+    assert!(
+        moved(&effects).is_empty(),
+        "an order would end the running task"
+    );
 }
--- a/crates/cleat-jobs/tests/state.rs
+++ b/crates/cleat-jobs/tests/state.rs
@@ -1,4 +1,4 @@
-//! What commands do to the replicated state.
+//! The effect of commands on the replicated state.
 
 mod support;
 
@@ -71,14 +71,14 @@
     assert_eq!(
         state.job_state(JobId(7)),
         Some(JobState::Active),
-        "one of two attempts"
+        "the job failed after one of two attempts"
     );
     record_end(&mut state, 2, task(7, 0, 0), EndKind::Failed);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Failed));
 }
 
-/// The ends in between are still on their way: the worker must list them
-/// again, so nothing after them may be acknowledged.
+/// The missing ends are not committed yet. The worker has to list them again, so no later
+/// end may be acknowledged.
 #[test]
 fn apply_ends_after_a_gap_are_not_recorded() {
     let mut state = with_job(vec![step(2, 1_000)]);
@@ -151,7 +151,7 @@
     assert_eq!(
         state.apply(22, Command::Cancel { id }),
         Answer::Done,
-        "sent again"
+        "a repeated cancel was not accepted"
     );
     assert_eq!(state.job_state(id), Some(JobState::Cancelled));
 }
@@ -184,7 +184,7 @@
     assert_eq!((first.ordinal, second.ordinal), (0, 1));
 }
 
-/// Whether something may run on `w1` after a note that its lease is over.
+/// Whether tasks may run on `w1` after its lease expiry was committed.
 fn may_run_after_lapse(token: u64, uses: u32) -> bool {
     let mut state = ControlState::default();
     state.apply(1, Command::TakeOver { member: 1 });
@@ -199,8 +199,14 @@
 #[test]
 fn apply_worker_lapsed_counts_for_its_owner_and_use() {
     assert!(!may_run_after_lapse(2, 2));
-    assert!(may_run_after_lapse(1, 2), "of an earlier owner");
-    assert!(may_run_after_lapse(2, 1), "of an earlier use");
+    assert!(
+        may_run_after_lapse(1, 2),
+        "the command of an earlier owner was applied"
+    );
+    assert!(
+        may_run_after_lapse(2, 1),
+        "the command for an earlier use was applied"
+    );
 }
 
 #[test]
@@ -217,7 +223,7 @@
     assert!(ControlState::restore(b"not a snapshot, but some text").is_err());
 }
 
-/// A configuration of pool `a`.
+/// A configuration with these queues and pool `a`.
 fn with_queues(queues: Vec<Queue>) -> Draft {
     Draft {
         queues,
--- a/crates/cleat-jobs/tests/support/crash_scenario.rs
+++ b/crates/cleat-jobs/tests/support/crash_scenario.rs
@@ -1,4 +1,4 @@
-//! Workers of one pool on which some tasks crash.
+//! Workers of one pool, some of whose tasks crash the worker they run on.
 
 use indexmap::IndexMap;
 
@@ -9,11 +9,11 @@
 
 use super::{Harness, end, ended, running, starts};
 
-/// After how many crashes under a task it must not go on being started.
+/// The number of crashes under a task after which it must not keep being started.
 pub(crate) const CRASHES_ALLOWED: usize = 3;
-/// How many starts more are too many then.
+/// The number of starts after those crashes that counts as a failure.
 pub(crate) const EXCESS_STARTS: usize = 3;
-/// More starts than a task may have that crashes its workers.
+/// A task that crashes its workers must be started fewer times than this.
 pub(crate) const TOO_MANY_STARTS: usize = CRASHES_ALLOWED + EXCESS_STARTS;
 
 /// The task that crashes its workers.
@@ -26,22 +26,22 @@
     index: 0,
 };
 
-/// Workers of one pool, and what runs there.
+/// The workers of one pool, and the runs on them.
 pub(crate) struct CrashScenario {
     pub(crate) harness: Harness,
     /// The tasks that crash each worker on which they start.
     pub(crate) crashing_tasks: Vec<TaskId>,
-    /// A job whose tasks go on.
+    /// A job whose tasks never end by themselves.
     pub(crate) long_running_job: Option<JobId>,
-    /// How many lives there were so far.
+    /// The number of worker lives begun so far.
     lives: usize,
-    /// What starts are answered.
+    /// The answer to each start order.
     pub(crate) answer: OrderAnswer,
-    /// The starts so far, with their workers.
+    /// The start orders so far, with their workers.
     pub(crate) started: Vec<(Box<str>, TaskOrder)>,
-    /// What runs where.
+    /// The worker and the run number of each running task.
     pub(crate) runs: IndexMap<TaskId, (Box<str>, Run)>,
-    /// How many ends each worker has listed.
+    /// The number of ends that each worker has listed.
     ends: IndexMap<Box<str>, u64>,
 }
 
@@ -63,7 +63,7 @@
         scenario
     }
 
-    /// A worker begins a life of its own.
+    /// Starts a worker under a new name.
     pub(crate) fn new_life(&mut self) {
         self.lives += 1;
         let name = format!("w{}", self.lives);
@@ -76,7 +76,7 @@
         self.process(effects);
     }
 
-    /// Answers starts and commits what is proposed, until nothing follows.
+    /// Answers start orders and commits proposals until no effects remain.
     pub(crate) fn process(&mut self, mut effects: Vec<Effect>) {
         while !effects.is_empty() {
             let mut next = Vec::new();
@@ -106,7 +106,7 @@
         })
     }
 
-    /// All that runs is done, but for the culprits and what lasts.
+    /// Ends all runs as done, except crashing and long-running tasks.
     pub(crate) fn finish_others(&mut self) {
         let others = self
             .runs
@@ -126,7 +126,7 @@
         self.crashing_tasks.contains(task) || self.long_running_job == Some(task.job())
     }
 
-    /// A worker lists its runs, and these ends.
+    /// A worker answers a renewal with its runs and these ends.
     pub(crate) fn list_runs(&mut self, worker: &str, ends: Vec<TaskEnd>) {
         let here = self.runs.iter().filter(|(_, (at, _))| **at == *worker);
         let running = here.map(|(task, (_, run))| running(*task, run.0)).collect();
@@ -138,7 +138,7 @@
         self.process(effects);
     }
 
-    /// The worker on which a task was started last.
+    /// The worker on which the task was last started.
     pub(crate) fn worker_of(&self, task: TaskId) -> Box<str> {
         let mut starts = self.started.iter().rev();
         let last = starts.find(|(_, order)| order.task == task);
@@ -150,7 +150,7 @@
         of_task.count()
     }
 
-    /// Lets the culprit crash its worker after each start.
+    /// Crashes the worker of the crashing task after each start.
     pub(crate) fn crash_repeatedly(&mut self) {
         for round in 0..TOO_MANY_STARTS {
             if self.starts_of(CRASHING_TASK) <= round {
@@ -165,7 +165,7 @@
         self.harness.state.job_state(JobId(job))
     }
 
-    /// How many crashes under a task are in the replicated state.
+    /// The number of crashes under a task in the replicated state.
     pub(crate) fn crashes(&self, task: TaskId) -> usize {
         let job = &self.harness.state.jobs[&task.job()];
         let progress = job.progress(task.step).into_iter();
--- a/crates/cleat-jobs/tests/support/mod.rs
+++ b/crates/cleat-jobs/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests need: small jobs, queues, workers and an owner.
+//! Shared fixtures: small jobs, queues, workers and an owner.
 
 #![allow(dead_code)]
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// A customer with these keys that may have `cpu_milli` running; 0 is no limit.
+/// A customer with these keys and a cap of `cpu_milli`; 0 means no cap.
 pub(crate) fn customer(name: &str, keys: &[&str], cpu_milli: u64) -> CustomerDraft {
     let keys: Vec<Box<str>> = keys.iter().map(|key| (*key).into()).collect();
     let cap = Cap(Size {
@@ -137,18 +137,18 @@
     }
 }
 
-/// A replicated state and its owner, step by step.
+/// A replicated state and its owner, driven one event at a time.
 pub(crate) struct Harness {
     pub(crate) state: ControlState,
     pub(crate) owner: Scheduler,
     pub(crate) now: Duration,
-    /// The time of day; 0 while it plays no part.
+    /// The wall-clock time; 0 in tests that do not depend on it.
     pub(crate) wall_ms: u64,
     index: u64,
 }
 
 impl Harness {
-    /// An owner over workers `w1` and `w2` of pool `a`, which have answered.
+    /// An owner with workers `w1` and `w2` of pool `a`, which have answered a renewal.
     pub(crate) fn new() -> Harness {
         Harness::with_workers(&["w1", "w2"])
     }
@@ -172,7 +172,7 @@
         harness
     }
 
-    /// The next owner, which knows what is in the state only.
+    /// Replaces the owner by one that knows only the replicated state.
     pub(crate) fn replace_owner(&mut self) {
         self.index += 1;
         self.state
@@ -186,7 +186,7 @@
         self.owner = owner.expect("owned");
     }
 
-    /// A worker that beats, answers and is recorded.
+    /// Adds a worker that sent a heartbeat, answered a renewal and is recorded in the state.
     pub(crate) fn add_worker(&mut self, name: &str, pool: &str) -> Vec<Effect> {
         self.heartbeat(record(name, pool));
         let effects = self.answer_renewal(name, RenewalAnswer::default());
@@ -202,8 +202,8 @@
         self.feed(Event::Heartbeat(heartbeat))
     }
 
-    /// A heartbeat of a known or new worker of pool `a` that is about to end, as
-    /// the control instance that takes it acts on it.
+    /// Feeds a heartbeat of a draining worker of pool `a` and commits the `Draining`
+    /// command, as the control instance that receives the heartbeat does.
     pub(crate) fn heartbeat_draining(&mut self, name: &str, sequence: u64) -> Vec<Effect> {
         let heartbeat = Heartbeat {
             record: record(name, "a"),
@@ -215,14 +215,14 @@
         [heard, noted].concat()
     }
 
-    /// Commits what the effects propose; gives what follows.
+    /// Commits the commands that the effects propose, and returns the resulting effects.
     pub(crate) fn commit(&mut self, effects: &[Effect]) -> Vec<Effect> {
         let commands = proposals(effects).into_iter();
         commands.flat_map(|command| self.apply(command)).collect()
     }
 
-    /// Lets a worker's lease run out while the others answer; gives what the
-    /// owner does at the end.
+    /// Lets a worker's lease expire while the others answer, and returns the effects of
+    /// the tick at which it expires.
     pub(crate) fn let_lease_expire(&mut self, silent: &str, others: &[&str]) -> Vec<Effect> {
         let mut effects = Vec::new();
         while !self.is_believed(silent, WorkerState::Lapsed) {
@@ -255,12 +255,12 @@
         self.submit_to(0, id, steps)
     }
 
-    /// Submits to the queue at this place of the catalogue.
+    /// Submits a job to the queue at this index of the catalogue.
     pub(crate) fn submit_to(&mut self, at: usize, id: u64, steps: Vec<StepSpec>) -> Vec<Effect> {
         self.submit_for(None, at, id, steps)
     }
 
-    /// Submits a customer's job to the queue at this place of the catalogue.
+    /// Submits a customer's job to the queue at this index of the catalogue.
     pub(crate) fn submit_for(
         &mut self,
         customer: Option<&str>,
@@ -293,7 +293,7 @@
         self.confirm_renewal(worker, 0, answer)
     }
 
-    /// Answers a renewal that acknowledged ends up to `acked`.
+    /// Answers a renewal that acknowledged the ends up to number `acked`.
     pub(crate) fn confirm_renewal(
         &mut self,
         worker: &str,
@@ -340,12 +340,12 @@
     }
 }
 
-/// The starts among effects, with their workers.
+/// The start orders among the effects, with their workers.
 pub(crate) fn starts(effects: &[Effect]) -> Vec<(Box<str>, TaskOrder)> {
     orders(effects, |order| matches!(order, Order::Start { .. }))
 }
 
-/// The stops among effects, with their workers.
+/// The stop orders among the effects, with their workers.
 pub(crate) fn stops(effects: &[Effect]) -> Vec<(Box<str>, TaskOrder)> {
     orders(effects, |order| matches!(order, Order::Stop))
 }
@@ -360,7 +360,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// The commands among effects.
+/// The commands that the effects propose.
 pub(crate) fn proposals(effects: &[Effect]) -> Vec<Command> {
     let command = |effect: &Effect| match effect {
         Effect::Propose(command) => Some(command.clone()),
@@ -369,7 +369,7 @@
     effects.iter().filter_map(command).collect()
 }
 
-/// What effects ask of the adviser.
+/// The requests to the adviser among the effects: the step and the candidate workers.
 pub(crate) fn advice(effects: &[Effect]) -> Vec<(StepId, Vec<Box<str>>)> {
     let asked = |effect: &Effect| match effect {
         Effect::Advise { step, workers } => Some((*step, workers.clone())),
@@ -378,7 +378,7 @@
     effects.iter().filter_map(asked).collect()
 }
 
-/// The paces among effects, with their tasks.
+/// The throttle orders among the effects: the task and its percentage.
 pub(crate) fn throttles(effects: &[Effect]) -> Vec<(TaskId, u8)> {
     let pace = |(_, order): (Box<str>, TaskOrder)| match order.order {
         Order::Throttle(percent) => Some((order.task, percent)),
@@ -388,7 +388,7 @@
     all.into_iter().filter_map(pace).collect()
 }
 
-/// A machine of pool `pool` that is up.
+/// A machine of the pool that is up.
 pub(crate) fn machine(name: &str, pool: &str, worker: Option<&str>) -> MachineView {
     MachineView {
         name: name.into(),
@@ -400,14 +400,14 @@
     }
 }
 
-/// Lets the platform answer a list that was asked for now.
+/// Feeds the platform's answer to a list requested now.
 pub(crate) fn list_machines(harness: &mut Harness, machines: Vec<MachineView>) -> Vec<Effect> {
     let sent_at = harness.now;
     let machines = Some(machines);
     harness.feed(Event::MachinesListed { sent_at, machines })
 }
 
-/// The moves among effects, with their pools.
+/// The machine moves among the effects, with their destination pools.
 pub(crate) fn moved(effects: &[Effect]) -> Vec<(Box<str>, Box<str>)> {
     let order = |effect: &Effect| match effect {
         Effect::OrderMachine {
@@ -420,7 +420,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// An answer to a renewal that lists these ends and no runs.
+/// A renewal answer that lists these ends and no runs.
 pub(crate) fn ended(ends: Vec<TaskEnd>) -> RenewalAnswer {
     RenewalAnswer {
         ended: ends,
--- a/crates/cleat-jobs/tests/takeover.rs
+++ b/crates/cleat-jobs/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner takes over, and what has to wait for it.
+//! Which runs a new owner adopts, and which tasks have to wait for workers to answer it.
 
 mod support;
 
@@ -11,8 +11,7 @@
     Duration::from_millis(ms)
 }
 
-/// The end of a run that an earlier owner started is listed, but not in the
-/// state yet.
+/// The end of a run that an earlier owner started is listed, but not committed yet.
 #[test]
 fn takeover_listed_end_keeps_its_task() {
     let mut harness = Harness::with_workers(&["w1"]);
@@ -20,7 +19,10 @@
     harness.replace_owner();
     let listed = vec![end(1, task(1, 0, 0), 1, EndKind::Done)];
     let effects = harness.answer_renewal("w1", ended(listed));
-    assert!(starts(&effects).is_empty(), "its end is being committed");
+    assert!(
+        starts(&effects).is_empty(),
+        "the task was started again before its end was committed"
+    );
 }
 
 #[test]
@@ -29,17 +31,23 @@
     harness.submit(1, vec![step(1, 1_000)]);
     harness.replace_owner();
     let one = harness.answer_renewal("w1", RenewalAnswer::default());
-    assert!(starts(&one).is_empty(), "w2 may run it");
+    assert!(
+        starts(&one).is_empty(),
+        "a task that may run on w2 was started again"
+    );
     let listed = RenewalAnswer {
         running: vec![running(task(1, 0, 0), 1)],
         ..RenewalAnswer::default()
     };
     let both = harness.answer_renewal("w2", listed);
-    assert!(starts(&both).is_empty(), "it runs on w2");
+    assert!(
+        starts(&both).is_empty(),
+        "a task that runs on w2 was started again"
+    );
 }
 
-/// A run whose lease ran out while its worker was cut off, and the task's next
-/// run elsewhere.
+/// Two renewal answers: the end of a run whose lease expired while its worker was cut off,
+/// and the task's next run elsewhere.
 fn listed_twice() -> (RenewalAnswer, RenewalAnswer) {
     let lapsed = ended(vec![end(1, task(1, 0, 0), 1, EndKind::Lapsed)]);
     let runs = RenewalAnswer {
@@ -57,7 +65,11 @@
     let (lapsed, runs) = listed_twice();
     let noted = harness.answer_renewal("w1", lapsed);
     let adopted = harness.answer_renewal("w2", runs.clone());
-    assert_eq!(stops(&adopted), vec![], "it is the task's latest run");
+    assert_eq!(
+        stops(&adopted),
+        vec![],
+        "the latest run of the task was stopped"
+    );
     let settled = harness.commit(&noted);
     let later = harness.answer_renewal("w2", runs);
     let effects = [settled, later].concat();
@@ -77,7 +89,7 @@
     assert_eq!((starts(&effects), stops(&effects)), (vec![], vec![]));
 }
 
-/// The earlier end is committed first, and says nothing of the later run.
+/// The end of the earlier run is committed first, which does not affect the later run.
 #[test]
 fn takeover_keeps_its_task_until_the_end_of_its_latest_run_is_committed() {
     let mut harness = Harness::new();
@@ -88,7 +100,11 @@
     let done = ended(vec![end(1, task(1, 0, 0), 2, EndKind::Done)]);
     let second = harness.answer_renewal("w2", done);
     let between = harness.commit(&first);
-    assert_eq!(starts(&between), vec![], "its latest run is done");
+    assert_eq!(
+        starts(&between),
+        vec![],
+        "the task was started again although its latest run is done"
+    );
     harness.commit(&second);
     assert_eq!(harness.state.job_state(JobId(1)), Some(JobState::Completed));
 }
@@ -101,7 +117,7 @@
     }
 }
 
-/// An earlier owner took its lease as over: nothing of the task runs there.
+/// An earlier owner recorded that the worker's lease expired, so no task runs there.
 #[test]
 fn takeover_lapsed_worker_delays_nothing() {
     let mut harness = Harness::new();
@@ -118,8 +134,8 @@
     assert_eq!(starts_once_w1_answers(&mut harness), 1);
 }
 
-/// How many tasks a new owner starts of a job of one that it inherits, once
-/// `w1` has answered.
+/// The number of tasks of an inherited job of one task that a new owner starts once `w1`
+/// has answered.
 fn starts_once_w1_answers(harness: &mut Harness) -> usize {
     harness.submit(1, vec![step(1, 1_000)]);
     harness.replace_owner();
@@ -133,11 +149,15 @@
     harness.replace_owner();
     harness.answer_renewal("w1", RenewalAnswer::default());
     let started = starts(&harness.submit(1, vec![step(1, 1_000)]));
-    assert_eq!(started.len(), 1, "no earlier owner can have started it");
+    assert_eq!(
+        started.len(),
+        1,
+        "a job that no earlier owner can have started was delayed"
+    );
 }
 
-/// What came long before the takeover can't be in time any more; what came
-/// since can.
+/// A job submitted long before the takeover can no longer complete in time, but one
+/// submitted since then can.
 #[test]
 fn takeover_serves_new_jobs_before_overdue_ones() {
     let mut harness = Harness::with_workers(&[]);
@@ -150,7 +170,7 @@
     assert_eq!(started[0].1.task.job(), JobId(2));
 }
 
-/// Its caller came just before the takeover: it is served in its turn.
+/// A job submitted just before the takeover can still complete in time and is served first.
 #[test]
 fn takeover_keeps_the_order_of_jobs_still_in_time() {
     let mut harness = Harness::with_workers(&[]);
--- a/crates/cleat-jobs/tests/throttle.rs
+++ b/crates/cleat-jobs/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Pacing work that fills beside work that serves.
+//! Throttling of tasks that fill spare processor time next to latency-sensitive tasks.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const TARGET_MS: u64 = 100;
 const SETTLED: Duration = Duration::from_millis(700);
 
-/// One serving and one filling task on the only worker.
+/// A worker with one serving task, which has a latency target, and one filling task.
 fn shared() -> Harness {
     let serving = StepSpec {
         long_running: true,
@@ -27,7 +27,7 @@
     assert_eq!(
         started.len(),
         1,
-        "what fills needs no processor time of its own"
+        "the filling task was not started beside the serving one"
     );
     harness
 }
@@ -82,7 +82,7 @@
     assert_eq!(
         list(&mut harness, TARGET_MS * 7 / 10, 65),
         Vec::<u8>::new(),
-        "it fits"
+        "the throttle changed although the load fits the target"
     );
 }
 
