--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -49,14 +49,14 @@
         let mut world = World::new(size);
         world.list();
         world.pass_settling_time();
-        let (back, back_moves) = world.run_ticks();
+        let (back_us, back_moves) = world.run_ticks();
         world.list();
         world.pass_settling_time();
-        let (rest, _) = world.run_ticks();
+        let (idle_us, _) = world.run_ticks();
         world.submit(size / 10);
-        let (come, come_moves) = world.run_ticks();
+        let (demand_us, demand_moves) = world.run_ticks();
         println!(
-            "{size:>8}  {rest:>10}  {back:>13} ({back_moves:>5})  {come:>9} ({come_moves:>5})"
+            "{size:>8}  {idle_us:>10}  {back_us:>13} ({back_moves:>5})  {demand_us:>9} ({demand_moves:>5})"
         );
     }
 }
--- a/crates/cleat-jobs/tests/absent.rs
+++ b/crates/cleat-jobs/tests/absent.rs
@@ -115,10 +115,10 @@
 #[test]
 fn absent_worker_loses_its_tasks_at_once() {
     let mut harness = Harness::new();
-    let (on, _) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
-    let other = if *on == *"w1" { "w2" } else { "w1" };
-    let entry = machine(&format!("m-{on}"), MachineState::Down, None);
-    harness.fail_renewal(&on);
+    let (first_worker, _) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
+    let other = if *first_worker == *"w1" { "w2" } else { "w1" };
+    let entry = machine(&format!("m-{first_worker}"), MachineState::Down, None);
+    harness.fail_renewal(&first_worker);
     harness.now += ms(900);
     harness.answer_renewal(other, RenewalAnswer::default());
     harness.tick(ms(1));
--- a/crates/cleat-jobs/tests/caps.rs
+++ b/crates/cleat-jobs/tests/caps.rs
@@ -67,8 +67,8 @@
     let mut harness = capped(3_000);
     harness.add_worker("v1", "b");
     submit(&mut harness, 1, vec![step(2, 1_000)]);
-    let there = harness.submit_for(Some("c"), 1, 2, vec![step(2, 1_000)]);
-    assert_eq!(starts(&there).len(), 1);
+    let effects = harness.submit_for(Some("c"), 1, 2, vec![step(2, 1_000)]);
+    assert_eq!(starts(&effects).len(), 1);
 }
 
 #[test]
@@ -77,8 +77,8 @@
     harness.add_worker("v1", "b");
     let first = starts(&submit(&mut harness, 1, vec![step(1, 1_000)]));
     let worker = first[0].0.clone();
-    let waits = harness.submit_for(Some("c"), 1, 2, vec![step(1, 1_000)]);
-    assert!(starts(&waits).is_empty());
+    let waiting = harness.submit_for(Some("c"), 1, 2, vec![step(1, 1_000)]);
+    assert!(starts(&waiting).is_empty());
     let done = vec![end(1, task(1, 0, 0), 1, EndKind::Done)];
     let after = finish(&mut harness, &worker, done);
     assert_eq!(starts(&after).len(), 1);
@@ -88,8 +88,8 @@
 fn lowered_cap_stops_no_run_and_admits_no_start() {
     let mut harness = capped(6_000);
     submit(&mut harness, 1, vec![step(4, 1_000)]);
-    let cut = configure(&mut harness, 3, 2_000);
-    assert!(stops(&cut).is_empty());
+    let lowered = configure(&mut harness, 3, 2_000);
+    assert!(stops(&lowered).is_empty());
     let more = submit(&mut harness, 2, vec![step(1, 1_000)]);
     assert!(starts(&more).is_empty());
     let raised = configure(&mut harness, 4, 5_000);
@@ -121,12 +121,12 @@
     let mut harness = capped(1_000);
     let started = starts(&submit(&mut harness, 1, vec![step(2, 1_000)]));
     let (worker, order) = &started[0];
-    let doubted = harness.answer(worker, order, OrderAnswer::Unknown);
-    assert!(starts(&doubted).is_empty());
-    let (_, stop) = &stops(&doubted)[0];
-    let closed = harness.answer(worker, stop, OrderAnswer::Done);
+    let unanswered = harness.answer(worker, order, OrderAnswer::Unknown);
+    assert!(starts(&unanswered).is_empty());
+    let (_, stop) = &stops(&unanswered)[0];
+    let stop_answered = harness.answer(worker, stop, OrderAnswer::Done);
     assert!(
-        starts(&closed).is_empty(),
+        starts(&stop_answered).is_empty(),
         "a task started before the worker listed its runs"
     );
     harness.now += Duration::from_millis(50);
@@ -179,15 +179,15 @@
         running: vec![running(task(1, 0, 0), 1)],
         ..RenewalAnswer::default()
     };
-    let stray = harness.answer_renewal("w1", runs);
-    assert!(starts(&stray).is_empty());
-    let whole = harness.answer_renewal("w2", RenewalAnswer::default());
+    let effects = harness.answer_renewal("w1", runs);
+    assert!(starts(&effects).is_empty());
+    let effects = harness.answer_renewal("w2", RenewalAnswer::default());
     assert!(
-        starts(&whole).is_empty(),
+        starts(&effects).is_empty(),
         "the cancelled task on w1 was not counted"
     );
-    let gone = harness.answer_renewal("w1", RenewalAnswer::default());
-    assert_eq!(starts(&gone).len(), 1);
+    let effects = harness.answer_renewal("w1", RenewalAnswer::default());
+    assert_eq!(starts(&effects).len(), 1);
     let settled = harness.tick(Duration::from_millis(50));
     harness.commit(&settled);
     assert!(harness.state.stopping.is_empty());
@@ -215,14 +215,14 @@
     for _ in 0..10 {
         harness.fail_renewal(silent);
         harness.answer_renewal(other, RenewalAnswer::default());
-        let waits = harness.tick(Duration::from_millis(100));
-        assert!(starts(&waits).is_empty());
+        let waiting = harness.tick(Duration::from_millis(100));
+        assert!(starts(&waiting).is_empty());
     }
     assert_eq!(starts(&harness.let_lease_expire(silent, &[other])).len(), 1);
 }
 
 #[test]
-fn accounts_are_the_sum_of_what_runs() {
+fn accounts_match_the_sum_of_running_tasks() {
     let mut harness = capped(3_000);
     let started = starts(&submit(&mut harness, 1, vec![step(5, 1_000)]));
     harness.answer(&started[0].0, &started[0].1, OrderAnswer::Unknown);
--- a/crates/cleat-jobs/tests/crash_storms.rs
+++ b/crates/cleat-jobs/tests/crash_storms.rs
@@ -46,14 +46,14 @@
                 .scenario
                 .submit(other_job, vec![step(TASKS_PER_JOB, 1_000)]);
             storm.other_jobs.push(other_job);
-            storm.crash_culprit_workers();
+            storm.crash_workers_of_crashing_tasks();
             storm.settle();
         }
         storm
     }
 
     /// Crashes each worker on which a crashing task runs.
-    fn crash_culprit_workers(&mut self) {
+    fn crash_workers_of_crashing_tasks(&mut self) {
         let crashing_runs = self.scenario.runs.iter();
         let crashing_runs =
             crashing_runs.filter(|(task, _)| self.scenario.crashing_tasks.contains(*task));
@@ -91,7 +91,7 @@
     /// Crashes workers and ends runs until every job has ended.
     fn run_to_end(mut self) -> Storm {
         for _ in 0..200 {
-            self.crash_culprit_workers();
+            self.crash_workers_of_crashing_tasks();
             self.settle();
         }
         self
@@ -157,11 +157,11 @@
     storm.scenario.crashing_tasks = (1..=30).map(|job| task(job, 0, 0)).collect();
     for job in 1..=30 {
         storm.scenario.submit(job, vec![step(TASKS_PER_JOB, 1_000)]);
-        storm.crash_culprit_workers();
+        storm.crash_workers_of_crashing_tasks();
         storm.renew_all();
     }
     for _ in 0..60 {
-        storm.crash_culprit_workers();
+        storm.crash_workers_of_crashing_tasks();
         storm.renew_all();
     }
     assert_eq!(
--- a/crates/cleat-jobs/tests/crashes.rs
+++ b/crates/cleat-jobs/tests/crashes.rs
@@ -19,7 +19,7 @@
 
 /// Without the crash count, one owner started the task 8 times and the next one 23 times.
 #[test]
-fn crashing_task_is_given_up() {
+fn crashing_task_fails_its_job() {
     let mut scenario = CrashScenario::new(4);
     scenario.submit(1, vec![step(3, 1_000)]);
     scenario.crash_repeatedly();
@@ -32,7 +32,7 @@
 
 /// The worker crashes before it can answer the start.
 #[test]
-fn crashing_task_whose_starts_are_in_doubt_is_given_up() {
+fn crashing_task_whose_starts_are_in_doubt_fails_its_job() {
     let mut scenario = CrashScenario::new(4);
     scenario.answer = OrderAnswer::Unknown;
     scenario.submit(1, vec![step(1, 1_000)]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn crashing_task_is_given_up_by_the_third_owner() {
+fn crashing_task_fails_its_job_across_owners() {
     let mut scenario = CrashScenario::new(4);
     scenario.submit(1, vec![step(1, 1_000)]);
     for _ in 0..TOO_MANY_STARTS {
@@ -367,9 +367,9 @@
     scenario.harness.now += Duration::from_millis(1_500);
     let effects = scenario.harness.add_worker("w9", "a");
     scenario.process(effects);
-    let waited = task(2, 0, 0);
-    assert_eq!(&*scenario.worker_of(waited), "w9");
+    let second_task = task(2, 0, 0);
+    assert_eq!(&*scenario.worker_of(second_task), "w9");
     let effects = scenario.report_other_life("w9");
     scenario.process(effects);
-    assert_eq!(scenario.crashes(waited), 1);
+    assert_eq!(scenario.crashes(second_task), 1);
 }
--- a/crates/cleat-jobs/tests/scheduler.rs
+++ b/crates/cleat-jobs/tests/scheduler.rs
@@ -84,8 +84,8 @@
 fn ends_committed_out_of_order_are_proposed_again() {
     let mut harness = Harness::with_workers(&["w1"]);
     let (first, second) = propose_two_ends(&mut harness);
-    let passed = harness.apply(second.clone());
-    assert_eq!(proposals(&passed), vec![second.clone()]);
+    let after_second = harness.apply(second.clone());
+    assert_eq!(proposals(&after_second), vec![second.clone()]);
     let effects = [harness.apply(first), harness.apply(second)].concat();
     assert!(
         starts(&effects).is_empty(),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn job_waits_until_a_start_is_known_to_be_carried_out() {
+fn job_waits_until_a_start_is_known_to_be_executed() {
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     assert_eq!(
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn job_waits_no_more_once_a_start_is_answered() {
+fn job_no_longer_waits_once_a_start_is_answered() {
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     harness.answer(&worker, &order, OrderAnswer::Done);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn job_waits_no_more_once_an_end_is_listed() {
+fn job_no_longer_waits_once_an_end_is_listed() {
     let mut harness = Harness::new();
     let (worker, order) = starts(&harness.submit(1, vec![step(1, 1_000)])).remove(0);
     harness.answer(&worker, &order, OrderAnswer::Unknown);
@@ -214,7 +214,7 @@
 
 /// The expiry of the worker's lease is committed after its new use.
 #[test]
-fn lapsed_worker_late_commit_of_its_lapse_is_ignored() {
+fn lapsed_worker_ignores_a_late_commit_of_its_lapse() {
     let mut harness = Harness::with_workers(&["w1", "w2"]);
     let lapsed = harness.let_lease_expire("w1", &["w2"]);
     let back = harness.answer_renewal("w1", RenewalAnswer::default());
--- a/crates/cleat-jobs/tests/schedules.rs
+++ b/crates/cleat-jobs/tests/schedules.rs
@@ -216,7 +216,7 @@
 /// Guards against a third start of a task that is done. A worker comes back after its lease
 /// expired and lists the task as done, which was meanwhile started elsewhere.
 #[test]
-fn schedule_done_by_a_run_taken_as_lost() {
+fn schedule_done_by_a_run_considered_lost() {
     run(&cut_workers_and_dying_owners(), 194).unwrap_or_else(|violation| panic!("{violation}"));
     run(&Plan::with(&Fault::ALL), 606).unwrap_or_else(|violation| panic!("{violation}"));
 }
@@ -238,13 +238,13 @@
 
 /// Each fault immediately after each stage of a job.
 #[test]
-fn matrix_faults_at_each_step_of_a_job() {
-    for moment in JobStage::ALL {
+fn matrix_faults_at_each_stage_of_a_job() {
+    for stage in JobStage::ALL {
         for fault in Fault::EACH {
             for seed in 0..12 {
-                let plan = Plan::injecting_at(moment, fault);
+                let plan = Plan::injecting_at(stage, fault);
                 if let Err(violation) = run(&plan, seed) {
-                    panic!("{fault:?} when {moment:?}, seed {seed}: {violation}");
+                    panic!("{fault:?} at {stage:?}, seed {seed}: {violation}");
                 }
             }
         }
--- a/crates/cleat-jobs/tests/silent.rs
+++ b/crates/cleat-jobs/tests/silent.rs
@@ -65,8 +65,8 @@
         ..step(1, 1_000)
     };
     let mut harness = Harness::new();
-    let (on, first) = starts(&harness.submit(1, vec![step(1, 1_000), second])).remove(0);
-    assert_eq!(&*on, "w1");
+    let (first_worker, first) = starts(&harness.submit(1, vec![step(1, 1_000), second])).remove(0);
+    assert_eq!(&*first_worker, "w1");
     let_become_silent(&mut harness);
     let done = end(1, first.task, first.run.0, EndKind::Done);
     harness.apply(ends("w1", vec![done]));
@@ -155,15 +155,15 @@
 #[test]
 fn lapsed_worker_that_had_done_its_task_leaves_it_done() {
     let mut harness = Harness::new();
-    let (on, first) = starts(&harness.submit(1, vec![step(2, 8_000)])).remove(0);
-    let other = if *on == *"w1" { "w2" } else { "w1" };
-    let lapsed = harness.let_lease_expire(&on, &[other]);
+    let (first_worker, first) = starts(&harness.submit(1, vec![step(2, 8_000)])).remove(0);
+    let other = if *first_worker == *"w1" { "w2" } else { "w1" };
+    let lapsed = harness.let_lease_expire(&first_worker, &[other]);
     harness.commit(&lapsed);
     let answer = RenewalAnswer {
         ended: vec![end(1, first.task, first.run.0, EndKind::Done)],
         ..RenewalAnswer::default()
     };
-    let back = harness.answer_renewal(&on, answer);
+    let back = harness.answer_renewal(&first_worker, answer);
     let effects = harness.commit(&back);
     let again = starts(&effects).into_iter();
     let again = again.filter(|(_, order)| order.task == first.task);
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -64,8 +64,8 @@
             }
         }
         let mut cap = self.caps()[at];
-        if now <= self.caps_before.1 {
-            cap = looser_cap(cap, self.caps_before.0[at]);
+        if now <= self.previous_caps.1 {
+            cap = looser_cap(cap, self.previous_caps.0[at]);
         }
         let allowed = cap == 0 || in_use <= cap || (in_use - largest) * 2 < cap;
         let ms = now.as_millis();
@@ -75,7 +75,7 @@
     /// A start may not exceed the capacity of its worker.
     pub(super) fn check_capacity(&self, at: usize, order: &TaskOrder) -> Result<(), Violation> {
         let worker = &self.workers[at];
-        let (before, until) = self.capacity_before_shrink[at];
+        let (before, until) = self.previous_capacity[at];
         let mut capacity = worker.record.capacity;
         if self.now <= until {
             capacity = capacity.max_of_each(before);
@@ -120,8 +120,9 @@
     /// crashed under one of its tasks.
     fn check_failed(&self) -> Result<(), Violation> {
         let ms = self.now.as_millis();
-        let innocent = |id: &JobId| !self.may_fail(*id) && !self.crashes.may_give_up(*id);
-        match self.failed().find(innocent) {
+        let without_cause =
+            |id: &JobId| !self.may_fail(*id) && !self.crashes.may_fail_from_crashes(*id);
+        match self.failed().find(without_cause) {
             Some(job) => Err(Violation::FailedWithoutCause { job, ms }),
             None => Ok(()),
         }
--- a/crates/cleat-jobs/tests/simulation/crashes.rs
+++ b/crates/cleat-jobs/tests/simulation/crashes.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the job may fail because of crashes.
-    pub(super) fn may_give_up(&self, id: JobId) -> bool {
+    pub(super) fn may_fail_from_crashes(&self, id: JobId) -> bool {
         let of_job = self.by_task.iter().filter(|(task, _)| task.job() == id);
         of_job
             .map(|(_, crashes)| *crashes)
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -11,7 +11,7 @@
 use super::world::{CAPACITY, CAPS, HEARTBEAT_INTERVAL, SimEvent, WORKERS, World, ms};
 
 /// The longest latency of an order without a fault.
-const ORDER_UNDER_WAY: Duration = Duration::from_millis(10);
+const MAX_ORDER_LATENCY: Duration = Duration::from_millis(10);
 /// The longest time without contact after which a start may still reach a worker.
 const MAX_CONTACT_GAP: Duration = Duration::from_secs(3);
 
@@ -63,12 +63,12 @@
             memory_mb: CAPACITY.memory_mb / parts,
             ..CAPACITY
         };
-        let (earlier, until) = self.capacity_before_shrink[at];
+        let (earlier, until) = self.previous_capacity[at];
         let before = match self.now <= until {
             true => before.max_of_each(earlier),
             false => before,
         };
-        self.capacity_before_shrink[at] = (before, self.now + MAX_CONTACT_GAP + HEARTBEAT_INTERVAL);
+        self.previous_capacity[at] = (before, self.now + MAX_CONTACT_GAP + HEARTBEAT_INTERVAL);
     }
 
     /// Crashes a worker, with all its runs.
@@ -118,14 +118,14 @@
         let current = self.state.catalogue.as_ref().expect("configured");
         let version = current.version + 1;
         let mut before = self.caps();
-        if self.now <= self.caps_before.1 {
+        if self.now <= self.previous_caps.1 {
             // Orders sent under the caps before the previous change may also still arrive.
-            let earlier = before.iter().zip(&self.caps_before.0);
+            let earlier = before.iter().zip(&self.previous_caps.0);
             before = earlier
                 .map(|(cap, earlier)| looser_cap(*cap, *earlier))
                 .collect();
         }
-        self.caps_before = (before, self.now + ORDER_UNDER_WAY);
+        self.previous_caps = (before, self.now + MAX_ORDER_LATENCY);
         let caps = CAPS.map(|cap| cap / self.rng.random_range(1..5));
         self.apply(Command::Configure(Arc::new(catalogue(
             version,
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -99,7 +99,7 @@
     pub(super) guards_capacity: bool,
     /// The capacity of each worker before it last changed, and until when a start may still
     /// rely on it.
-    pub(super) capacity_before_shrink: [(Size, Duration); WORKERS],
+    pub(super) previous_capacity: [(Size, Duration); WORKERS],
     /// The number of the last end that the current life of each worker has listed.
     pub(super) last_listed_end: [u64; WORKERS],
     /// The number of failed runs planned for each job.
@@ -107,7 +107,7 @@
     /// How often the plan's fault will still be injected at its stage.
     injections_left: u32,
     /// The previous caps, and until when orders sent under them may arrive.
-    pub(super) caps_before: (Vec<u64>, Duration),
+    pub(super) previous_caps: (Vec<u64>, Duration),
 }
 
 /// Runs a schedule to its end.
@@ -144,11 +144,11 @@
             always_failing: Vec::new(),
             crashing: Vec::new(),
             crashes: Crashes::default(),
-            capacity_before_shrink: [(Size::default(), Duration::ZERO); WORKERS],
+            previous_capacity: [(Size::default(), Duration::ZERO); WORKERS],
             last_listed_end: [0; WORKERS],
             failures: IndexMap::new(),
             injections_left: INJECTIONS,
-            caps_before: (Vec::new(), Duration::ZERO),
+            previous_caps: (Vec::new(), Duration::ZERO),
         };
         world.begin();
         world
