--- a/crates/cleat-jobs/examples/decision_cost.rs
+++ b/crates/cleat-jobs/examples/decision_cost.rs
@@ -40,8 +40,11 @@
     Tick,
     Submit(usize),
     Commit(Command),
+    /// A renewal sent at this time arrives at the worker with this index.
     Renew(usize, RenewalOrder, Duration),
+    /// A worker answers a renewal that acknowledged the ends up to this number.
     RenewalDue(usize, u64, Duration),
+    /// An order with the fencing token of its owner arrives at a worker.
     Order(usize, u64, TaskOrder),
     Deliver(Event),
 }
@@ -105,7 +108,7 @@
             sim_events: Vec::new(),
             state,
             index: 3,
-            owner: owner.expect("owned"),
+            owner: owner.expect("the state has an owner"),
             workers: Vec::new(),
             jobs: 0,
             customers,
@@ -298,7 +301,9 @@
 }
 
 fn worker_index(name: &str) -> usize {
-    name[1..].parse().expect("a name of ours")
+    name[1..]
+        .parse()
+        .expect("a worker name is `w` and a number")
 }
 
 fn customer(at: u64) -> Box<str> {
--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -72,7 +72,7 @@
             now: Duration::ZERO,
             state,
             index: 3,
-            owner: owner.expect("owned"),
+            owner: owner.expect("the state has an owner"),
             machines: (0..size).map(machine).collect(),
             decision_time: Duration::ZERO,
             moves: 0,
@@ -175,7 +175,7 @@
     fn submit(&mut self, machines: usize) {
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
         let step = StepSpec {
-            count: u32::try_from(machines).expect("few"),
+            count: u32::try_from(machines).expect("value out of range"),
             size: CAPACITY,
             estimate_ms: 1_000,
             ..StepSpec::default()
--- a/crates/cleat-jobs/tests/advice.rs
+++ b/crates/cleat-jobs/tests/advice.rs
@@ -30,7 +30,7 @@
     harness: &mut Harness,
     id: StepId,
     asked: &[Box<str>],
-    good: Option<&[&str]>,
+    permitted: Option<&[&str]>,
 ) -> Vec<Effect> {
     let ticket = |name: &&str| (Box::from(*name), format!("ticket-{name}").into());
     let (step, asked, sent_at) = (id, asked.to_vec(), harness.now);
@@ -38,7 +38,7 @@
         step,
         sent_at,
         asked,
-        permitted: good.map(|good| good.iter().map(ticket).collect()),
+        permitted: permitted.map(|permitted| permitted.iter().map(ticket).collect()),
     })
 }
 
--- a/crates/cleat-jobs/tests/capacity.rs
+++ b/crates/cleat-jobs/tests/capacity.rs
@@ -25,12 +25,12 @@
 /// A configuration in which the workers of pool `a` do not refuse starts beyond their
 /// capacity.
 fn pool_without_capacity_guard(version: u64) -> Command {
-    let trusting = Pool {
+    let unguarded = Pool {
         guards_capacity: false,
         ..pool("a", false)
     };
     let draft = Draft {
-        pools: vec![trusting, pool("b", false), pool("spare", true)],
+        pools: vec![unguarded, pool("b", false), pool("spare", true)],
         ..draft(version)
     };
     Command::Configure(Arc::new(Catalogue::new(draft).expect("valid")))
--- a/crates/cleat-jobs/tests/crashes.rs
+++ b/crates/cleat-jobs/tests/crashes.rs
@@ -75,9 +75,9 @@
     let mut jobs = 1..;
     let mut crashes = 0;
     for _ in 0..TOO_MANY_STARTS {
-        let id = jobs.next().expect("endless");
+        let id = jobs.next().expect("the range is endless");
         scenario.submit(id, vec![step(3, 1_000)]);
-        let id = jobs.next().expect("endless");
+        let id = jobs.next().expect("the range is endless");
         scenario.submit(id, vec![step(5, 1_000)]);
         if let Some((worker, _)) = scenario.runs.get(&CRASHING_TASK).cloned() {
             scenario.crash(&worker);
@@ -86,7 +86,7 @@
         scenario.finish_others();
     }
     assert_eq!(scenario.state_of(1), Some(JobState::Failed));
-    let submitted = jobs.next().expect("endless");
+    let submitted = jobs.next().expect("the range is endless");
     for job in 2..submitted {
         assert_eq!(
             scenario.state_of(job),
@@ -289,7 +289,7 @@
     let effects = scenario.report_other_life(&worker);
     let crashed = proposals(&effects).into_iter();
     let crashed = crashed.filter(|command| matches!(command, Command::Crashed { .. }));
-    let command = crashed.last().expect("it is proposed");
+    let command = crashed.last().expect("no crash was proposed");
     let again = scenario.harness.feed(Event::ProposalFailed {
         command: Arc::new(command.clone()),
     });
--- a/crates/cleat-jobs/tests/forecast.rs
+++ b/crates/cleat-jobs/tests/forecast.rs
@@ -67,7 +67,7 @@
                 let size = arrivals.forecast(now);
                 forecasts.push((
                     now,
-                    f64::from(u32::try_from(size.cpu_milli).expect("small")) / 1_000.0,
+                    f64::from(u32::try_from(size.cpu_milli).expect("value out of range")) / 1_000.0,
                 ));
             }
         }
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn forecast_without_jobs_is_nothing() {
+fn forecast_without_jobs_is_zero() {
     assert_eq!(Arrivals::default().forecast(ms(1_000)).cpu_milli, 0);
 }
 
@@ -137,7 +137,7 @@
 
 /// Moving a machine takes 1.5 s, so each 100 ms of delay in the forecast matters.
 #[test]
-fn forecast_demand_peak_of_many_small_jobs_is_seen_soon() {
+fn forecast_demand_peak_of_many_small_jobs_is_detected_soon() {
     let load = Load::with_peak(0.35, 28.0);
     let rise_delays = load.delays(ms(10_000), |cores| cores > 14.0);
     let fall_delays = load.delays(ms(15_000), |cores| cores < 14.0);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn forecast_demand_peak_of_few_large_jobs_is_seen_soon() {
+fn forecast_demand_peak_of_few_large_jobs_is_detected_soon() {
     let load = Load::with_peak(0.065, 5.2);
     let rise_delays = load.delays(ms(10_000), |cores| cores > 2.6);
     let fall_delays = load.delays(ms(15_000), |cores| cores < 2.6);
@@ -188,7 +188,7 @@
 /// Three jobs in quick succession indicate a higher rate, but a lower one than their
 /// spacing suggests: few jobs often arrive close together by chance.
 #[test]
-fn forecast_bunch_of_few_jobs_claims_little() {
+fn forecast_for_a_burst_of_few_jobs_stays_low() {
     let mut arrivals = Arrivals::default();
     for at in [ms(9_990), ms(9_995), ms(10_000)] {
         arrivals.record(at, JOB);
@@ -199,7 +199,7 @@
 /// Gateways held these jobs while there was no leader. They count from the time their
 /// callers sent them.
 #[test]
-fn forecast_held_jobs_count_from_when_they_came() {
+fn forecast_counts_held_jobs_from_their_arrival() {
     let mut arrivals = Arrivals::default();
     let mut arrivals_ms: Vec<u64> = (0..60).map(|at| 10_000 + at * 33).collect();
     arrivals_ms.reverse();
@@ -218,7 +218,7 @@
 /// offered 346 machines for a forecast that lasted half a second, three times the 116 at
 /// most that its tasks filled, and the others were moved back unused.
 #[test]
-fn forecast_long_jobs_add_up_as_they_come() {
+fn forecast_for_long_jobs_rises_gradually() {
     let long = JobUsage {
         cpu_milli_ms: 4_000_000.0,
         memory_mb_ms: 4_000_000.0,
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -60,7 +60,7 @@
             share_policy: sharing,
             ..SchedulerConfig::default()
         };
-        let owner = Scheduler::new(cfg, &state, Duration::ZERO, 1).expect("owned");
+        let owner = Scheduler::new(cfg, &state, Duration::ZERO, 1).expect("the state has an owner");
         let names = ["w1", "w2"].into_iter();
         let worker = |name: &str| {
             let model = SimulatedWorker::new(record(name, "a"), 100, 1_000);
@@ -90,7 +90,7 @@
         let id = JobId(self.submitted_at.len() as u64);
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
         let mut step = step(4, 1_000);
-        step.estimate_ms = u64::try_from(TASK_DURATION.as_millis()).expect("short");
+        step.estimate_ms = u64::try_from(TASK_DURATION.as_millis()).expect("value out of range");
         self.submitted_at.insert(id, (customer, self.now));
         self.apply(Command::Submit {
             id,
@@ -116,7 +116,7 @@
     /// Advances the clock by 10 ms.
     fn advance(&mut self) {
         self.now += STEP;
-        let wall_ms = 1 + u64::try_from(self.now.as_millis()).expect("short");
+        let wall_ms = 1 + u64::try_from(self.now.as_millis()).expect("value out of range");
         self.events.push(Event::Tick { wall_ms });
         self.answer_renewals();
         let events = std::mem::take(&mut self.events);
@@ -258,7 +258,8 @@
         .submitted_at
         .values()
         .filter(|(name, _)| *name == "large");
-    let served = after.in_time("large") * f64::from(u32::try_from(large.count()).expect("few"));
+    let served = after.in_time("large")
+        * f64::from(u32::try_from(large.count()).expect("value out of range"));
     let seconds = (DURATION - OBJECTIVE * 2).as_secs_f64();
     eprintln!("large {served} in {seconds}");
     assert!(served / seconds > 2.0 * SHARE, "{served} in {seconds} s");
--- a/crates/cleat-jobs/tests/simulation/checks.rs
+++ b/crates/cleat-jobs/tests/simulation/checks.rs
@@ -52,7 +52,7 @@
     /// runs may be that task.
     pub(super) fn check_cap(&mut self, order: &TaskOrder) -> Result<(), Violation> {
         let (task, now) = (order.task, self.now);
-        let at = usize::try_from(task.job().0 % CAPS.len() as u64).expect("short");
+        let at = usize::try_from(task.job().0 % CAPS.len() as u64).expect("value out of range");
         let (mut in_use, mut largest) = (0, 0);
         for worker in self.workers.iter_mut().filter(|worker| worker.up) {
             worker.advance(now);
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -12,7 +12,8 @@
 
 /// The longest latency of an order without a fault.
 const MAX_ORDER_LATENCY: Duration = Duration::from_millis(10);
-/// The longest time without contact after which a start may still reach a worker.
+/// How long a worker may be out of contact before the owner stops relying on its last
+/// reported capacity.
 const MAX_CONTACT_GAP: Duration = Duration::from_secs(3);
 
 impl World {
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -60,9 +60,14 @@
     Restart(usize),
     /// A command proposed by the owner with this ordinal is committed.
     Commit(u32, Command),
+    /// A renewal, sent by the owner with this ordinal at this time, arrives at the worker with
+    /// this index and name.
     Renew(u32, usize, Box<str>, RenewalOrder, Duration),
+    /// A worker answers a renewal that acknowledged the ends up to this number.
     RenewalDue(u32, usize, Box<str>, u64, Duration),
+    /// An order with the fencing token of its owner arrives at a worker.
     Order(u32, usize, Box<str>, u64, TaskOrder, Delivery),
+    /// An event arrives at the owner with this ordinal.
     Deliver(u32, Event),
 }
 
@@ -282,7 +287,7 @@
     }
 
     pub(super) fn wall_ms(&self) -> u64 {
-        1 + u64::try_from(self.now.as_millis()).expect("short")
+        1 + u64::try_from(self.now.as_millis()).expect("value out of range")
     }
 
     fn ordinal(&self) -> Option<u32> {
@@ -629,6 +634,6 @@
 
 fn worker_index(address: &str) -> usize {
     let digits = address.trim_start_matches("10.0.0.");
-    let (at, _) = digits.split_once(':').expect("an address of ours");
+    let (at, _) = digits.split_once(':').expect("a worker address has a port");
     at.parse().expect("a number")
 }
--- a/crates/cleat-jobs/tests/state.rs
+++ b/crates/cleat-jobs/tests/state.rs
@@ -177,9 +177,9 @@
 fn apply_take_over_tokens_rise() {
     let mut state = ControlState::default();
     state.apply(4, Command::TakeOver { member: 1 });
-    let first = state.owner.expect("owned");
+    let first = state.owner.expect("the state has an owner");
     state.apply(9, Command::TakeOver { member: 1 });
-    let second = state.owner.expect("owned");
+    let second = state.owner.expect("the state has an owner");
     assert!(second.token > first.token);
     assert_eq!((first.ordinal, second.ordinal), (0, 1));
 }
@@ -214,7 +214,8 @@
     let mut state = with_job(vec![step(2, 100)]);
     record_end(&mut state, 1, task(7, 0, 1), EndKind::Done);
     state.apply(30, Command::TakeOver { member: 1 });
-    let restored = ControlState::restore(&state.snapshot()).expect("our own bytes");
+    let restored =
+        ControlState::restore(&state.snapshot()).expect("the snapshot cannot be restored");
     assert_eq!(restored, state);
 }
 
--- a/crates/cleat-jobs/tests/support/crash_scenario.rs
+++ b/crates/cleat-jobs/tests/support/crash_scenario.rs
@@ -142,7 +142,7 @@
     pub(crate) fn worker_of(&self, task: TaskId) -> Box<str> {
         let mut starts = self.started.iter().rev();
         let last = starts.find(|(_, order)| order.task == task);
-        last.expect("it was started").0.clone()
+        last.expect("the task was never started").0.clone()
     }
 
     pub(crate) fn starts_of(&self, task: TaskId) -> usize {
--- a/crates/cleat-jobs/tests/support/mod.rs
+++ b/crates/cleat-jobs/tests/support/mod.rs
@@ -161,7 +161,7 @@
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
         let mut harness = Harness {
             state,
-            owner: owner.expect("owned"),
+            owner: owner.expect("the state has an owner"),
             now: Duration::ZERO,
             wall_ms: 0,
             index: 3,
@@ -183,7 +183,7 @@
             self.now,
             self.wall_ms,
         );
-        self.owner = owner.expect("owned");
+        self.owner = owner.expect("the state has an owner");
     }
 
     /// Adds a worker that sent a heartbeat, answered a renewal and is recorded in the state.
@@ -283,7 +283,7 @@
     pub(crate) fn tick(&mut self, later: Duration) -> Vec<Effect> {
         self.now += later;
         if self.wall_ms > 0 {
-            self.wall_ms += u64::try_from(later.as_millis()).expect("short");
+            self.wall_ms += u64::try_from(later.as_millis()).expect("value out of range");
         }
         let wall_ms = self.wall_ms.max(1);
         self.feed(Event::Tick { wall_ms })
@@ -300,7 +300,7 @@
         acked: u64,
         mut answer: RenewalAnswer,
     ) -> Vec<Effect> {
-        answer.clock_ms = 1_000 + u64::try_from(self.now.as_millis()).expect("short");
+        answer.clock_ms = 1_000 + u64::try_from(self.now.as_millis()).expect("value out of range");
         self.feed(Event::RenewalAnswered {
             worker: worker.into(),
             sent_at: self.now,
--- a/crates/cleat-jobs/tests/takeover.rs
+++ b/crates/cleat-jobs/tests/takeover.rs
@@ -48,7 +48,7 @@
 
 /// Two renewal answers: the end of a run whose lease expired while its worker was cut off,
 /// and the task's next run elsewhere.
-fn listed_twice() -> (RenewalAnswer, RenewalAnswer) {
+fn expired_run_and_next_run() -> (RenewalAnswer, RenewalAnswer) {
     let lapsed = ended(vec![end(1, task(1, 0, 0), 1, EndKind::Lapsed)]);
     let runs = RenewalAnswer {
         running: vec![running(task(1, 0, 0), 2)],
@@ -62,7 +62,7 @@
     let mut harness = Harness::new();
     harness.submit(1, vec![long_running_step(1)]);
     harness.replace_owner();
-    let (lapsed, runs) = listed_twice();
+    let (lapsed, runs) = expired_run_and_next_run();
     let end_listed = harness.answer_renewal("w1", lapsed);
     let adopted = harness.answer_renewal("w2", runs.clone());
     assert_eq!(
@@ -81,7 +81,7 @@
     let mut harness = Harness::new();
     harness.submit(1, vec![long_running_step(1)]);
     harness.replace_owner();
-    let (lapsed, runs) = listed_twice();
+    let (lapsed, runs) = expired_run_and_next_run();
     let adopted = harness.answer_renewal("w2", runs);
     let end_listed = harness.answer_renewal("w1", lapsed);
     let settled = harness.commit(&end_listed);
@@ -95,7 +95,7 @@
     let mut harness = Harness::new();
     harness.submit(1, vec![step(1, 1_000)]);
     harness.replace_owner();
-    let (lapsed, _) = listed_twice();
+    let (lapsed, _) = expired_run_and_next_run();
     let first = harness.answer_renewal("w1", lapsed);
     let done = ended(vec![end(1, task(1, 0, 0), 2, EndKind::Done)]);
     let second = harness.answer_renewal("w2", done);
