--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -1,7 +1,7 @@
 //! Measures the processor time that the owner needs to manage the machines of a fleet. The
-//! machines of all pools are idle and move back to the spare pool; then one pool needs a
-//! tenth of them. Prints the processor time per tick without changes, while machines move
-//! back, and while machines move to the pool.
+//! machines of the other pools are idle and move back to the spare pool; then one pool needs
+//! a tenth of the machines. Prints the processor time per tick without changes, while
+//! machines move back, and while machines move to the pool.
 //!
 //! `cargo run --release -p cleat-jobs --example fleet_cost -- [MACHINES]...`
 
--- a/crates/cleat-jobs/tests/shares.rs
+++ b/crates/cleat-jobs/tests/shares.rs
@@ -187,15 +187,15 @@
             .submitted_at
             .iter()
             .filter(|(_, (name, _))| *name == customer);
-        let (mut all, mut good) = (0.0, 0.0);
+        let (mut total, mut in_time) = (0.0, 0.0);
         for (id, (_, submitted_at)) in jobs {
-            all += 1.0;
+            total += 1.0;
             let completed_at = self.completed_at.get(id);
-            good += f64::from(
+            in_time += f64::from(
                 completed_at.is_some_and(|completed_at| *completed_at <= *submitted_at + OBJECTIVE),
             );
         }
-        good / all
+        in_time / total
     }
 }
 
@@ -218,23 +218,35 @@
 
 #[test]
 fn share_is_kept_beside_a_customer_at_ten_times_its_share() {
-    let before = simulate(SharePolicy::DeadlineFirst, 20, 2);
-    let after = simulate(SharePolicy::ArrivalRate, 20, 2);
+    let deadline_first = simulate(SharePolicy::DeadlineFirst, 20, 2);
+    let arrival_rate = simulate(SharePolicy::ArrivalRate, 20, 2);
     eprintln!(
-        "before {} {} after {} {}",
-        before.in_time("small"),
-        before.in_time("large"),
-        after.in_time("small"),
-        after.in_time("large")
+        "DeadlineFirst {} {} ArrivalRate {} {}",
+        deadline_first.in_time("small"),
+        deadline_first.in_time("large"),
+        arrival_rate.in_time("small"),
+        arrival_rate.in_time("large")
+    );
+    assert!(
+        deadline_first.in_time("small") < 0.8,
+        "{}",
+        deadline_first.in_time("small")
+    );
+    assert!(
+        arrival_rate.in_time("small") > 0.99,
+        "{}",
+        arrival_rate.in_time("small")
     );
-    assert!(before.in_time("small") < 0.8, "{}", before.in_time("small"));
-    assert!(after.in_time("small") > 0.99, "{}", after.in_time("small"));
 }
 
 #[test]
 fn share_is_kept_by_resource_use() {
-    let after = simulate(SharePolicy::ResourceUse, 20, 2);
-    assert!(after.in_time("small") > 0.95, "{}", after.in_time("small"));
+    let resource_use = simulate(SharePolicy::ResourceUse, 20, 2);
+    assert!(
+        resource_use.in_time("small") > 0.95,
+        "{}",
+        resource_use.in_time("small")
+    );
 }
 
 #[test]
@@ -253,12 +265,12 @@
 /// A customer that exceeds its share still gets the capacity that the others do not use.
 #[test]
 fn excess_gets_what_other_customers_leave() {
-    let after = simulate(SharePolicy::ArrivalRate, 20, 2);
-    let large = after
+    let arrival_rate = simulate(SharePolicy::ArrivalRate, 20, 2);
+    let large = arrival_rate
         .submitted_at
         .values()
         .filter(|(name, _)| *name == "large");
-    let served = after.in_time("large")
+    let served = arrival_rate.in_time("large")
         * f64::from(u32::try_from(large.count()).expect("value out of range"));
     let seconds = (DURATION - OBJECTIVE * 2).as_secs_f64();
     eprintln!("large {served} in {seconds}");
--- a/crates/cleat-jobs/tests/simulation/faults.rs
+++ b/crates/cleat-jobs/tests/simulation/faults.rs
@@ -97,7 +97,7 @@
     }
 
     /// Crashes the worker if the task still runs there.
-    pub(super) fn crash_worker_by(&mut self, at: usize, life: &str, task: TaskId) {
+    pub(super) fn crash_worker_if_running(&mut self, at: usize, life: &str, task: TaskId) {
         let worker = &self.workers[at];
         let running_there =
             worker.up && *worker.record.name == *life && worker.runs.contains_key(&task);
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -248,7 +248,7 @@
             SimEvent::Cancel(id) => self.cancel(id),
             SimEvent::Fault(fault) => self.inject(fault),
             SimEvent::TakeOver => self.take_over(),
-            SimEvent::Crash(at, life, task) => self.crash_worker_by(at, &life, task),
+            SimEvent::Crash(at, life, task) => self.crash_worker_if_running(at, &life, task),
             SimEvent::Restart(at) => self.restart(at),
             SimEvent::Commit(ordinal, command) => self.commit(ordinal, command),
             SimEvent::Renew(ordinal, at, life, order, sent) => {
@@ -554,7 +554,7 @@
         delivery: Delivery,
     ) -> Result<(), Violation> {
         let now = self.now;
-        let planned = self.planned(&order);
+        let planned = self.plan_run(&order);
         let worker = &mut self.workers[at];
         let answer = if !worker.reachable(now) {
             let event = unanswered(&life, &order);
@@ -598,7 +598,7 @@
         Ok(())
     }
 
-    fn planned(&mut self, order: &TaskOrder) -> SimulatedRun {
+    fn plan_run(&mut self, order: &TaskOrder) -> SimulatedRun {
         let always_failing = self.always_failing.contains(&order.task.job());
         let end_kind = if always_failing || self.rng.random_bool(0.03) {
             *self.failures.entry(order.task.job()).or_default() += 1;
@@ -610,14 +610,14 @@
             Order::Start { spec, .. } => spec.steps[usize::from(order.task.step.step)].footprint(),
             _ => Size::default(),
         };
-        let span = if self.is_long_running(order.task.job()) {
+        let run_time = if self.is_long_running(order.task.job()) {
             END
         } else {
             ms(self.rng.random_range(50..1_500))
         };
         SimulatedRun {
             run: order.run,
-            ends_at: self.now + span,
+            ends_at: self.now + run_time,
             end_kind,
             size,
         }
@@ -635,5 +635,6 @@
 fn worker_index(address: &str) -> usize {
     let digits = address.trim_start_matches("10.0.0.");
     let (at, _) = digits.split_once(':').expect("a worker address has a port");
-    at.parse().expect("a number")
+    at.parse()
+        .expect("a worker address ends in the worker index")
 }
