--- a/crates/cleat-jobs/examples/fleet_cost.rs
+++ b/crates/cleat-jobs/examples/fleet_cost.rs
@@ -1,7 +1,7 @@
-//! What it costs the owner to look after the machines of a fleet: a scheduler over
-//! idle workers, of which those of the pools go back to the spare pool, and then a pool
-//! that asks for a tenth of them. Prints processor time a tick while nothing happens,
-//! while machines go back, and while they come.
+//! Measures the processor time that the owner needs to manage the machines of a fleet. The
+//! machines of the other pools are idle and move back to the spare pool; then one pool needs
+//! a tenth of the machines. Prints the processor time per tick without changes, while
+//! machines move back, and while machines move to the pool.
 //!
 //! `cargo run --release -p cleat-jobs --example fleet_cost -- [MACHINES]...`
 
@@ -30,7 +30,7 @@
     index: u64,
     owner: Scheduler,
     machines: Vec<MachineView>,
-    spent: Duration,
+    decision_time: Duration,
     moves: usize,
 }
 
@@ -48,15 +48,15 @@
     for size in sizes {
         let mut world = World::new(size);
         world.list();
-        world.settle();
-        let (back, back_moves) = world.ticks();
+        world.pass_settling_time();
+        let (back_us, back_moves) = world.run_ticks();
         world.list();
-        world.settle();
-        let (rest, _) = world.ticks();
+        world.pass_settling_time();
+        let (idle_us, _) = world.run_ticks();
         world.submit(size / 10);
-        let (come, come_moves) = world.ticks();
+        let (demand_us, demand_moves) = world.run_ticks();
         println!(
-            "{size:>8}  {rest:>10}  {back:>13} ({back_moves:>5})  {come:>9} ({come_moves:>5})"
+            "{size:>8}  {idle_us:>10}  {back_us:>13} ({back_moves:>5})  {demand_us:>9} ({demand_moves:>5})"
         );
     }
 }
@@ -72,19 +72,19 @@
             now: Duration::ZERO,
             state,
             index: 3,
-            owner: owner.expect("owned"),
+            owner: owner.expect("the state has an owner"),
             machines: (0..size).map(machine).collect(),
-            spent: Duration::ZERO,
+            decision_time: Duration::ZERO,
             moves: 0,
         };
         for at in 0..size {
-            world.begin_life(at, 0);
+            world.add_worker(at, 0);
         }
         world
     }
 
-    /// A worker begins on a machine, and answers.
-    fn begin_life(&mut self, at: usize, life: u64) {
+    /// Starts a worker on a machine; it sends a heartbeat and answers a renewal.
+    fn add_worker(&mut self, at: usize, life: u64) {
         let view = &self.machines[at];
         let name: Box<str> = format!("w{at}-{life}").into();
         let record = WorkerRecord {
@@ -119,14 +119,15 @@
         });
     }
 
-    /// Lets all orders come to an end.
-    fn settle(&mut self) {
+    /// Advances the clock until all orders are settled.
+    fn pass_settling_time(&mut self) {
         self.now += Duration::from_secs(7);
     }
 
-    /// Processor time a tick in microseconds, and the moves.
-    fn ticks(&mut self) -> (u128, usize) {
-        self.spent = Duration::ZERO;
+    /// Runs `TICKS` ticks, and returns the processor time per tick in microseconds and the number
+    /// of moves.
+    fn run_ticks(&mut self) -> (u128, usize) {
+        self.decision_time = Duration::ZERO;
         self.moves = 0;
         for _ in 0..TICKS {
             self.now += TICK;
@@ -134,19 +135,22 @@
             let effects = self
                 .owner
                 .handle(&self.state, [Event::Tick { wall_ms: 1 }], self.now);
-            self.spent += began.elapsed();
-            self.carry_out(effects);
+            self.decision_time += began.elapsed();
+            self.execute(effects);
         }
-        (self.spent.as_micros() / u128::from(TICKS), self.moves)
+        (
+            self.decision_time.as_micros() / u128::from(TICKS),
+            self.moves,
+        )
     }
 
     fn feed(&mut self, event: Event) {
         let effects = self.owner.handle(&self.state, [event], self.now);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    /// Orders are carried out and commands committed at once.
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    /// Commits commands and executes orders immediately.
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Propose(command) => {
@@ -171,7 +175,7 @@
     fn submit(&mut self, machines: usize) {
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
         let step = StepSpec {
-            count: u32::try_from(machines).expect("few"),
+            count: u32::try_from(machines).expect("value out of range"),
             size: CAPACITY,
             estimate_ms: 1_000,
             ..StepSpec::default()
--- a/crates/cleat-jobs/examples/machine_bound.rs
+++ b/crates/cleat-jobs/examples/machine_bound.rs
@@ -1,15 +1,15 @@
-//! How many machine-seconds the pools had, and how few would have done.
+//! Computes the machine-seconds that the pools had, and a lower bound for what they needed.
 //!
-//! Reads the log of the owners from standard input and sums their `pool` lines, one
-//! a second for each pool. The bound is what hindsight needs: at each second as many
-//! machines as the tasks under way fill, and at least as many as a step needs that
-//! may put only so many tasks on one. It knows neither that a machine takes time to
-//! come, nor that tasks of different sizes leave room unused.
+//! Reads the log of the owners from standard input and sums their `pool` lines, one per
+//! second and pool. The bound assumes perfect foresight: in each second as many machines as
+//! the running tasks fill, and at least as many as a step with a limit of tasks per worker
+//! needs. It ignores the time that a move takes and the capacity that is left unused when
+//! tasks of different sizes share a machine.
 //!
-//! With what a move costs, in seconds of a machine, it adds how few of both would have
-//! done: each machine that a pool needs stays through a pause that is shorter than a
-//! move is dear, and else goes and comes back. The way back costs nothing, since another
-//! pool may need the machine, so no policy does with less.
+//! Given the cost of a move in machine-seconds, it also prints the fewest machine-seconds
+//! and moves: a machine stays during a pause that is shorter than the cost of a move, and
+//! otherwise leaves and returns. Leaving costs nothing, because another pool may need the
+//! machine, so no policy can need less.
 //!
 //!     cargo run --release -p cleat-jobs --example machine_bound -- [MOVE_SECONDS] < owners.log
 
@@ -18,7 +18,7 @@
 
 use serde::Deserialize;
 
-/// What a `pool` line says; other lines lack some of it.
+/// The fields of a `pool` line. Other lines lack some of them and are skipped.
 #[derive(Deserialize)]
 struct PoolLine {
     /// Milliseconds since the Unix epoch.
@@ -35,38 +35,41 @@
 #[derive(Clone, Default)]
 struct Sums {
     seconds: u64,
-    had: f64,
+    machine_seconds: f64,
     bound: f64,
     waiting: u64,
-    /// How many machines were needed, by second.
+    /// The number of machines needed in each second.
     needs: BTreeMap<u64, usize>,
 }
 
 impl Sums {
     #[allow(clippy::cast_precision_loss)]
     fn add(&mut self, line: &PoolLine) {
-        let machine = line.offered_cpu_milli as f64 / line.workers.max(1) as f64;
-        let filled = line.used_cpu_milli as f64 / machine.max(1.0);
-        let need = filled.max(line.least_workers as f64);
+        let machine_cpu_milli = line.offered_cpu_milli as f64 / line.workers.max(1) as f64;
+        let filled_machines = line.used_cpu_milli as f64 / machine_cpu_milli.max(1.0);
+        let needed_machines = filled_machines.max(line.least_workers as f64);
         self.seconds += 1;
-        self.had += line.workers as f64;
-        self.bound += need;
+        self.machine_seconds += line.workers as f64;
+        self.bound += needed_machines;
         self.waiting += line.waiting;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         self.needs
-            .insert(line.time_ms / 1_000, need.ceil() as usize);
+            .insert(line.time_ms / 1_000, needed_machines.ceil() as usize);
     }
 
-    /// The fewest machine-seconds and moves for these needs.
-    fn least(&self, move_seconds: u64) -> (u64, u64) {
+    /// The fewest machine-seconds and moves that cover `needs`.
+    fn fewest(&self, move_seconds: u64) -> (u64, u64) {
         let most = self.needs.values().copied().max().unwrap_or_default();
-        let each = (1..=most).map(|nth| self.least_of(nth, move_seconds));
+        let each = (1..=most).map(|nth| self.fewest_for(nth, move_seconds));
         each.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
-    /// The same for the one machine that is needed while at least `nth` are.
-    fn least_of(&self, nth: usize, move_seconds: u64) -> (u64, u64) {
-        let needed = self.needs.iter().filter(|(_, need)| **need >= nth);
+    /// The machine-seconds and moves of the `nth` machine, needed while `nth` or more are.
+    fn fewest_for(&self, nth: usize, move_seconds: u64) -> (u64, u64) {
+        let needed = self
+            .needs
+            .iter()
+            .filter(|(_, needed_machines)| **needed_machines >= nth);
         let mut last: Option<u64> = None;
         let (mut seconds, mut moves) = (0, 0);
         for (second, _) in needed {
@@ -102,7 +105,7 @@
     for (pool, sums) in &pools {
         print(pool, sums);
         all.seconds += sums.seconds;
-        all.had += sums.had;
+        all.machine_seconds += sums.machine_seconds;
         all.bound += sums.bound;
         all.waiting += sums.waiting;
     }
@@ -113,12 +116,12 @@
     Ok(())
 }
 
-/// One row: machine-seconds, their ratio, and task-seconds without a place.
+/// Prints a row: machine-seconds, their bound and ratio, and the task-seconds spent waiting.
 fn print(pool: &str, sums: &Sums) {
-    let times = sums.had / sums.bound.max(1.0);
+    let times = sums.machine_seconds / sums.bound.max(1.0);
     println!(
         "{pool:<16} {:>8} {:>10.0} {:>10.0} {times:>6.2} {:>10}",
-        sums.seconds, sums.had, sums.bound, sums.waiting
+        sums.seconds, sums.machine_seconds, sums.bound, sums.waiting
     );
 }
 
@@ -127,10 +130,10 @@
     println!("{:<16} {:>15} {:>8}", "pool", "machine-seconds", "moves");
     let (mut seconds, mut moves) = (0, 0);
     for (pool, sums) in pools {
-        let least = sums.least(move_seconds);
-        println!("{pool:<16} {:>15} {:>8}", least.0, least.1);
-        seconds += least.0;
-        moves += least.1;
+        let fewest = sums.fewest(move_seconds);
+        println!("{pool:<16} {:>15} {:>8}", fewest.0, fewest.1);
+        seconds += fewest.0;
+        moves += fewest.1;
     }
     println!("{:<16} {seconds:>15} {moves:>8}", "all");
 }
--- a/crates/cleat-jobs/tests/customers.rs
+++ b/crates/cleat-jobs/tests/customers.rs
@@ -1,6 +1,6 @@
-//! Customers in a configuration, whose a call is, and whose a job.
+//! Customers in the configuration, and which customer a call or a job belongs to.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
     CustomerDraft, JobId, JobState, KeyDigest, Queue,
 };
 use proptest::prelude::*;
-use scaffold::{catalogue, customer, draft, job, step};
+use support::{catalogue, customer, draft, job, step};
 
-fn with(customers: Vec<CustomerDraft>) -> CatalogueDraft {
+fn draft_with(customers: Vec<CustomerDraft>) -> CatalogueDraft {
     CatalogueDraft {
         customers: Some(customers),
         ..draft(1)
@@ -19,8 +19,8 @@
 }
 
 fn faults(customers: Vec<CustomerDraft>) -> Vec<CatalogueFault> {
-    let made = Catalogue::new(with(customers));
-    made.map_or_else(|error| error.faults, |_| Vec::new())
+    let catalogue = Catalogue::new(draft_with(customers));
+    catalogue.map_or_else(|error| error.faults, |_| Vec::new())
 }
 
 fn name_of(catalogue: &Catalogue, queue: &Queue, key: &str) -> Option<Box<str>> {
@@ -31,30 +31,42 @@
 #[test]
 fn caller_by_either_of_two_keys() {
     let customers = vec![customer("a", &["k1", "k2"], 0), customer("b", &["k3"], 0)];
-    let made = Catalogue::new(with(customers)).expect("valid");
-    let queue = &made.queues[0];
-    assert_eq!(name_of(&made, queue, "k1").as_deref(), Some("a"));
-    assert_eq!(name_of(&made, queue, "k2").as_deref(), Some("a"));
-    assert_eq!(name_of(&made, queue, "k3").as_deref(), Some("b"));
-    assert_eq!(made.authenticate(queue, None), Caller::Unknown);
+    let catalogue = Catalogue::new(draft_with(customers)).expect("valid");
+    let queue = &catalogue.queues[0];
+    assert_eq!(name_of(&catalogue, queue, "k1").as_deref(), Some("a"));
+    assert_eq!(name_of(&catalogue, queue, "k2").as_deref(), Some("a"));
+    assert_eq!(name_of(&catalogue, queue, "k3").as_deref(), Some("b"));
+    assert_eq!(catalogue.authenticate(queue, None), Caller::Unknown);
     let unknown = KeyDigest::of("k4");
-    assert_eq!(made.authenticate(queue, Some(&unknown)), Caller::Unknown);
+    assert_eq!(
+        catalogue.authenticate(queue, Some(&unknown)),
+        Caller::Unknown
+    );
 }
 
 #[test]
 fn caller_of_a_public_queue_is_anyone() {
-    let mut draft = with(vec![customer("a", &["k1"], 0)]);
+    let mut draft = draft_with(vec![customer("a", &["k1"], 0)]);
     draft.queues[0].public = true;
-    let made = Catalogue::new(draft).expect("valid");
-    assert_eq!(made.authenticate(&made.queues[0], None), Caller::Anyone);
-    assert_eq!(made.authenticate(&made.queues[1], None), Caller::Unknown);
+    let catalogue = Catalogue::new(draft).expect("valid");
+    assert_eq!(
+        catalogue.authenticate(&catalogue.queues[0], None),
+        Caller::Anyone
+    );
+    assert_eq!(
+        catalogue.authenticate(&catalogue.queues[1], None),
+        Caller::Unknown
+    );
 }
 
 #[test]
 fn caller_without_customers_is_anyone() {
-    let made = catalogue(1);
-    assert_eq!(made.authenticate(&made.queues[0], None), Caller::Anyone);
-    let none = Catalogue::new(with(Vec::new())).expect("valid");
+    let catalogue = catalogue(1);
+    assert_eq!(
+        catalogue.authenticate(&catalogue.queues[0], None),
+        Caller::Anyone
+    );
+    let none = Catalogue::new(draft_with(Vec::new())).expect("valid");
     assert_eq!(none.authenticate(&none.queues[0], None), Caller::Unknown);
 }
 
@@ -68,7 +80,7 @@
         customer("a", &["k3"], 0),
         heavy,
     ];
-    let error = Catalogue::new(with(customers)).expect_err("four faults");
+    let error = Catalogue::new(draft_with(customers)).expect_err("four faults");
     assert_eq!(error.faults.len(), 4, "{error}");
     let text = error.to_string();
     for part in [
@@ -82,7 +94,7 @@
 }
 
 #[test]
-fn catalogue_takes_a_customer_that_lost_all_its_keys() {
+fn catalogue_accepts_a_customer_without_keys() {
     assert!(faults(vec![customer("a", &[], 0)]).is_empty());
     assert!(faults(vec![customer("a", &["k1", "k1"], 0)]).is_empty());
 }
@@ -117,14 +129,14 @@
 }
 
 #[test]
-fn accepted_job_stays_its_customers_when_that_is_removed() {
+fn accepted_job_keeps_its_customer_after_the_customer_is_removed() {
     let mut state = ControlState::default();
-    let keyed = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
+    let keyed = Catalogue::new(draft_with(vec![customer("a", &["k1"], 0)])).expect("valid");
     state.apply(1, Command::Configure(Arc::new(keyed)));
     submit(&mut state, 2, Some("a"));
     let gone = CatalogueDraft {
         version: 2,
-        ..with(Vec::new())
+        ..draft_with(Vec::new())
     };
     let gone = Catalogue::new(gone).expect("valid");
     state.apply(3, Command::Configure(Arc::new(gone)));
@@ -146,9 +158,9 @@
 }
 
 #[test]
-fn caller_may_use_its_own_and_nobodys_jobs() {
-    let made = Catalogue::new(with(vec![customer("a", &["k1"], 0)])).expect("valid");
-    let caller = made.authenticate(&made.queues[0], Some(&KeyDigest::of("k1")));
+fn caller_may_use_its_own_jobs_and_jobs_without_customer() {
+    let catalogue = Catalogue::new(draft_with(vec![customer("a", &["k1"], 0)])).expect("valid");
+    let caller = catalogue.authenticate(&catalogue.queues[0], Some(&KeyDigest::of("k1")));
     assert!(caller.may_access(Some("a")));
     assert!(caller.may_access(None));
     assert!(!caller.may_access(Some("b")));
@@ -159,49 +171,49 @@
 #[test]
 fn keys_are_shown_nowhere() {
     let key = "a-key-of-twenty-chars";
-    let made = CatalogueDraft {
+    let draft = CatalogueDraft {
         document: format!("{{\"keys\":[\"{key}\"]}}").as_str().into(),
-        ..with(vec![customer("a", &[key], 0)])
+        ..draft_with(vec![customer("a", &[key], 0)])
     };
-    let twice = with(vec![customer("a", &[key], 0), customer("b", &[key], 0)]);
+    let twice = draft_with(vec![customer("a", &[key], 0), customer("b", &[key], 0)]);
     let error = Catalogue::new(twice).expect_err("shared");
-    let made = Catalogue::new(made).expect("valid");
-    let shown = format!("{made:?} {error:?} {error} {}", KeyDigest::of(key));
+    let catalogue = Catalogue::new(draft).expect("valid");
+    let shown = format!("{catalogue:?} {error:?} {error} {}", KeyDigest::of(key));
     assert!(!shown.contains(key), "{shown}");
     let mut state = ControlState::default();
-    state.apply(1, Command::Configure(Arc::new(made)));
+    state.apply(1, Command::Configure(Arc::new(catalogue)));
     assert!(!format!("{state:?}").contains(key));
 }
 
 proptest! {
-    /// Whatever the customers, a configuration is taken exactly if no name and no
-    /// key stands with two, no key is empty, and each key then leads to its own.
+    /// A configuration is accepted exactly if no two customers share a name or a key and
+    /// no key is empty. Each key then identifies its customer.
     #[test]
-    fn catalogue_takes_customers_only_without_faults(
+    fn catalogue_accepts_customers_only_without_faults(
         lists in prop::collection::vec(
             ("[a-d]", prop::collection::vec("[k-n]{0,2}", 0..3)),
             0..5,
         ),
     ) {
-        let drafts = lists.iter().map(|(name, keys)| {
+        let customer_drafts = lists.iter().map(|(name, keys)| {
             let keys: Vec<&str> = keys.iter().map(String::as_str).collect();
             customer(name, &keys, 0)
         });
-        let made = Catalogue::new(with(drafts.collect()));
+        let catalogue = Catalogue::new(draft_with(customer_drafts.collect()));
         let names: Vec<&str> = lists.iter().map(|(name, _)| name.as_str()).collect();
         let name_twice = (1..names.len()).any(|at| names[..at].contains(&names[at]));
-        let held: Vec<(&str, &str)> = lists
+        let key_owners: Vec<(&str, &str)> = lists
             .iter()
             .flat_map(|(name, keys)| keys.iter().map(move |key| (name.as_str(), key.as_str())))
             .collect();
-        let empty = held.iter().any(|(_, key)| key.is_empty());
-        let shared = held.iter().any(|(name, key)| {
-            held.iter().any(|(other, same)| same == key && other != name)
+        let empty = key_owners.iter().any(|(_, key)| key.is_empty());
+        let shared = key_owners.iter().any(|(name, key)| {
+            key_owners.iter().any(|(other, same)| same == key && other != name)
         });
-        prop_assert_eq!(made.is_ok(), !name_twice && !empty && !shared);
-        if let Ok(made) = made {
-            for (name, key) in held {
-                let found = name_of(&made, &made.queues[0], key);
+        prop_assert_eq!(catalogue.is_ok(), !name_twice && !empty && !shared);
+        if let Ok(catalogue) = catalogue {
+            for (name, key) in key_owners {
+                let found = name_of(&catalogue, &catalogue.queues[0], key);
                 prop_assert_eq!(found.as_deref(), Some(name));
             }
         }
--- a/crates/cleat-jobs/tests/forecast.rs
+++ b/crates/cleat-jobs/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! The forecast against load that comes by chance, in turns.
+//! The demand forecast for random arrivals with demand peaks.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use rand::{RngExt, SeedableRng};
 
 const SEEDS: u64 = 40;
-/// What one job brings: a core for a second.
+/// The usage of one job: one core for one second.
 const JOB: JobUsage = JobUsage {
     cpu_milli_ms: 1_000_000.0,
     memory_mb_ms: 1_000_000.0,
     duration_ms: 1_000.0,
 };
-/// How often the owner asks.
+/// The interval at which the owner asks for a forecast.
 const TICK: Duration = Duration::from_millis(50);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A load that changes its rate, in jobs a second, at some times.
+/// Random arrivals whose rate, in jobs per second, changes at given times.
 struct Load {
     rates: Vec<(Duration, f64)>,
     job: JobUsage,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Little, then much from 10 s to 15 s, then little again.
-    fn turn(little: f64, much: f64) -> Load {
+    /// A low rate, a demand peak from 10 s to 15 s, then the low rate again.
+    fn with_peak(base_rate: f64, peak_rate: f64) -> Load {
         Load {
             rates: vec![
-                (Duration::ZERO, little),
-                (ms(10_000), much),
-                (ms(15_000), little),
+                (Duration::ZERO, base_rate),
+                (ms(10_000), peak_rate),
+                (ms(15_000), base_rate),
             ],
             job: JOB,
         }
@@ -55,7 +55,7 @@
     fn forecasts(&self, seed: u64, end: Duration) -> Vec<(Duration, f64)> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut arrivals = Arrivals::default();
-        let mut told = Vec::new();
+        let mut forecasts = Vec::new();
         let mut now = Duration::ZERO;
         while now < end {
             let step = ms(1);
@@ -65,21 +65,21 @@
             }
             if now.as_millis().is_multiple_of(TICK.as_millis()) {
                 let size = arrivals.forecast(now);
-                told.push((
+                forecasts.push((
                     now,
-                    f64::from(u32::try_from(size.cpu_milli).expect("small")) / 1_000.0,
+                    f64::from(u32::try_from(size.cpu_milli).expect("value out of range")) / 1_000.0,
                 ));
             }
         }
-        told
+        forecasts
     }
 
-    /// For each seed, how long after `from` the forecast first meets a
-    /// condition; sorted.
+    /// The delay from `from` until the forecast first meets the condition, for each seed,
+    /// sorted; 5 s if it does not.
     fn delays(&self, from: Duration, condition: impl Fn(f64) -> bool) -> Vec<Duration> {
         let delay = |seed| {
-            let told = self.forecasts(seed, from + ms(5_000));
-            let mut later = told.iter().filter(|(at, _)| *at > from);
+            let forecasts = self.forecasts(seed, from + ms(5_000));
+            let mut later = forecasts.iter().filter(|(at, _)| *at > from);
             let first = later.find(|(_, cores)| condition(*cores));
             first.map_or(ms(5_000), |(at, _)| *at - from)
         };
@@ -93,29 +93,32 @@
     sorted[sorted.len() / 2]
 }
 
-fn ninth_tenth(sorted: &[Duration]) -> Duration {
+fn percentile_90(sorted: &[Duration]) -> Duration {
     sorted[sorted.len() * 9 / 10]
 }
 
 #[test]
-fn forecast_without_jobs_is_nothing() {
+fn forecast_without_jobs_is_zero() {
     assert_eq!(Arrivals::default().forecast(ms(1_000)).cpu_milli, 0);
 }
 
-/// Chance alone moves the forecast little, and seldom far: machines that it
-/// calls for are paid for.
+/// Random variation moves the forecast only a little, because each machine that it
+/// requests costs money.
 #[test]
 fn forecast_steady_load_stays_near_its_rate() {
-    let (mut told, mut far) = (0, 0);
+    let (mut count, mut outliers) = (0, 0);
     for seed in 0..SEEDS {
         let all = Load::steady(20.0).forecasts(seed, ms(30_000));
         let settled = all.iter().filter(|(at, _)| *at > ms(7_000));
         for (_, cores) in settled {
-            told += 1;
-            far += u32::from(!(14.0..=27.0).contains(cores));
+            count += 1;
+            outliers += u32::from(!(14.0..=27.0).contains(cores));
         }
     }
-    assert!(far * 20 < told, "{far} of {told} are off by a third");
+    assert!(
+        outliers * 20 < count,
+        "{outliers} of {count} forecasts are off by a third"
+    );
 }
 
 #[test]
@@ -123,42 +126,69 @@
     for seed in 0..5 {
         let all = Load::steady(200.0).forecasts(seed, ms(12_000));
         let settled = all.iter().filter(|(at, _)| *at > ms(7_000));
-        let far = settled.filter(|(_, cores)| !(180.0..=220.0).contains(cores));
-        let far = far.count();
-        assert!(far <= 10, "{far} of 100 are off by a tenth, seed {seed}");
+        let outliers = settled.filter(|(_, cores)| !(180.0..=220.0).contains(cores));
+        let outliers = outliers.count();
+        assert!(
+            outliers <= 10,
+            "{outliers} of 100 are off by a tenth, seed {seed}"
+        );
     }
 }
 
-/// A move takes 1.5 s, so each tenth of a second counts.
+/// Moving a machine takes 1.5 s, so each 100 ms of delay in the forecast matters.
 #[test]
-fn forecast_turn_of_many_small_jobs_is_seen_soon() {
-    let load = Load::turn(0.35, 28.0);
-    let begun = load.delays(ms(10_000), |cores| cores > 14.0);
-    let over = load.delays(ms(15_000), |cores| cores < 14.0);
-    assert!(median(&begun) <= ms(200), "{:?}", median(&begun));
-    assert!(ninth_tenth(&begun) <= ms(400), "{:?}", ninth_tenth(&begun));
-    assert!(median(&over) <= ms(600), "{:?}", median(&over));
-    assert!(ninth_tenth(&over) <= ms(900), "{:?}", ninth_tenth(&over));
+fn forecast_demand_peak_of_many_small_jobs_is_detected_soon() {
+    let load = Load::with_peak(0.35, 28.0);
+    let rise_delays = load.delays(ms(10_000), |cores| cores > 14.0);
+    let fall_delays = load.delays(ms(15_000), |cores| cores < 14.0);
+    assert!(
+        median(&rise_delays) <= ms(200),
+        "{:?}",
+        median(&rise_delays)
+    );
+    assert!(
+        percentile_90(&rise_delays) <= ms(400),
+        "{:?}",
+        percentile_90(&rise_delays)
+    );
+    assert!(
+        median(&fall_delays) <= ms(600),
+        "{:?}",
+        median(&fall_delays)
+    );
+    assert!(
+        percentile_90(&fall_delays) <= ms(900),
+        "{:?}",
+        percentile_90(&fall_delays)
+    );
 }
 
 #[test]
-fn forecast_turn_of_few_large_jobs_is_seen_soon() {
-    let load = Load::turn(0.065, 5.2);
-    let begun = load.delays(ms(10_000), |cores| cores > 2.6);
-    let over = load.delays(ms(15_000), |cores| cores < 2.6);
-    assert!(median(&begun) <= ms(700), "{:?}", median(&begun));
+fn forecast_demand_peak_of_few_large_jobs_is_detected_soon() {
+    let load = Load::with_peak(0.065, 5.2);
+    let rise_delays = load.delays(ms(10_000), |cores| cores > 2.6);
+    let fall_delays = load.delays(ms(15_000), |cores| cores < 2.6);
+    assert!(
+        median(&rise_delays) <= ms(700),
+        "{:?}",
+        median(&rise_delays)
+    );
+    assert!(
+        percentile_90(&rise_delays) <= ms(1_200),
+        "{:?}",
+        percentile_90(&rise_delays)
+    );
     assert!(
-        ninth_tenth(&begun) <= ms(1_200),
+        median(&fall_delays) <= ms(1_800),
         "{:?}",
-        ninth_tenth(&begun)
+        median(&fall_delays)
     );
-    assert!(median(&over) <= ms(1_800), "{:?}", median(&over));
 }
 
-/// Three jobs in a bunch are a rise, but not to the rate that they had while
-/// they came: the fewer, the shorter a bunch by chance.
+/// Three jobs in quick succession indicate a higher rate, but a lower one than their
+/// spacing suggests: few jobs often arrive close together by chance.
 #[test]
-fn forecast_bunch_of_few_jobs_claims_little() {
+fn forecast_for_a_burst_of_few_jobs_stays_low() {
     let mut arrivals = Arrivals::default();
     for at in [ms(9_990), ms(9_995), ms(10_000)] {
         arrivals.record(at, JOB);
@@ -166,13 +196,14 @@
     assert!(arrivals.forecast(ms(10_000)).cpu_milli <= 20_000);
 }
 
-/// Gateways held them while nobody led; they count from when callers came.
+/// Gateways held these jobs while there was no leader. They count from the time their
+/// callers sent them.
 #[test]
-fn forecast_held_jobs_count_from_when_they_came() {
+fn forecast_counts_held_jobs_from_their_arrival() {
     let mut arrivals = Arrivals::default();
-    let mut held: Vec<u64> = (0..60).map(|at| 10_000 + at * 33).collect();
-    held.reverse();
-    for at in held {
+    let mut arrivals_ms: Vec<u64> = (0..60).map(|at| 10_000 + at * 33).collect();
+    arrivals_ms.reverse();
+    for at in arrivals_ms {
         arrivals.record(ms(at), JOB);
     }
     let cores = arrivals.forecast(ms(12_000)).cpu_milli / 1_000;
@@ -182,12 +213,12 @@
     );
 }
 
-/// Machines came for a whole turn of jobs that take as long as the turn: three times as
-/// many as ever had work, and each went back. What comes is in full use only once jobs
-/// have come for as long as one takes. Evidence: a pool that was offered 346 machines
-/// when its tasks filled 116 at the most, for half a second's forecast.
+/// Guards against requesting machines at once for the full usage of long jobs. That usage
+/// is reached only after jobs have arrived for the duration of one job. A pool was
+/// offered 346 machines for a forecast that lasted half a second, three times the 116 at
+/// most that its tasks filled, and the others were moved back unused.
 #[test]
-fn forecast_long_jobs_add_up_as_they_come() {
+fn forecast_for_long_jobs_rises_gradually() {
     let long = JobUsage {
         cpu_milli_ms: 4_000_000.0,
         memory_mb_ms: 4_000_000.0,
@@ -195,19 +226,26 @@
     };
     let load = Load {
         job: long,
-        ..Load::turn(0.35, 28.0)
+        ..Load::with_peak(0.35, 28.0)
     };
-    let (mut most, mut least) = (0.0, 0.0);
+    let (mut highest, mut lowest) = (0.0, 0.0);
     for seed in 0..SEEDS {
-        let told = load.forecasts(seed, ms(15_000));
-        let first = told.iter().filter(|(at, _)| *at <= ms(10_500));
-        most += first.map(|(_, cores)| *cores).fold(0.0, f64::max);
-        let late = told.iter().filter(|(at, _)| *at > ms(13_000));
-        least += late.map(|(_, cores)| *cores).fold(f64::MAX, f64::min);
+        let forecasts = load.forecasts(seed, ms(15_000));
+        let first = forecasts.iter().filter(|(at, _)| *at <= ms(10_500));
+        highest += first.map(|(_, cores)| *cores).fold(0.0, f64::max);
+        let late = forecasts.iter().filter(|(at, _)| *at > ms(13_000));
+        lowest += late.map(|(_, cores)| *cores).fold(f64::MAX, f64::min);
     }
-    // 28 jobs a second with a core each: 112 run from 4 s on, and 70 of them 2.5 s after
-    // the first has come. At first chance may add up to the whole, later take a fifth.
-    let [most, least] = [most, least].map(|sum| sum / 40.0);
-    assert!(most <= 112.0, "{most} cores at the most, in the mean");
-    assert!(least >= 90.0, "{least} cores at the least, in the mean");
+    // At 28 jobs per second with a core each, 112 run from 4 s on, and 70 of them 2.5 s
+    // after the first arrived. Random variation may raise an early forecast to the full
+    // 112 cores and lower a later one by a fifth.
+    let [highest, lowest] = [highest, lowest].map(|sum| sum / 40.0);
+    assert!(
+        highest <= 112.0,
+        "{highest} cores on average for the highest early forecast"
+    );
+    assert!(
+        lowest >= 90.0,
+        "{lowest} cores on average for the lowest late forecast"
+    );
 }
--- a/crates/cleat-jobs/tests/schedules.rs
+++ b/crates/cleat-jobs/tests/schedules.rs
@@ -1,14 +1,14 @@
-//! Seeded schedules of owners, workers and faults.
+//! Simulated schedules of owners, workers and faults, each determined by its seed.
 
 mod simulation;
 
 use cleat_jobs::Protections;
-use simulation::{Fault, Moment, Plan, Violation, run};
+use simulation::{Fault, JobStage, Plan, Violation, run};
 
-/// Seeds of the plans that have to hold.
+/// The number of seeds for which each plan has to run without a violation.
 const SEEDS: u64 = 60;
-/// Seeds that are tried until a plan without a protection breaks a promise.
-const SEEDS_WITHOUT: u64 = 300;
+/// The number of seeds tried until a plan without a protection causes a violation.
+const SEEDS_WITHOUT_PROTECTION: u64 = 300;
 
 fn assert_holds(plan: &Plan) {
     for seed in 0..SEEDS {
@@ -18,11 +18,12 @@
     }
 }
 
-fn assert_red(plan: &Plan, expected: fn(&Violation) -> bool) {
-    let found = (0..SEEDS_WITHOUT).find_map(|seed| run(plan, seed).err().filter(expected));
+fn assert_violates(plan: &Plan, expected: fn(&Violation) -> bool) {
+    let found =
+        (0..SEEDS_WITHOUT_PROTECTION).find_map(|seed| run(plan, seed).err().filter(expected));
     assert!(
         found.is_some(),
-        "the check must notice the missing protection"
+        "the checks did not notice the missing protection"
     );
 }
 
@@ -33,7 +34,7 @@
     )
 }
 
-fn stuck(violation: &Violation) -> bool {
+fn never_finishes(violation: &Violation) -> bool {
     matches!(violation, Violation::NotFinished { .. })
 }
 
@@ -82,7 +83,7 @@
     assert_holds(&Plan::with(&[Fault::CapsChange]));
 }
 
-/// Owners die while caps are cut, workers are cut off and jobs are cancelled.
+/// Owners die while caps are lowered, workers are cut off and jobs are cancelled.
 fn caps_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::OwnerDies,
@@ -99,10 +100,10 @@
 }
 
 #[test]
-fn check_notices_hidden_runs_that_do_not_count() {
+fn protection_charge_hidden_runs() {
     let mut plan = caps_and_dying_owners();
     plan.protections.charge_hidden_runs = false;
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::OverCap { .. })
     });
 }
@@ -129,8 +130,8 @@
     assert_holds(&crashing_tasks_and_dying_owners());
 }
 
-/// Workers of a pool that refuses nothing shrink while owners die and jobs are
-/// cancelled.
+/// Workers that do not refuse starts beyond their capacity shrink while owners die and jobs
+/// are cancelled.
 fn shrinking_workers_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::WorkersShrink,
@@ -152,10 +153,10 @@
     assert_holds(&shrinking_workers_and_dying_owners());
 }
 
-/// A new owner gave out the room of a run that it was stopping as a stray: a job had
-/// been cancelled while its owner died.
+/// Guards against assigning the capacity of a stray run before it has stopped. A job was
+/// cancelled while its owner died, and the new owner was stopping the run.
 #[test]
-fn schedule_room_of_a_stray() {
+fn schedule_capacity_of_a_stray() {
     let plan = shrinking_workers_and_dying_owners();
     run(&plan, 218).unwrap_or_else(|found| panic!("{found}"));
 }
@@ -167,10 +168,10 @@
     run(&crashing_tasks_and_dying_owners(), 1432).unwrap_or_else(|violation| panic!("{violation}"));
 }
 
-/// Starts in doubt on workers that other tasks had crashed counted against a task, and
-/// an end that came late was forgotten for a crash that was being committed.
+/// Guards against counting an unanswered start on a worker that another task crashed as a
+/// crash of the task, and against losing a late end because a crash was being committed.
 #[test]
-fn schedule_crashes_that_say_nothing_of_a_task() {
+fn schedule_crashes_not_caused_by_a_task() {
     run(&Plan::with(&[Fault::CrashingTasks]), 952).unwrap_or_else(|found| panic!("{found}"));
     run(&Plan::with(&[Fault::CrashingTasks]), 1914).unwrap_or_else(|found| panic!("{found}"));
     let plan = Plan::with(&[Fault::CrashingTasks, Fault::OwnerDies, Fault::WorkerCut]);
@@ -178,10 +179,10 @@
 }
 
 #[test]
-fn protection_crashes_count() {
+fn protection_count_crashes() {
     let mut plan = crashing_tasks_and_dying_owners();
     plan.protections.count_crashes = false;
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::CrashesOn { .. })
     });
 }
@@ -196,7 +197,7 @@
     assert_holds(&Plan::with(&Fault::ALL));
 }
 
-/// Owners die while workers are cut off, with commits that pass each other.
+/// Owners die while workers are cut off and commits overtake each other.
 fn cut_workers_and_dying_owners() -> Plan {
     Plan::with(&[
         Fault::OwnerDies,
@@ -212,10 +213,10 @@
     assert_holds(&cut_workers_and_dying_owners());
 }
 
-/// A worker comes back after its lease and had done what was started elsewhere
-/// since: the task was started a third time.
+/// Guards against a third start of a task that is done. A worker comes back after its lease
+/// expired and lists the task as done, which was meanwhile started elsewhere.
 #[test]
-fn schedule_done_by_a_run_taken_as_lost() {
+fn schedule_done_by_a_run_considered_lost() {
     run(&cut_workers_and_dying_owners(), 194).unwrap_or_else(|violation| panic!("{violation}"));
     run(&Plan::with(&Fault::ALL), 606).unwrap_or_else(|violation| panic!("{violation}"));
 }
@@ -235,73 +236,73 @@
     }
 }
 
-/// Each fault right at each step of a job's life.
+/// Each fault immediately after each stage of a job.
 #[test]
-fn matrix_faults_at_each_step_of_a_job() {
-    for moment in Moment::ALL {
+fn matrix_faults_at_each_stage_of_a_job() {
+    for stage in JobStage::ALL {
         for fault in Fault::EACH {
             for seed in 0..12 {
-                let plan = Plan::striking_at(moment, fault);
+                let plan = Plan::injecting_at(stage, fault);
                 if let Err(violation) = run(&plan, seed) {
-                    panic!("{fault:?} when {moment:?}, seed {seed}: {violation}");
+                    panic!("{fault:?} at {stage:?}, seed {seed}: {violation}");
                 }
             }
         }
     }
 }
 
-fn without(faults: &[Fault], change: impl FnOnce(&mut Protections)) -> Plan {
+fn plan_without(faults: &[Fault], change: impl FnOnce(&mut Protections)) -> Plan {
     let mut plan = Plan::with(faults);
     change(&mut plan.protections);
     plan
 }
 
 #[test]
-fn protection_known_runs_first() {
-    let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_runs = false);
-    assert_red(&plan, runs_twice);
+fn protection_await_inherited_runs() {
+    let plan = plan_without(&[Fault::OwnerDies], |p| p.await_inherited_runs = false);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_inherited_ends() {
-    let plan = without(&[Fault::OwnerDies], |p| p.await_inherited_ends = false);
-    assert_red(&plan, runs_twice);
+fn protection_await_inherited_ends() {
+    let plan = plan_without(&[Fault::OwnerDies], |p| p.await_inherited_ends = false);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_close_doors() {
-    let plan = without(&[Fault::LateOrders], |p| p.stop_unanswered_starts = false);
-    assert_red(&plan, runs_twice);
+fn protection_stop_unanswered_starts() {
+    let plan = plan_without(&[Fault::LateOrders], |p| p.stop_unanswered_starts = false);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_lease_first() {
-    let plan = without(&[Fault::WorkerCut], |p| p.await_lease_expiry = false);
-    assert_red(&plan, runs_twice);
+fn protection_await_lease_expiry() {
+    let plan = plan_without(&[Fault::WorkerCut], |p| p.await_lease_expiry = false);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
-fn protection_no_blind_grants() {
-    let plan = without(&[Fault::WorkerLost], |p| p.no_lease_when_silent = false);
-    assert_red(&plan, stuck);
+fn protection_no_lease_when_silent() {
+    let plan = plan_without(&[Fault::WorkerLost], |p| p.no_lease_when_silent = false);
+    assert_violates(&plan, never_finishes);
 }
 
 #[test]
-fn protection_recorded_first() {
+fn protection_record_use_before_start() {
     let faults = [Fault::OwnerDies, Fault::WorkerCut];
-    let plan = without(&faults, |p| p.record_use_before_start = false);
-    assert_red(&plan, runs_twice);
+    let plan = plan_without(&faults, |p| p.record_use_before_start = false);
+    assert_violates(&plan, runs_twice);
 }
 
 #[test]
 fn protection_stop_strays() {
-    let plan = without(
+    let plan = plan_without(
         &[Fault::Cancels, Fault::LateOrders, Fault::OwnerDies],
         |p| {
             p.stop_strays = false;
         },
     );
-    assert_red(&plan, |violation| {
+    assert_violates(&plan, |violation| {
         matches!(violation, Violation::RunsCancelled { .. })
     });
 }
--- a/crates/cleat-jobs/tests/simulation/jobs.rs
+++ b/crates/cleat-jobs/tests/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs, queues and customers of a schedule.
+//! The jobs, queues and customers of a simulated schedule.
 
 use cleat_jobs::{
     Cap, Catalogue, CatalogueDraft, Customer, CustomerDraft, JobId, JobSpec, Pool, Queue, Size,
@@ -9,13 +9,13 @@
 
 use super::world::{CAPS, MAX_ATTEMPTS};
 
-/// Whose a job is.
+/// The customer that a job belongs to.
 pub(super) fn customer_of(id: JobId) -> Box<str> {
     format!("customer{}", id.0 % CAPS.len() as u64).into()
 }
 
-/// `guards` says whether workers refuse what does not fit.
-pub(super) fn catalogue(version: u64, caps: &[u64], guards: bool) -> Catalogue {
+/// `enforces_capacity` tells whether workers refuse starts beyond their capacity.
+pub(super) fn catalogue(version: u64, caps: &[u64], enforces_capacity: bool) -> Catalogue {
     let queue = Queue {
         name: "queue".into(),
         host: "host".into(),
@@ -31,7 +31,7 @@
     };
     let pool = Pool {
         name: "pool".into(),
-        enforces_capacity: guards,
+        enforces_capacity,
         spare: false,
         health_path: "/health".into(),
     };
@@ -58,7 +58,7 @@
     Catalogue::new(draft).expect("a valid catalogue")
 }
 
-pub(super) fn spec(rng: &mut StdRng, lasts: bool) -> JobSpec {
+pub(super) fn spec(rng: &mut StdRng, is_long_running: bool) -> JobSpec {
     let steps = (0..rng.random_range(1..4u16)).map(|step| StepSpec {
         count: rng.random_range(1..6),
         size: Size {
@@ -67,12 +67,12 @@
             gpu: 0,
         },
         estimate_ms: 500,
-        after: if step > 0 && !lasts {
+        after: if step > 0 && !is_long_running {
             vec![step - 1]
         } else {
             Vec::new()
         },
-        long_running: lasts,
+        long_running: is_long_running,
         ..StepSpec::default()
     });
     JobSpec {
--- a/crates/cleat-jobs/tests/simulation/plan.rs
+++ b/crates/cleat-jobs/tests/simulation/plan.rs
@@ -1,36 +1,37 @@
-//! What a schedule contains.
+//! The faults of a schedule and when they are injected.
 
 use cleat_jobs::Protections;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The owner ends; another takes over after a while.
+    /// The owner dies, and another takes over after a delay.
     OwnerDies,
-    /// A worker is cut off for some seconds and runs on.
+    /// A worker is unreachable for up to some seconds and keeps running.
     WorkerCut,
-    /// A worker crashes for good.
+    /// A worker crashes and does not come back.
     WorkerLost,
     /// A worker crashes and starts again at the same address.
     WorkerRestarts,
-    /// Orders get no answer and are carried out seconds later.
+    /// Orders get no answer and are executed seconds later.
     LateOrders,
-    /// Orders are carried out, and the answer is lost.
+    /// Orders are executed, and the answer is lost.
     LostAnswers,
     /// Jobs are cancelled.
     Cancels,
-    /// The customers' caps are cut and raised; without it they have none.
+    /// The customers' caps are lowered and raised; without this fault there are no caps.
     CapsChange,
-    /// Commits take long, pass each other, or come after they were given up.
+    /// Commits are slow, overtake each other, or succeed after they were reported as failed.
     SlowCommits,
     /// Some jobs have a task that crashes its worker soon after each start.
     CrashingTasks,
-    /// Workers shrink and grow again, in a pool that starts whatever it is told to.
+    /// Workers shrink and grow again, in a pool whose workers do not refuse starts beyond
+    /// their capacity.
     WorkersShrink,
 }
 
 impl Fault {
-    /// The faults of schedules without caps. Recorded seeds are of these.
+    /// The faults of schedules without caps. Recorded seeds depend on this list.
     pub(crate) const ALL: [Fault; 8] = [
         Fault::OwnerDies,
         Fault::WorkerCut,
@@ -42,7 +43,7 @@
         Fault::SlowCommits,
     ];
 
-    /// Each fault there is.
+    /// Every fault.
     pub(crate) const EACH: [Fault; 11] = [
         Fault::OwnerDies,
         Fault::WorkerCut,
@@ -58,40 +59,40 @@
     ];
 }
 
-/// A step in the life of a job.
+/// A stage in the processing of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Moment {
-    /// It was committed.
+pub(crate) enum JobStage {
+    /// The job was committed.
     Submitted,
-    /// A start of it was sent.
-    Placed,
-    /// A start of it was carried out.
+    /// A start of one of its tasks was sent.
+    StartSent,
+    /// A start of one of its tasks was executed.
     Started,
-    /// A worker listed an end of it.
-    Listed,
-    /// An end of it was committed.
-    Noted,
-    /// Its cancel was committed.
+    /// A worker listed the end of a run.
+    EndListed,
+    /// The end of a run was committed.
+    EndCommitted,
+    /// The cancellation of the job was committed.
     Cancelled,
 }
 
-impl Moment {
-    pub(crate) const ALL: [Moment; 6] = [
-        Moment::Submitted,
-        Moment::Placed,
-        Moment::Started,
-        Moment::Listed,
-        Moment::Noted,
-        Moment::Cancelled,
+impl JobStage {
+    pub(crate) const ALL: [JobStage; 6] = [
+        JobStage::Submitted,
+        JobStage::StartSent,
+        JobStage::Started,
+        JobStage::EndListed,
+        JobStage::EndCommitted,
+        JobStage::Cancelled,
     ];
 }
 
-/// A schedule, but for its seed.
+/// Everything that determines a schedule except its seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) faults: Vec<Fault>,
-    /// A fault that strikes right at such a step, some times in a schedule.
-    pub(crate) strike: Option<(Moment, Fault)>,
+    /// A fault injected immediately after this stage, a few times per schedule.
+    pub(crate) injection: Option<(JobStage, Fault)>,
     pub(crate) protections: Protections,
 }
 
@@ -99,15 +100,15 @@
     pub(crate) fn with(faults: &[Fault]) -> Plan {
         Plan {
             faults: faults.to_vec(),
-            strike: None,
+            injection: None,
             protections: Protections::default(),
         }
     }
 
-    /// Cancels some jobs, and strikes at each of some steps.
-    pub(crate) fn striking_at(moment: Moment, fault: Fault) -> Plan {
+    /// Cancels some jobs, and injects the fault at this stage.
+    pub(crate) fn injecting_at(stage: JobStage, fault: Fault) -> Plan {
         Plan {
-            strike: Some((moment, fault)),
+            injection: Some((stage, fault)),
             ..Plan::with(&[Fault::Cancels])
         }
     }
--- a/crates/cleat-jobs/tests/simulation/world.rs
+++ b/crates/cleat-jobs/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world: one clock, one replicated state, one owner at a time.
+//! The simulation: one clock, one replicated state, one owner at a time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,24 +15,25 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::check::Violation;
 use super::crashes::Crashes;
 use super::jobs::{catalogue, customer_of, spec};
-use super::plan::{Fault, Moment, Plan};
+use super::plan::{Fault, JobStage, Plan};
+use super::violation::Violation;
 
-/// Faults come until then.
+/// Faults are injected until this time.
 pub(super) const FAULTS_END: Duration = Duration::from_secs(12);
-/// By then everything has to be finished: a lease, late orders and the work.
+/// By this time all jobs must have ended. Leaves time for a lease to expire, late orders
+/// and the tasks themselves.
 const END: Duration = Duration::from_secs(60);
 const TICK: Duration = Duration::from_millis(50);
-pub(super) const BEAT: Duration = Duration::from_millis(1_500);
-/// How often a fault strikes at its step in one schedule.
-const STRIKES: u32 = 3;
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
+/// The number of times that a plan injects its fault at its stage.
+const INJECTIONS: u32 = 3;
 pub(super) const WORKERS: usize = 4;
 const JOBS: u64 = 12;
 pub(super) const MAX_ATTEMPTS: u32 = 3;
-/// What each customer may have running, in thousandths of a core: a fourth and an
-/// eighth of the room.
+/// The cap of each customer, in thousandths of a core: a fourth and an eighth of the total
+/// capacity.
 pub(super) const CAPS: [u64; 2] = [8_000, 4_000];
 const NO_CAPS: [u64; 2] = [0, 0];
 pub(super) const CAPACITY: Size = Size {
@@ -45,34 +46,39 @@
     Duration::from_millis(ms)
 }
 
-/// What happens at some time.
-pub(super) enum Happening {
+/// A scheduled event of the simulation.
+pub(super) enum SimEvent {
     Tick,
     Heartbeat(usize),
     Submit(JobId),
     Cancel(JobId),
     Fault(Fault),
     TakeOver,
-    /// A run crashes its worker if it is still there.
+    /// A task crashes its worker if it still runs there.
     Crash(usize, Box<str>, TaskId),
-    /// A worker that is down begins a new life.
+    /// A worker that is down starts a new life.
     Restart(usize),
-    /// A command of the owner with this ordinal is committed.
+    /// A command proposed by the owner with this ordinal is committed.
     Commit(u32, Command),
+    /// A renewal, sent by the owner with this ordinal at this time, arrives at the worker with
+    /// this index and name.
     Renew(u32, usize, Box<str>, RenewalOrder, Duration),
+    /// A worker answers a renewal that acknowledged the ends up to this number.
     RenewalDue(u32, usize, Box<str>, u64, Duration),
-    Order(u32, usize, Box<str>, u64, TaskOrder, Way),
-    Tell(u32, Event),
+    /// An order with the fencing token of its owner arrives at a worker.
+    Order(u32, usize, Box<str>, u64, TaskOrder, Delivery),
+    /// An event arrives at the owner with this ordinal.
+    Deliver(u32, Event),
 }
 
-/// How an order goes.
+/// How an order is delivered.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Way {
-    /// Soon, and its answer comes.
-    Plain,
-    /// Soon, and its answer is lost.
+pub(super) enum Delivery {
+    /// Executed soon, and its answer arrives.
+    Prompt,
+    /// Executed soon, and its answer is lost.
     Unanswered,
-    /// Seconds later, without an answer.
+    /// Executed seconds later, without an answer.
     Late,
 }
 
@@ -81,7 +87,7 @@
     pub(super) rng: StdRng,
     pub(super) now: Duration,
     pub(super) queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    pub(super) happenings: Vec<Option<Happening>>,
+    pub(super) sim_events: Vec<Option<SimEvent>>,
     pub(super) state: ControlState,
     index: u64,
     pub(super) owner: Option<Scheduler>,
@@ -89,25 +95,24 @@
     lives: u64,
     pub(super) accepted: IndexMap<TaskId, Run>,
     pub(super) cancelled: IndexMap<JobId, Duration>,
-    /// Tasks that never succeed.
-    hopeless: Vec<JobId>,
-    /// Jobs of which one task crashes its workers.
+    /// Jobs whose tasks always fail.
+    always_failing: Vec<JobId>,
+    /// Jobs with a task that crashes its workers.
     pub(super) crashing: Vec<JobId>,
     pub(super) crashes: Crashes,
-    /// Whether the workers refuse what does not fit.
-    pub(super) guards: bool,
-    /// What each worker offered before it shrank last, and until when a start may still
-    /// reckon with that.
-    pub(super) shrunk: [(Size, Duration); WORKERS],
-    /// The number of the last end that each worker's present life has listed.
-    pub(super) heard: [u64; WORKERS],
-    /// How many runs of each job ended as failed.
+    /// Whether the workers refuse starts beyond their capacity.
+    pub(super) enforces_capacity: bool,
+    /// The capacity of each worker before it last changed, and until when a start may still
+    /// rely on it.
+    pub(super) previous_capacity: [(Size, Duration); WORKERS],
+    /// The number of the last end that the current life of each worker has listed.
+    pub(super) last_listed_end: [u64; WORKERS],
+    /// The number of failed runs planned for each job.
     pub(super) failures: IndexMap<JobId, u32>,
-    /// How often a fault still strikes at its step.
-    strikes: u32,
-    /// The caps that were in force before, and until when orders given under them
-    /// may arrive.
-    pub(super) caps_before: (Vec<u64>, Duration),
+    /// How often the plan's fault will still be injected at its stage.
+    injections_left: u32,
+    /// The previous caps, and until when orders sent under them may arrive.
+    pub(super) previous_caps: (Vec<u64>, Duration),
 }
 
 /// Runs a schedule to its end.
@@ -118,8 +123,8 @@
             break;
         }
         world.now = at;
-        if let Some(happening) = world.happenings[slot].take() {
-            world.happen(happening)?;
+        if let Some(sim_event) = world.sim_events[slot].take() {
+            world.dispatch(sim_event)?;
         }
     }
     world.check_end()
@@ -128,12 +133,12 @@
 impl World {
     fn new(plan: Plan, seed: u64) -> World {
         let mut world = World {
-            guards: !plan.has(Fault::WorkersShrink),
+            enforces_capacity: !plan.has(Fault::WorkersShrink),
             plan,
             rng: StdRng::seed_from_u64(seed),
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            happenings: Vec::new(),
+            sim_events: Vec::new(),
             state: ControlState::default(),
             index: 1,
             owner: None,
@@ -141,14 +146,14 @@
             lives: 0,
             accepted: IndexMap::new(),
             cancelled: IndexMap::new(),
-            hopeless: Vec::new(),
+            always_failing: Vec::new(),
             crashing: Vec::new(),
             crashes: Crashes::default(),
-            shrunk: [(Size::default(), Duration::ZERO); WORKERS],
-            heard: [0; WORKERS],
+            previous_capacity: [(Size::default(), Duration::ZERO); WORKERS],
+            last_listed_end: [0; WORKERS],
             failures: IndexMap::new(),
-            strikes: STRIKES,
-            caps_before: (Vec::new(), Duration::ZERO),
+            injections_left: INJECTIONS,
+            previous_caps: (Vec::new(), Duration::ZERO),
         };
         world.begin();
         world
@@ -163,35 +168,35 @@
         self.apply(Command::Configure(Arc::new(catalogue(
             1,
             &caps,
-            self.guards,
+            self.enforces_capacity,
         ))));
         for at in 0..WORKERS {
             let worker = self.new_life(at);
             self.workers.push(worker);
-            self.after(ms(10 * at as u64), Happening::Heartbeat(at));
+            self.schedule(ms(10 * at as u64), SimEvent::Heartbeat(at));
         }
-        self.after(Duration::ZERO, Happening::TakeOver);
-        self.after(Duration::ZERO, Happening::Tick);
+        self.schedule(Duration::ZERO, SimEvent::TakeOver);
+        self.schedule(Duration::ZERO, SimEvent::Tick);
         for job in 0..JOBS {
             let at = ms(self.rng.random_range(100..10_000));
-            self.after(at, Happening::Submit(JobId(job)));
-            let lasts = self.lasts(JobId(job));
-            if self.plan.has(Fault::Cancels) && (lasts || self.rng.random_bool(0.4)) {
+            self.schedule(at, SimEvent::Submit(JobId(job)));
+            let is_long_running = self.is_long_running(JobId(job));
+            if self.plan.has(Fault::Cancels) && (is_long_running || self.rng.random_bool(0.4)) {
                 let later = at + ms(self.rng.random_range(1..3_000));
-                self.after(later, Happening::Cancel(JobId(job)));
+                self.schedule(later, SimEvent::Cancel(JobId(job)));
             }
         }
         let faults = self.plan.faults.clone();
         for fault in faults {
             for _ in 0..2 {
                 let at = ms(self.rng.random_range(500..12_000));
-                self.after(at, Happening::Fault(fault));
+                self.schedule(at, SimEvent::Fault(fault));
             }
         }
     }
 
     /// Whether a job runs until it is cancelled.
-    fn lasts(&self, id: JobId) -> bool {
+    fn is_long_running(&self, id: JobId) -> bool {
         self.plan.has(Fault::Cancels) && id.0.is_multiple_of(4)
     }
 
@@ -210,13 +215,13 @@
         };
         let percent = self.rng.random_range(98..=100);
         let mut worker = SimulatedWorker::new(record, percent, 1_000 * self.lives);
-        worker.enforces_capacity = self.guards;
+        worker.enforces_capacity = self.enforces_capacity;
         worker
     }
 
-    pub(super) fn after(&mut self, delay: Duration, happening: Happening) {
-        let slot = self.happenings.len();
-        self.happenings.push(Some(happening));
+    pub(super) fn schedule(&mut self, delay: Duration, sim_event: SimEvent) {
+        let slot = self.sim_events.len();
+        self.sim_events.push(Some(sim_event));
         let key = (self.now + delay, slot as u64, slot);
         self.queue.push(Reverse(key));
     }
@@ -225,12 +230,12 @@
         Duration::from_micros(self.rng.random_range(200..6_000))
     }
 
-    fn happen(&mut self, happening: Happening) -> Result<(), Violation> {
-        match happening {
-            Happening::Tick => {
-                self.after(TICK, Happening::Tick);
-                if !self.in_faults() {
-                    // Else the largest tasks may never have a place.
+    fn dispatch(&mut self, sim_event: SimEvent) -> Result<(), Violation> {
+        match sim_event {
+            SimEvent::Tick => {
+                self.schedule(TICK, SimEvent::Tick);
+                if !self.faults_active() {
+                    // Otherwise the largest tasks might never fit on a worker.
                     let workers = self.workers.iter_mut();
                     workers.for_each(|worker| worker.record.capacity = CAPACITY);
                 }
@@ -238,24 +243,24 @@
                 let wall_ms = self.wall_ms();
                 self.feed(Event::Tick { wall_ms });
             }
-            Happening::Heartbeat(at) => self.beat(at),
-            Happening::Submit(id) => self.submit(id),
-            Happening::Cancel(id) => self.cancel(id),
-            Happening::Fault(fault) => self.strike(fault),
-            Happening::TakeOver => self.take_over(),
-            Happening::Crash(at, life, task) => self.crash_by(at, &life, task),
-            Happening::Restart(at) => self.restart(at),
-            Happening::Commit(ordinal, command) => self.commit(ordinal, command),
-            Happening::Renew(ordinal, at, life, order, sent) => {
+            SimEvent::Heartbeat(at) => self.heartbeat(at),
+            SimEvent::Submit(id) => self.submit(id),
+            SimEvent::Cancel(id) => self.cancel(id),
+            SimEvent::Fault(fault) => self.inject(fault),
+            SimEvent::TakeOver => self.take_over(),
+            SimEvent::Crash(at, life, task) => self.crash_worker_if_running(at, &life, task),
+            SimEvent::Restart(at) => self.restart(at),
+            SimEvent::Commit(ordinal, command) => self.commit(ordinal, command),
+            SimEvent::Renew(ordinal, at, life, order, sent) => {
                 self.renew(ordinal, at, life, &order, sent);
             }
-            Happening::RenewalDue(ordinal, at, life, acked, sent) => {
+            SimEvent::RenewalDue(ordinal, at, life, acked, sent) => {
                 self.renewal_due(ordinal, at, life, acked, sent);
             }
-            Happening::Order(ordinal, at, life, token, order, way) => {
-                self.order(ordinal, at, life, token, order, way)?;
+            SimEvent::Order(ordinal, at, life, token, order, delivery) => {
+                self.deliver_order(ordinal, at, life, token, order, delivery)?;
             }
-            Happening::Tell(ordinal, event) => {
+            SimEvent::Deliver(ordinal, event) => {
                 if self.ordinal() == Some(ordinal) {
                     self.feed(event);
                 }
@@ -264,24 +269,25 @@
         self.check_accounts()
     }
 
-    /// A step of a job's life: the plan's fault may strike, right after what
-    /// goes on now. Orders that are late or lose their answer do so from then on.
-    fn reach(&mut self, moment: Moment) {
-        let Some((at, fault)) = self.plan.strike else {
+    /// Marks that a job reached a stage, at which the plan's fault may be injected
+    /// immediately after the current event. Late orders and lost answers then occur for the
+    /// rest of the fault phase.
+    fn reach_stage(&mut self, stage: JobStage) {
+        let Some((at, fault)) = self.plan.injection else {
             return;
         };
-        if at != moment || self.strikes == 0 || !self.rng.random_bool(0.1) {
+        if at != stage || self.injections_left == 0 || !self.rng.random_bool(0.1) {
             return;
         }
-        self.strikes -= 1;
+        self.injections_left -= 1;
         if !self.plan.has(fault) {
             self.plan.faults.push(fault);
         }
-        self.after(Duration::ZERO, Happening::Fault(fault));
+        self.schedule(Duration::ZERO, SimEvent::Fault(fault));
     }
 
     pub(super) fn wall_ms(&self) -> u64 {
-        1 + u64::try_from(self.now.as_millis()).expect("short")
+        1 + u64::try_from(self.now.as_millis()).expect("value out of range")
     }
 
     fn ordinal(&self) -> Option<u32> {
@@ -290,9 +296,9 @@
 
     pub(super) fn apply(&mut self, command: Command) {
         match &command {
-            Command::Submit { .. } => self.reach(Moment::Submitted),
-            Command::Cancel { .. } => self.reach(Moment::Cancelled),
-            Command::RecordEnds { .. } => self.reach(Moment::Noted),
+            Command::Submit { .. } => self.reach_stage(JobStage::Submitted),
+            Command::Cancel { .. } => self.reach_stage(JobStage::Cancelled),
+            Command::RecordEnds { .. } => self.reach_stage(JobStage::EndCommitted),
             _ => {}
         }
         self.index += 1;
@@ -308,7 +314,7 @@
         failed.map(|(id, _)| *id)
     }
 
-    /// Whether the job's tasks may have failed as often as is allowed.
+    /// Whether runs of the job may have failed as often as allowed.
     pub(super) fn may_fail(&self, id: JobId) -> bool {
         self.failures.get(&id).copied().unwrap_or_default() >= MAX_ATTEMPTS
     }
@@ -321,11 +327,11 @@
         let ordinal = owner.owner().ordinal;
         self.owner = Some(owner);
         for effect in effects {
-            self.carry_out(ordinal, effect);
+            self.execute(ordinal, effect);
         }
     }
 
-    fn carry_out(&mut self, ordinal: u32, effect: Effect) {
+    fn execute(&mut self, ordinal: u32, effect: Effect) {
         let delay = self.delay();
         match effect {
             Effect::Renew {
@@ -333,18 +339,15 @@
                 address,
                 order,
             } => {
-                let at = place(&address);
-                self.after(
-                    delay,
-                    Happening::Renew(ordinal, at, worker, order, self.now),
-                );
+                let at = worker_index(&address);
+                self.schedule(delay, SimEvent::Renew(ordinal, at, worker, order, self.now));
             }
             Effect::Order {
                 worker,
                 address,
                 token,
                 order,
-            } => self.send_order(ordinal, place(&address), worker, token, order),
+            } => self.send_order(ordinal, worker_index(&address), worker, token, order),
             Effect::Propose(command) => self.propose(ordinal, command),
             Effect::Fenced { .. } => self.owner = None,
             Effect::Log(_)
@@ -354,25 +357,26 @@
         }
     }
 
-    /// A command is committed soon; or late, or never, and given up before.
+    /// Schedules the commit of a command. With slow commits it may be late, lost, or reported
+    /// as failed before it succeeds.
     fn propose(&mut self, ordinal: u32, command: Command) {
-        if !self.plan.has(Fault::SlowCommits) || !self.in_faults() {
+        if !self.plan.has(Fault::SlowCommits) || !self.faults_active() {
             let delay = ms(self.rng.random_range(5..20));
-            return self.after(delay, Happening::Commit(ordinal, command));
+            return self.schedule(delay, SimEvent::Commit(ordinal, command));
         }
         let lost = self.rng.random_bool(0.1);
         if lost || self.rng.random_bool(0.2) {
             let command = Arc::new(command.clone());
             let event = Event::ProposalFailed { command };
-            self.after(ms(200), Happening::Tell(ordinal, event));
+            self.schedule(ms(200), SimEvent::Deliver(ordinal, event));
         }
         if !lost {
             let delay = ms(self.rng.random_range(5..600));
-            self.after(delay, Happening::Commit(ordinal, command));
+            self.schedule(delay, SimEvent::Commit(ordinal, command));
         }
     }
 
-    /// An order arrives soon, or late and without an answer.
+    /// Schedules the delivery of an order, which may be late or lose its answer.
     fn send_order(
         &mut self,
         ordinal: u32,
@@ -382,12 +386,12 @@
         order: TaskOrder,
     ) {
         if matches!(order.order, Order::Start { .. }) {
-            self.reach(Moment::Placed);
+            self.reach_stage(JobStage::StartSent);
         }
         let late =
-            self.plan.has(Fault::LateOrders) && self.in_faults() && self.rng.random_bool(0.1);
+            self.plan.has(Fault::LateOrders) && self.faults_active() && self.rng.random_bool(0.1);
         let lost =
-            self.plan.has(Fault::LostAnswers) && self.in_faults() && self.rng.random_bool(0.1);
+            self.plan.has(Fault::LostAnswers) && self.faults_active() && self.rng.random_bool(0.1);
         let delay = if late {
             ms(self.rng.random_range(2_000..12_000))
         } else {
@@ -395,49 +399,49 @@
         };
         if late || lost {
             let event = unanswered(&life, &order);
-            self.after(ms(400), Happening::Tell(ordinal, event));
+            self.schedule(ms(400), SimEvent::Deliver(ordinal, event));
         }
-        let way = match (late, lost) {
-            (true, _) => Way::Late,
-            (false, true) => Way::Unanswered,
-            (false, false) => Way::Plain,
+        let delivery = match (late, lost) {
+            (true, _) => Delivery::Late,
+            (false, true) => Delivery::Unanswered,
+            (false, false) => Delivery::Prompt,
         };
-        let arrives = Happening::Order(ordinal, at, life, token, order, way);
-        self.after(delay, arrives);
+        let arrives = SimEvent::Order(ordinal, at, life, token, order, delivery);
+        self.schedule(delay, arrives);
     }
 
-    fn in_faults(&self) -> bool {
+    fn faults_active(&self) -> bool {
         self.now < FAULTS_END
     }
 
-    fn beat(&mut self, at: usize) {
-        self.after(BEAT, Happening::Heartbeat(at));
+    fn heartbeat(&mut self, at: usize) {
+        self.schedule(HEARTBEAT_INTERVAL, SimEvent::Heartbeat(at));
         let worker = &mut self.workers[at];
         if !worker.reachable(self.now) {
             return;
         }
         worker.sequence += 1;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             record: worker.record.clone(),
             draining: false,
             sequence: worker.sequence,
         };
-        self.feed(Event::Heartbeat(beat));
+        self.feed(Event::Heartbeat(heartbeat));
     }
 
     fn submit(&mut self, id: JobId) {
         if self.owner.is_none() {
-            return self.after(ms(300), Happening::Submit(id));
+            return self.schedule(ms(300), SimEvent::Submit(id));
         }
         if self.rng.random_bool(0.1) {
-            self.hopeless.push(id);
+            self.always_failing.push(id);
         }
         if self.plan.has(Fault::CrashingTasks) && id.0 % 5 == 3 {
             self.crashing.push(id);
         }
         let queue = self.state.catalogue.as_ref().expect("configured").queues[0].clone();
-        let lasts = self.lasts(id);
-        let spec = Arc::new(spec(&mut self.rng, lasts));
+        let is_long_running = self.is_long_running(id);
+        let spec = Arc::new(spec(&mut self.rng, is_long_running));
         let arrived_ms = self.wall_ms();
         self.apply(Command::Submit {
             id,
@@ -450,7 +454,7 @@
 
     fn cancel(&mut self, id: JobId) {
         if self.owner.is_none() || self.state.job_state(id).is_none() {
-            return self.after(ms(300), Happening::Cancel(id));
+            return self.schedule(ms(300), SimEvent::Cancel(id));
         }
         if self.state.job_state(id) == Some(JobState::Active) {
             self.cancelled.insert(id, self.now);
@@ -463,7 +467,7 @@
             return;
         }
         self.apply(Command::TakeOver { member: 1 });
-        self.crashes.disturb(self.now);
+        self.crashes.record_owner_change(self.now);
         let cfg = SchedulerConfig {
             protections: self.plan.protections,
             ..SchedulerConfig::default()
@@ -492,7 +496,7 @@
                 worker: life,
                 other_life: false,
             };
-            return self.after(order.wait + ms(500), Happening::Tell(ordinal, event));
+            return self.schedule(order.wait + ms(500), SimEvent::Deliver(ordinal, event));
         }
         if worker.record.name != life {
             let event = Event::RenewalFailed {
@@ -500,7 +504,7 @@
                 other_life: true,
             };
             let delay = self.delay();
-            return self.after(delay, Happening::Tell(ordinal, event));
+            return self.schedule(delay, SimEvent::Deliver(ordinal, event));
         }
         if !worker.renew(now, order) {
             return;
@@ -511,8 +515,8 @@
         } else {
             Duration::ZERO
         };
-        let due = Happening::RenewalDue(ordinal, at, life, order.acked, sent);
-        self.after(wait, due);
+        let due = SimEvent::RenewalDue(ordinal, at, life, order.acked, sent);
+        self.schedule(wait, due);
     }
 
     fn renewal_due(&mut self, ordinal: u32, at: usize, life: Box<str>, acked: u64, sent: Duration) {
@@ -522,8 +526,8 @@
         let event = if worker.reachable(now) && worker.record.name == life {
             let answer = worker.report(now);
             if let Some(last) = answer.ended.last() {
-                self.heard[at] = last.number;
-                self.reach(Moment::Listed);
+                self.last_listed_end[at] = last.number;
+                self.reach_stage(JobStage::EndListed);
             }
             Event::RenewalAnswered {
                 worker: life,
@@ -537,63 +541,66 @@
                 other_life: false,
             }
         };
-        self.after(delay, Happening::Tell(ordinal, event));
+        self.schedule(delay, SimEvent::Deliver(ordinal, event));
     }
 
-    fn order(
+    fn deliver_order(
         &mut self,
         ordinal: u32,
         at: usize,
         life: Box<str>,
         token: u64,
         order: TaskOrder,
-        way: Way,
+        delivery: Delivery,
     ) -> Result<(), Violation> {
         let now = self.now;
-        let planned = self.planned(&order);
+        let planned = self.plan_run(&order);
         let worker = &mut self.workers[at];
         let answer = if !worker.reachable(now) {
             let event = unanswered(&life, &order);
-            self.after(ms(400), Happening::Tell(ordinal, event));
+            self.schedule(ms(400), SimEvent::Deliver(ordinal, event));
             return Ok(());
         } else if worker.record.name != life {
             OrderAnswer::OtherLife
         } else {
-            let there = worker.runs.contains_key(&order.task);
+            let already_running = worker.runs.contains_key(&order.task);
             let answer = worker.execute_order(now, token, &order, &planned);
             let started = matches!(order.order, Order::Start { .. }) && answer == OrderAnswer::Done;
-            if started && !there {
+            if started && !already_running {
                 self.check_start(at, &order)?;
                 if self.is_crashing(order.task) {
-                    if way != Way::Late {
-                        self.crashes.check(order.task, now)?;
+                    if delivery != Delivery::Late {
+                        self.crashes.check_start(order.task, now)?;
                     }
-                    let soon = ms(self.rng.random_range(1..30));
-                    self.after(soon, Happening::Crash(at, life.clone(), order.task));
+                    let delay_to_crash = ms(self.rng.random_range(1..30));
+                    self.schedule(
+                        delay_to_crash,
+                        SimEvent::Crash(at, life.clone(), order.task),
+                    );
                 }
-                if way != Way::Late {
+                if delivery != Delivery::Late {
                     self.check_cap(&order)?;
                     self.check_capacity(at, &order)?;
                 }
-                self.reach(Moment::Started);
+                self.reach_stage(JobStage::Started);
             }
             answer
         };
-        if way == Way::Plain {
+        if delivery == Delivery::Prompt {
             let event = Event::Ordered {
                 worker: life,
                 order,
                 answer,
             };
             let delay = self.delay();
-            self.after(delay, Happening::Tell(ordinal, event));
+            self.schedule(delay, SimEvent::Deliver(ordinal, event));
         }
         Ok(())
     }
 
-    fn planned(&mut self, order: &TaskOrder) -> SimulatedRun {
-        let hopeless = self.hopeless.contains(&order.task.job());
-        let end_kind = if hopeless || self.rng.random_bool(0.03) {
+    fn plan_run(&mut self, order: &TaskOrder) -> SimulatedRun {
+        let always_failing = self.always_failing.contains(&order.task.job());
+        let end_kind = if always_failing || self.rng.random_bool(0.03) {
             *self.failures.entry(order.task.job()).or_default() += 1;
             EndKind::Failed
         } else {
@@ -603,14 +610,14 @@
             Order::Start { spec, .. } => spec.steps[usize::from(order.task.step.step)].footprint(),
             _ => Size::default(),
         };
-        let span = if self.lasts(order.task.job()) {
+        let run_time = if self.is_long_running(order.task.job()) {
             END
         } else {
             ms(self.rng.random_range(50..1_500))
         };
         SimulatedRun {
             run: order.run,
-            ends_at: self.now + span,
+            ends_at: self.now + run_time,
             end_kind,
             size,
         }
@@ -625,8 +632,9 @@
     }
 }
 
-fn place(address: &str) -> usize {
+fn worker_index(address: &str) -> usize {
     let digits = address.trim_start_matches("10.0.0.");
-    let (at, _) = digits.split_once(':').expect("an address of ours");
-    at.parse().expect("a number")
+    let (at, _) = digits.split_once(':').expect("a worker address has a port");
+    at.parse()
+        .expect("a worker address ends in the worker index")
 }
--- a/crates/cleat-jobs/tests/state.rs
+++ b/crates/cleat-jobs/tests/state.rs
@@ -1,6 +1,6 @@
-//! What commands do to the replicated state.
+//! The effect of commands on the replicated state.
 
-mod scaffold;
+mod support;
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     Catalogue, CatalogueDraft, Command, CommandOutcome, ControlState, EndKind, JobId, JobSpec,
     JobState, Queue, StepSpec, TaskId,
 };
-use scaffold::{catalogue, draft, end, ends, job, pool, queue, record, step, task};
+use support::{catalogue, draft, end, ends, job, pool, queue, record, step, task};
 
 fn with_job(steps: Vec<StepSpec>) -> ControlState {
     let mut state = ControlState::default();
@@ -30,7 +30,7 @@
     }
 }
 
-fn note(state: &mut ControlState, number: u64, task: TaskId, kind: EndKind) {
+fn record_end(state: &mut ControlState, number: u64, task: TaskId, kind: EndKind) {
     state.apply(
         10 + number,
         ends("w1", vec![end(number, task, number, kind)]),
@@ -40,7 +40,7 @@
 #[test]
 fn apply_submit_twice_stays_one_job() {
     let mut state = with_job(vec![step(2, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     let before = state.clone();
     let queue = state.catalogue.as_ref().expect("configured").queues[0].clone();
     let (id, spec) = (JobId(7), job(vec![step(5, 100)]));
@@ -58,38 +58,38 @@
         ..step(1, 100)
     };
     let mut state = with_job(vec![step(2, 100), second]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     assert!(!state.jobs[&JobId(7)].is_step_due(task(7, 1, 0).step));
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert!(state.jobs[&JobId(7)].is_step_due(task(7, 1, 0).step));
-    note(&mut state, 3, task(7, 1, 0), EndKind::Done);
+    record_end(&mut state, 3, task(7, 1, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
 #[test]
 fn apply_ends_listed_again_count_once() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Failed);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Failed);
     assert_eq!(
         state.job_state(JobId(7)),
         Some(JobState::Active),
-        "one of two attempts"
+        "the job failed after one of two attempts"
     );
-    note(&mut state, 2, task(7, 0, 0), EndKind::Failed);
+    record_end(&mut state, 2, task(7, 0, 0), EndKind::Failed);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Failed));
 }
 
-/// The ends in between are still on their way: the worker must list them
-/// again, so nothing after them may be acknowledged.
+/// The missing ends are not committed yet. The worker has to list them again, so no later
+/// end may be acknowledged.
 #[test]
-fn apply_ends_after_a_gap_are_not_noted() {
+fn apply_ends_after_a_gap_are_not_recorded() {
     let mut state = with_job(vec![step(2, 1_000)]);
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert_eq!(state.workers["w1"].history.last_recorded_end, 0);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
-    note(&mut state, 2, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 1), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
@@ -103,20 +103,20 @@
         EndKind::Alone,
     ];
     for (number, kind) in (1..).zip(kinds) {
-        note(&mut state, number, task(7, 0, 0), kind);
+        record_end(&mut state, number, task(7, 0, 0), kind);
     }
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
 
 #[test]
 fn apply_ends_long_running_never_ends_the_job() {
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(1, 100)
     };
-    let mut state = with_job(vec![lasting]);
+    let mut state = with_job(vec![long_running]);
     for (number, kind) in (1..).zip([EndKind::Done, EndKind::Failed, EndKind::Failed]) {
-        note(&mut state, number, task(7, 0, 0), kind);
+        record_end(&mut state, number, task(7, 0, 0), kind);
     }
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
@@ -128,16 +128,16 @@
         ..step(3, 100)
     };
     let mut state = with_job(vec![gang]);
-    note(&mut state, 1, task(7, 0, 2), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 2), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Completed));
 }
 
 #[test]
 fn apply_ends_unknown_task_changes_nothing() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 3, 0), EndKind::Done);
-    note(&mut state, 2, task(7, 0, 9), EndKind::Done);
-    note(&mut state, 3, task(8, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 3, 0), EndKind::Done);
+    record_end(&mut state, 2, task(7, 0, 9), EndKind::Done);
+    record_end(&mut state, 3, task(8, 0, 0), EndKind::Done);
     assert_eq!(state.job_state(JobId(7)), Some(JobState::Active));
 }
 
@@ -157,7 +157,7 @@
     assert_eq!(
         state.apply(22, Command::Cancel { id }),
         CommandOutcome::Done,
-        "sent again"
+        "a repeated cancel was not accepted"
     );
     assert_eq!(state.job_state(id), Some(JobState::Cancelled));
 }
@@ -165,7 +165,7 @@
 #[test]
 fn apply_cancel_completed_job_stays_completed() {
     let mut state = with_job(vec![step(1, 100)]);
-    note(&mut state, 1, task(7, 0, 0), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 0), EndKind::Done);
     let answer = state.apply(20, Command::Cancel { id: JobId(7) });
     assert_eq!(answer, CommandOutcome::Over(JobState::Completed));
 }
@@ -183,15 +183,15 @@
 fn apply_take_over_tokens_rise() {
     let mut state = ControlState::default();
     state.apply(4, Command::TakeOver { member: 1 });
-    let first = state.owner.expect("owned");
+    let first = state.owner.expect("the state has an owner");
     state.apply(9, Command::TakeOver { member: 1 });
-    let second = state.owner.expect("owned");
+    let second = state.owner.expect("the state has an owner");
     assert!(second.token > first.token);
     assert_eq!((first.ordinal, second.ordinal), (0, 1));
 }
 
-/// Whether something may run on `w1` after a note that its lease is over.
-fn may_have_runs_after_lapse(token: u64, activations: u32) -> bool {
+/// Whether tasks may run on `w1` after its lease expiry was committed.
+fn may_run_after_lapse(token: u64, activations: u32) -> bool {
     let mut state = ControlState::default();
     state.apply(1, Command::TakeOver { member: 1 });
     state.apply(2, Command::TakeOver { member: 2 });
@@ -211,17 +211,24 @@
 
 #[test]
 fn apply_worker_lapsed_counts_for_its_owner_and_use() {
-    assert!(!may_have_runs_after_lapse(2, 2));
-    assert!(may_have_runs_after_lapse(1, 2), "of an earlier owner");
-    assert!(may_have_runs_after_lapse(2, 1), "of an earlier use");
+    assert!(!may_run_after_lapse(2, 2));
+    assert!(
+        may_run_after_lapse(1, 2),
+        "the command of an earlier owner was applied"
+    );
+    assert!(
+        may_run_after_lapse(2, 1),
+        "the command for an earlier use was applied"
+    );
 }
 
 #[test]
 fn snapshot_restores_everything() {
     let mut state = with_job(vec![step(2, 100)]);
-    note(&mut state, 1, task(7, 0, 1), EndKind::Done);
+    record_end(&mut state, 1, task(7, 0, 1), EndKind::Done);
     state.apply(30, Command::TakeOver { member: 1 });
-    let restored = ControlState::restore(&state.snapshot()).expect("our own bytes");
+    let restored =
+        ControlState::restore(&state.snapshot()).expect("the snapshot cannot be restored");
     assert_eq!(restored, state);
 }
 
@@ -230,7 +237,7 @@
     assert!(ControlState::restore(b"not a snapshot, but some text").is_err());
 }
 
-/// A configuration of pool `a`.
+/// A configuration with these queues and pool `a`.
 fn with_queues(queues: Vec<Queue>) -> CatalogueDraft {
     CatalogueDraft {
         queues,
@@ -255,15 +262,15 @@
 
 #[test]
 fn catalogue_faults_are_refused() {
-    let made = |queues| Catalogue::new(with_queues(queues)).map_err(|e| e.to_string());
-    let unknown = made(vec![queue("q", "nowhere")]).expect_err("no such pool");
+    let build = |queues| Catalogue::new(with_queues(queues)).map_err(|e| e.to_string());
+    let unknown = build(vec![queue("q", "nowhere")]).expect_err("no such pool");
     assert!(unknown.contains("nowhere"), "{unknown}");
     let mut twin = queue("r", "a");
     twin.prefix = "/q/".into();
-    let twice = made(vec![queue("q", "a"), twin]).expect_err("the same place");
+    let twice = build(vec![queue("q", "a"), twin]).expect_err("the same place");
     assert!(twice.contains("same host"), "{twice}");
     let mut endless = queue("q", "a");
     endless.timeout_ms = 0;
-    let zero = made(vec![endless]).expect_err("no time-out");
+    let zero = build(vec![endless]).expect_err("no time-out");
     assert!(zero.contains("time-out"), "{zero}");
 }
--- a/crates/cleat-jobs/tests/scaffold/mod.rs
+++ b/crates/cleat-jobs/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What several tests need: small jobs, queues, workers and an owner.
+//! Shared fixtures: small jobs, queues, workers and an owner.
 
 #![allow(dead_code)]
 
-pub(crate) mod play;
+pub(crate) mod crash_scenario;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     }
 }
 
-/// A customer with these keys that may have `cpu_milli` running; 0 is no limit.
+/// A customer with these keys and a cap of `cpu_milli`; 0 means no cap.
 pub(crate) fn customer(name: &str, keys: &[&str], cpu_milli: u64) -> CustomerDraft {
     let keys: Vec<Box<str>> = keys.iter().map(|key| (*key).into()).collect();
     let cap = Cap(Size {
@@ -137,42 +137,42 @@
     }
 }
 
-/// A replicated state and its owner, step by step.
-pub(crate) struct Bed {
+/// A replicated state and its owner, driven one event at a time.
+pub(crate) struct Harness {
     pub(crate) state: ControlState,
     pub(crate) owner: Scheduler,
     pub(crate) now: Duration,
-    /// The time of day; 0 while it plays no part.
+    /// The wall-clock time; 0 in tests that do not depend on it.
     pub(crate) wall_ms: u64,
     index: u64,
 }
 
-impl Bed {
-    /// An owner over workers `w1` and `w2` of pool `a`, which have answered.
-    pub(crate) fn new() -> Bed {
-        Bed::with_workers(&["w1", "w2"])
+impl Harness {
+    /// An owner with workers `w1` and `w2` of pool `a`, which have answered a renewal.
+    pub(crate) fn new() -> Harness {
+        Harness::with_workers(&["w1", "w2"])
     }
 
-    pub(crate) fn with_workers(workers: &[&str]) -> Bed {
+    pub(crate) fn with_workers(workers: &[&str]) -> Harness {
         let mut state = ControlState::default();
         state.apply(1, Command::Bootstrapped);
         state.apply(2, Command::Configure(catalogue(1)));
         state.apply(3, Command::TakeOver { member: 1 });
         let owner = Scheduler::new(SchedulerConfig::default(), &state, Duration::ZERO, 0);
-        let mut bed = Bed {
+        let mut harness = Harness {
             state,
-            owner: owner.expect("owned"),
+            owner: owner.expect("the state has an owner"),
             now: Duration::ZERO,
             wall_ms: 0,
             index: 3,
         };
         for worker in workers {
-            bed.add_worker(worker, "a");
+            harness.add_worker(worker, "a");
         }
-        bed
+        harness
     }
 
-    /// The next owner, which knows what is in the state only.
+    /// Replaces the owner by one that knows only the replicated state.
     pub(crate) fn replace_owner(&mut self) {
         self.index += 1;
         self.state
@@ -183,47 +183,47 @@
             self.now,
             self.wall_ms,
         );
-        self.owner = owner.expect("owned");
+        self.owner = owner.expect("the state has an owner");
     }
 
-    /// A worker that beats, answers and is recorded.
+    /// Adds a worker that sent a heartbeat, answered a renewal and is recorded in the state.
     pub(crate) fn add_worker(&mut self, name: &str, pool: &str) -> Vec<Effect> {
-        self.beat(record(name, pool));
+        self.heartbeat(record(name, pool));
         let effects = self.answer_renewal(name, RenewalAnswer::default());
         self.commit(&effects)
     }
 
-    pub(crate) fn beat(&mut self, record: WorkerRecord) -> Vec<Effect> {
-        let beat = Heartbeat {
+    pub(crate) fn heartbeat(&mut self, record: WorkerRecord) -> Vec<Effect> {
+        let heartbeat = Heartbeat {
             record,
             draining: false,
             sequence: 1,
         };
-        self.feed(Event::Heartbeat(beat))
+        self.feed(Event::Heartbeat(heartbeat))
     }
 
-    /// A heartbeat of a known or new worker of pool `a` that is about to end, as
-    /// the control instance that takes it acts on it.
-    pub(crate) fn beat_draining(&mut self, name: &str, sequence: u64) -> Vec<Effect> {
-        let beat = Heartbeat {
+    /// Feeds a heartbeat of a draining worker of pool `a` and commits the `Draining`
+    /// command, as the control instance that receives the heartbeat does.
+    pub(crate) fn heartbeat_draining(&mut self, name: &str, sequence: u64) -> Vec<Effect> {
+        let heartbeat = Heartbeat {
             record: record(name, "a"),
             draining: true,
             sequence,
         };
-        let heard = self.feed(Event::Heartbeat(beat));
-        let noted = self.apply(Command::Draining { name: name.into() });
-        [heard, noted].concat()
+        let effects = self.feed(Event::Heartbeat(heartbeat));
+        let committed = self.apply(Command::Draining { name: name.into() });
+        [effects, committed].concat()
     }
 
-    /// Commits what the effects propose; gives what follows.
+    /// Commits the commands that the effects propose, and returns the resulting effects.
     pub(crate) fn commit(&mut self, effects: &[Effect]) -> Vec<Effect> {
         let commands = proposals(effects).into_iter();
         commands.flat_map(|command| self.apply(command)).collect()
     }
 
-    /// Lets a worker's lease run out while the others answer; gives what the
-    /// owner does at the end.
-    pub(crate) fn let_lapse(&mut self, silent: &str, others: &[&str]) -> Vec<Effect> {
+    /// Lets a worker's lease expire while the others answer, and returns the effects of
+    /// the tick at which it expires.
+    pub(crate) fn let_lease_expire(&mut self, silent: &str, others: &[&str]) -> Vec<Effect> {
         let mut effects = Vec::new();
         while !self.is_believed(silent, WorkerState::Lapsed) {
             self.fail_renewal(silent);
@@ -255,12 +255,12 @@
         self.submit_to(0, id, steps)
     }
 
-    /// Submits to the queue at this place of the catalogue.
+    /// Submits a job to the queue at this index of the catalogue.
     pub(crate) fn submit_to(&mut self, at: usize, id: u64, steps: Vec<StepSpec>) -> Vec<Effect> {
         self.submit_for(None, at, id, steps)
     }
 
-    /// Submits a customer's job to the queue at this place of the catalogue.
+    /// Submits a customer's job to the queue at this index of the catalogue.
     pub(crate) fn submit_for(
         &mut self,
         customer: Option<&str>,
@@ -283,7 +283,7 @@
     pub(crate) fn tick(&mut self, later: Duration) -> Vec<Effect> {
         self.now += later;
         if self.wall_ms > 0 {
-            self.wall_ms += u64::try_from(later.as_millis()).expect("short");
+            self.wall_ms += u64::try_from(later.as_millis()).expect("value out of range");
         }
         let wall_ms = self.wall_ms.max(1);
         self.feed(Event::Tick { wall_ms })
@@ -293,14 +293,14 @@
         self.confirm_renewal(worker, 0, answer)
     }
 
-    /// Answers a renewal that acknowledged ends up to `acked`.
+    /// Answers a renewal that acknowledged the ends up to number `acked`.
     pub(crate) fn confirm_renewal(
         &mut self,
         worker: &str,
         acked: u64,
         mut answer: RenewalAnswer,
     ) -> Vec<Effect> {
-        answer.clock_ms = 1_000 + u64::try_from(self.now.as_millis()).expect("short");
+        answer.clock_ms = 1_000 + u64::try_from(self.now.as_millis()).expect("value out of range");
         self.feed(Event::RenewalAnswered {
             worker: worker.into(),
             sent_at: self.now,
@@ -340,12 +340,12 @@
     }
 }
 
-/// The starts among effects, with their workers.
+/// The start orders among the effects, with their workers.
 pub(crate) fn starts(effects: &[Effect]) -> Vec<(Box<str>, TaskOrder)> {
     orders(effects, |order| matches!(order, Order::Start { .. }))
 }
 
-/// The stops among effects, with their workers.
+/// The stop orders among the effects, with their workers.
 pub(crate) fn stops(effects: &[Effect]) -> Vec<(Box<str>, TaskOrder)> {
     orders(effects, |order| matches!(order, Order::Stop))
 }
@@ -360,7 +360,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// The commands among effects.
+/// The commands that the effects propose.
 pub(crate) fn proposals(effects: &[Effect]) -> Vec<Command> {
     let command = |effect: &Effect| match effect {
         Effect::Propose(command) => Some(command.clone()),
@@ -369,7 +369,7 @@
     effects.iter().filter_map(command).collect()
 }
 
-/// What effects ask of the adviser.
+/// The requests to the adviser among the effects: the step and the candidate workers.
 pub(crate) fn advice(effects: &[Effect]) -> Vec<(StepId, Vec<Box<str>>)> {
     let asked = |effect: &Effect| match effect {
         Effect::Advise { step, workers } => Some((*step, workers.clone())),
@@ -378,8 +378,8 @@
     effects.iter().filter_map(asked).collect()
 }
 
-/// The paces among effects, with their tasks.
-pub(crate) fn paces(effects: &[Effect]) -> Vec<(TaskId, u8)> {
+/// The throttle orders among the effects: the task and its percentage.
+pub(crate) fn throttles(effects: &[Effect]) -> Vec<(TaskId, u8)> {
     let pace = |(_, order): (Box<str>, TaskOrder)| match order.order {
         Order::Throttle(percent) => Some((order.task, percent)),
         _ => None,
@@ -388,7 +388,7 @@
     all.into_iter().filter_map(pace).collect()
 }
 
-/// A machine of pool `pool` that is up.
+/// A machine of the pool that is up.
 pub(crate) fn machine(name: &str, pool: &str, worker: Option<&str>) -> MachineView {
     MachineView {
         name: name.into(),
@@ -400,14 +400,14 @@
     }
 }
 
-/// Lets the platform answer a list that was asked for now.
-pub(crate) fn list_machines(bed: &mut Bed, machines: Vec<MachineView>) -> Vec<Effect> {
-    let sent_at = bed.now;
+/// Feeds the platform's answer to a list requested now.
+pub(crate) fn list_machines(harness: &mut Harness, machines: Vec<MachineView>) -> Vec<Effect> {
+    let sent_at = harness.now;
     let machines = Some(machines);
-    bed.feed(Event::MachinesListed { sent_at, machines })
+    harness.feed(Event::MachinesListed { sent_at, machines })
 }
 
-/// The moves among effects, with their pools.
+/// The machine moves among the effects, with their destination pools.
 pub(crate) fn moved(effects: &[Effect]) -> Vec<(Box<str>, Box<str>)> {
     let order = |effect: &Effect| match effect {
         Effect::OrderMachine {
@@ -420,7 +420,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// An answer to a renewal that lists these ends and no runs.
+/// A renewal answer that lists these ends and no runs.
 pub(crate) fn ended(ends: Vec<TaskEnd>) -> RenewalAnswer {
     RenewalAnswer {
         ended: ends,
