--- a/crates/cleat-world/src/fleet/types.rs
+++ b/crates/cleat-world/src/fleet/types.rs
@@ -160,7 +160,7 @@
 pub struct KeyTerms {
     /// How long a key is stored after its claim, in seconds.
     pub retention_s: u64,
-    /// The maximum number of stored keys, above which new keys are refused.
+    /// The maximum number of stored keys. At this number, new keys are refused.
     pub max_keys: u64,
     /// The maximum size of an answer that is stored with a key, in bytes.
     pub max_answer_bytes: u64,
