--- a/crates/cleat-control/src/keys/refusal_log.rs
+++ b/crates/cleat-control/src/keys/refusal_log.rs
@@ -42,6 +42,7 @@
             return None;
         }
         pending.logged_at = Some(now);
+        // Without the job ID: the event stands for calls about many jobs.
         let prefix = path.rfind('/').map_or(path, |end| &path[..=end]);
         Some(KeysRefused {
             reason,
--- a/crates/cleat-control/src/keys/tests.rs
+++ b/crates/cleat-control/src/keys/tests.rs
@@ -42,6 +42,7 @@
 fn check_unknown_key_is_forwarded_for_another_queue() {
     let mut filter = KeyFilter::new(ms(0));
     filter.record_reply(&shown("a"), &ControlReply::UnknownKey, ms(0));
+    // A queue is identified by the host and the path prefix.
     let elsewhere = ShownKey {
         prefix: "/public/".into(),
         ..shown("a")
@@ -84,11 +85,15 @@
         }
         served += u64::from(filter.check(&shown("own"), now) == Verdict::Forward);
     }
+    // A burst of 300 keys, and 50 keys a second for ten seconds.
     assert!(
         forwarded <= 300 + 500,
-        "{forwarded} of 100,000 reached the leader"
+        "{forwarded} of 100,000 unknown keys were forwarded to the leader"
+    );
+    assert_eq!(
+        served, 100_000,
+        "calls with the customer's known key were refused"
     );
-    assert_eq!(served, 100_000, "the customer's calls are not limited");
 }
 
 #[test]
@@ -102,12 +107,13 @@
             filter.record_reply(&shown("a"), &ControlReply::UnknownKey, now);
         }
     }
-    assert!(forwarded <= 10, "{forwarded}");
+    assert!(forwarded <= 10, "forwarded {forwarded} times in one second");
 }
 
 #[test]
 fn check_all_keys_of_a_fleet_pass_after_a_start() {
     let mut filter = KeyFilter::new(ms(0));
+    // 150 customers with two keys each.
     let keys = (0..150 * 2).map(|n| shown(&format!("key-{n}")));
     let forwarded = keys.filter(|key| filter.check(key, ms(1)) == Verdict::Forward);
     assert_eq!(forwarded.count() as f64, NEW_KEY_BURST);
@@ -126,5 +132,9 @@
     assert_eq!(counts, [1, 10_000, 10_000]);
     assert!(lines.iter().all(|line| *line.path == *"/q/"));
     let other = refusals.record(KeyRefusal::TooMany, None, "/q/", ms(2_500));
-    assert_eq!(other.map(|line| line.count), Some(1), "another reason");
+    assert_eq!(
+        other.map(|line| line.count),
+        Some(1),
+        "a refusal for another reason was not logged"
+    );
 }
--- a/crates/cleat-control/src/node/config.rs
+++ b/crates/cleat-control/src/node/config.rs
@@ -27,7 +27,8 @@
     /// The number of voters in the group: twice the number of tolerated losses, plus
     /// one.
     pub voters: usize,
-    /// How long a surplus voter may be silent before it is removed from the group.
+    /// How long a voter may be silent before it is removed from the group, while
+    /// there are more than `voters`.
     pub remove_silent_after: Duration,
     /// The folder of its log and snapshots.
     pub data_folder: PathBuf,
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -130,6 +130,8 @@
                 Ok(reply) => return Ok(reply),
                 Err(ControlError::OutcomeUnknown) => return Err(AskError::Unknown),
                 Err(source @ ControlError::TooLarge) => return Err(AskError::Refused { source }),
+                // This instance just lost the leadership or the majority, or is stopping,
+                // and did nothing for the call, so the gateway may send it again.
                 Err(_) => {}
             }
         }
@@ -185,6 +187,8 @@
         target_voters: cfg.voters,
         remove_silent_after: cfg.remove_silent_after,
     };
+    // The random seed must differ between incarnations: the number of the incarnation
+    // and the election delays are derived from it.
     ReplicaConfig::new(cfg.id, seeds, rand::random())
         .with_timing(cfg.timing)
         .with_join_config(join)
--- a/crates/cleat-decide/src/request/admission/mod.rs
+++ b/crates/cleat-decide/src/request/admission/mod.rs
@@ -58,7 +58,8 @@
         AdmissionController::with_protections(service, seed, Protections::ALL)
     }
 
-    /// A controller with some protections disabled, to test that checks detect it.
+    /// A controller with some protections disabled, for tests which show that a
+    /// check fails when a protection is missing.
     #[doc(hidden)]
     pub fn with_protections(
         service: &Service,
--- a/crates/cleat-decide/src/request/budget.rs
+++ b/crates/cleat-decide/src/request/budget.rs
@@ -9,23 +9,25 @@
 use crate::Protections;
 use crate::retry_jitter::RetryJitter;
 
-/// The cost of one retry, in budget tokens.
+/// The cost of one retry, in tokens of the budget. Divisible by 100, so that one
+/// percent of it is a whole number of tokens.
 const RETRY_COST: u64 = 10_000;
-/// The tokens that a successful attempt earns for each percent of the budget.
+/// The tokens that each successful attempt earns for each percent of the setting
+/// `budget_percent`.
 const SUCCESS_PER_PERCENT: u64 = RETRY_COST / 100;
-/// The tokens that every request earns, successful or not: one retry in a
-/// hundred requests, so that a service without any success still probes its
-/// targets.
+/// The tokens that every request earns, successful or not: one retry for each
+/// hundred requests, so that a service without any success still tries its other
+/// targets now and then.
 const REQUEST_FLOOR: u64 = RETRY_COST / 100;
-/// The retries allowed before the first success.
+/// The number of retries that a new budget allows before it has earned any tokens.
 const INITIAL_RETRIES: u64 = 3;
-/// The maximum number of retries that can be saved up.
+/// The maximum number of retries that can be saved up, and thus made in a burst.
 const SAVED_RETRIES_MAX: u64 = 50;
 
 /// A token bucket that limits retries to a percentage of successful attempts,
 /// plus a small minimum.
 ///
-/// Over any run of requests from the start, retries stay at or below
+/// Counted from the start, retries stay at or below
 /// `3 + requests × (budget_percent + 1) / 100`.
 #[derive(Debug)]
 pub struct RetryBudget {
@@ -42,7 +44,8 @@
         RetryBudget::with_protections(retry, seed, Protections::ALL)
     }
 
-    /// A budget with some protections disabled, to test that checks detect it.
+    /// A budget with some protections disabled, for tests which show that a check
+    /// fails when a protection is missing.
     #[doc(hidden)]
     pub fn with_protections(retry: &Retry, seed: u64, protections: Protections) -> RetryBudget {
         RetryBudget {
@@ -85,6 +88,7 @@
         }
     }
 
+    /// The retry-after time to report to a caller whose request did not run.
     pub(super) fn retry_after(&mut self) -> Duration {
         self.retry_jitter.jitter()
     }
--- a/crates/cleat-decide/src/request/choice.rs
+++ b/crates/cleat-decide/src/request/choice.rs
@@ -73,8 +73,8 @@
     choose_target_with(candidates, exclude, random, &Protections::ALL)
 }
 
-/// [`choose_target`] with some protections disabled, to test that checks
-/// detect it.
+/// [`choose_target`] with some protections disabled, for tests which show that a
+/// check fails when a protection is missing.
 #[doc(hidden)]
 pub fn choose_target_with(
     candidates: &[Candidate],
--- a/crates/cleat-decide/src/request/health.rs
+++ b/crates/cleat-decide/src/request/health.rs
@@ -63,7 +63,8 @@
         Health::with_protections(now, Protections::ALL)
     }
 
-    /// A target with some protections disabled, to test that checks detect it.
+    /// A target with some protections disabled, for tests which show that a check
+    /// fails when a protection is missing.
     #[doc(hidden)]
     pub fn with_protections(now: Duration, protections: Protections) -> Health {
         Health {
--- a/crates/cleat-decide/src/slots/peers.rs
+++ b/crates/cleat-decide/src/slots/peers.rs
@@ -1,16 +1,16 @@
-//! Which entry to request slots from.
+//! Which entry to send a slot request to.
 
 use std::time::Duration;
 
 use super::EntryIndex;
 
-/// A request without an answer counts as lost after this time.
+/// A slot request without an answer counts as lost after this time.
 const SLOT_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long the number of idle slots that a peer reported is valid.
 const REPORT_AGE_MAX: Duration = Duration::from_millis(50);
 /// A report that a peer has nothing to lend is valid for longer each time the
-/// peer repeats it, up to this time: when all entries are overloaded, requests
-/// only cost messages.
+/// peer repeats it, up to this time: when all entries are overloaded, slot
+/// requests only cost messages.
 const REFUSED_AGE_MAX: Duration = Duration::from_millis(200);
 /// The minimum number of idle slots assumed of a peer without a valid report.
 const IDLE_ASSUMED: u32 = 1;
@@ -18,17 +18,17 @@
 /// One other entry.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// The incarnation and serial of the last request received from it.
+    /// The incarnation and serial of the last slot request received from it.
     pub(super) last_slot_request: Option<(u64, u64)>,
     idle: u32,
     reported_at: Option<Duration>,
     /// How long the last report is valid.
     report_age_max: Duration,
-    /// The request that it has not answered yet.
+    /// The slot request that it has not answered yet.
     pending: Option<PendingSlotRequest>,
 }
 
-/// A request sent to a peer.
+/// A slot request sent to a peer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingSlotRequest {
     pub(super) serial: u64,
@@ -37,7 +37,8 @@
 }
 
 impl Peer {
-    /// How many slots the peer is expected to lend; 0 while a request is pending.
+    /// How many slots the peer is expected to lend; 0 while a slot request is
+    /// pending.
     pub(super) fn expected_idle(&self, now: Duration) -> u32 {
         if self.pending(now) > 0 {
             return 0;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The number of slots in the pending request, if any.
+    /// The number of slots in the pending slot request; 0 if there is none.
     pub(super) fn pending(&self, now: Duration) -> u32 {
         let pending = self
             .pending
@@ -64,7 +65,7 @@
         self.pending = Some(request);
     }
 
-    /// Completes the request `serial`, if it is the pending one. `granted` says
+    /// Completes the slot request `serial`, if it is the pending one. `granted` says
     /// whether slots were granted, `idle` how many more the peer could lend.
     pub(super) fn complete(
         &mut self,
@@ -84,7 +85,7 @@
         Some(request)
     }
 
-    /// Records a request of the peer. Returns whether it is new.
+    /// Records a slot request of the peer. Returns whether it is new.
     ///
     /// Incarnations have no order, so a late request of an earlier one counts as
     /// new. The peer ignores the answer to it, and the lent slots are reclaimed
@@ -99,7 +100,7 @@
     }
 }
 
-/// The peer to send the next request to, with the number of slots that it is
+/// The peer to send the next slot request to, with the number of slots that it is
 /// expected to lend: the peer with the most, searched from `offset` so that ties
 /// rotate.
 pub(super) fn best_lender(
--- a/crates/cleat-decide/src/slots/sharing.rs
+++ b/crates/cleat-decide/src/slots/sharing.rs
@@ -1,4 +1,5 @@
-//! The slots of a service's targets, as managed by one entry.
+//! The slots of a service's targets, as managed by one entry. The terms are explained
+//! in the parent module.
 
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
     targets: IndexMap<Box<str>, TargetSlots>,
     /// One for each entry, including this one.
     peers: Vec<Peer>,
-    /// The number of requests sent.
+    /// The number of slot requests sent.
     slot_requests: u64,
     /// The number of slots lent.
     grants: u64,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Disables some protections, to test that checks detect it.
+    /// Disables some protections, for tests which show that a check fails when a
+    /// protection is missing.
     #[doc(hidden)]
     #[must_use]
     pub fn with_protections(mut self, protections: Protections) -> Slots {
@@ -86,8 +88,8 @@
         TargetKey(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    /// Keeps the target's slots at home unused until all requests have ended that
-    /// an earlier user unknown to this entry may run on them.
+    /// Keeps the target's slots at home unused until all requests have ended that the
+    /// service to which the target belonged before may still run on them.
     pub fn withhold_home_slots(&mut self, target: TargetKey, now: Duration) {
         let until = now + self.reclaim_after();
         if let Some(slots) = self.target_mut(target) {
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Requests slots from other entries for `count` waiting requests, less those
-    /// in pending requests.
+    /// Sends slot requests to other entries: one slot for each of `count` waiting
+    /// requests, less the slots that pending slot requests already ask for.
     pub fn request_slots(&mut self, count: u32, now: Duration) -> Vec<Outgoing> {
         let pending: u32 = self.peers.iter().map(|peer| peer.pending(now)).sum();
         let mut missing = count.saturating_sub(pending);
@@ -328,8 +330,8 @@
         })
     }
 
-    /// Accepts granted slots. The lease counts from when the request was sent, so
-    /// it ends at the borrower before it ends at the lender.
+    /// Accepts granted slots. The lease counts from when the slot request was sent,
+    /// so it ends at the borrower before it ends at the lender.
     fn borrow(
         &mut self,
         from: EntryIndex,
--- a/crates/cleat-decide/src/slots/types.rs
+++ b/crates/cleat-decide/src/slots/types.rs
@@ -66,17 +66,17 @@
     Request {
         /// The requester's incarnation.
         incarnation: u64,
-        /// Increases with each request of an incarnation. An old or repeated one
+        /// Increases with each slot request of an incarnation. An old or repeated one
         /// is ignored.
         serial: u64,
         /// How many slots are requested.
         count: u32,
     },
-    /// Answers one request.
+    /// Answers one slot request.
     Grants {
         /// The requester's incarnation.
         incarnation: u64,
-        /// The serial of the request.
+        /// The serial of the slot request.
         request: u64,
         /// The granted slots, at most as many as requested.
         grants: Vec<Grant>,
--- a/crates/cleat-maintain/src/platform/client.rs
+++ b/crates/cleat-maintain/src/platform/client.rs
@@ -20,10 +20,12 @@
 };
 use super::{Action, ActionState, ActionToken, Platform, PlatformError};
 
-/// The timeout of one HTTP exchange.
+/// The time limit of an exchange, from opening the connection to the end of the
+/// response. An exchange that times out is repeated with the same token.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform at the address given in the configuration.
+/// Calls the platform over HTTP. The address is passed with each call: it is
+/// `platform.address` of the fleet's configuration, which is in the replicated state.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HttpPlatform;
 
--- a/crates/cleat-node/src/member.rs
+++ b/crates/cleat-node/src/member.rs
@@ -22,7 +22,7 @@
     own_id: MemberId,
 }
 
-/// Two instance names with the same member ID.
+/// Two instance names with the same member ID; one of them has to be changed.
 #[derive(Debug)]
 pub(crate) struct MemberIdCollision {
     pub(crate) first: Box<str>,
@@ -93,8 +93,10 @@
     }
 }
 
-/// The member ID of an instance. It depends only on the name, so that adding or
-/// removing an instance in the settings does not change the IDs of the others.
+/// The member ID of an instance, a 16-bit hash of its name: every process derives the
+/// same ID. It depends only on the name, so that adding or removing an instance in the
+/// settings does not change the IDs of the others. Two names with the same hash are
+/// reported at the start; one of the instances has to be renamed.
 pub(crate) fn member_id(name: &str) -> MemberId {
     let hash = crc32fast::hash(name.as_bytes());
     let [a, b, c, d] = hash.to_be_bytes();
--- a/crates/cleat-quorum/src/core/apply.rs
+++ b/crates/cleat-quorum/src/core/apply.rs
@@ -35,6 +35,8 @@
     }
 
     pub(super) fn on_snapshot_taken(&mut self, index: LogIndex, data: Arc<[u8]>) {
+        // A new snapshot must cover more than the current one, and only entries
+        // that this member has applied.
         let unusable = index <= self.log.snapshot_index() || index > self.applied;
         if unusable || data.len() > self.config.limits.max_snapshot_bytes {
             return;
@@ -55,6 +57,8 @@
             .compact(snapshot, self.config.limits.retained_entries);
     }
 
+    /// Restores the state machine from the snapshot. The bootstrap snapshot is
+    /// skipped, as it contains no state machine data.
     pub(super) fn restore_snapshot(&mut self) {
         if let Some(snapshot) = self
             .log
--- a/crates/cleat-quorum/src/core/config.rs
+++ b/crates/cleat-quorum/src/core/config.rs
@@ -57,11 +57,11 @@
     /// was lost.
     pub may_bootstrap: bool,
     /// Number of voters to keep. Every member becomes a voter; while there are
-    /// more voters than this, one that is silent for `remove_silent_after` is
-    /// removed.
+    /// more voters than this, one that has not acknowledged a round of the
+    /// leader for `remove_silent_after` is removed.
     pub target_voters: usize,
     /// How long a voter may be silent while there are more than
-    /// `target_voters`.
+    /// `target_voters`, before it is removed.
     pub remove_silent_after: Duration,
 }
 
--- a/crates/cleat-quorum/src/core/lease.rs
+++ b/crates/cleat-quorum/src/core/lease.rs
@@ -76,7 +76,9 @@
     }
 
     /// Extends the lease to `until`. `commit` is the commit index of the leader
-    /// that granted it.
+    /// that granted it. With `apply_before_lease_resumes` (see
+    /// [`Protections`](super::Protections)), a member whose lease had expired
+    /// serves again only once it has applied the log up to `commit`.
     pub(crate) fn extend(
         &mut self,
         until: Duration,
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -12,6 +12,7 @@
 /// Entries or a snapshot that were sent to a member and not yet acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Inflight {
+    /// Round in which they were sent; see [`LeaderState`].
     pub(crate) round: u64,
     /// First index to resend if the message is lost.
     pub(crate) first_index: LogIndex,
@@ -123,6 +124,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
     pub(crate) id: u64,
+    /// Round that a majority must acknowledge, or a later one.
     pub(crate) round: u64,
 }
 
@@ -156,6 +158,10 @@
     /// Invariant: while set, the leader lease counts as expired, since voters
     /// may elect the successor at any time.
     pub(crate) transfer: Option<Transfer>,
+    /// Number of the last round. A round is one send of the leader to one or
+    /// more members; their acknowledgements repeat its number. A majority of
+    /// acknowledgements shows that this member was still the leader when it
+    /// sent the round.
     round: u64,
     /// Send times of the recent rounds, in ascending order without gaps.
     rounds: VecDeque<(u64, Duration)>,
--- a/crates/cleat-quorum/src/core/quorum.rs
+++ b/crates/cleat-quorum/src/core/quorum.rs
@@ -41,6 +41,8 @@
         if !self.has_committed_own_term() {
             return;
         }
+        // The leader needs no acknowledgement from itself: every round counts as
+        // acknowledged by it.
         let own_round = u64::MAX;
         let confirmed = self
             .quorum_value(0, |_, progress| progress.map_or(own_round, |p| p.round))
@@ -58,8 +60,9 @@
     }
 
     /// Returns the highest value that a majority of the voters has reached.
-    /// `value` gets `None` for the leader itself. A voter with an unrecorded
-    /// disk identity counts as `missing`.
+    /// `value` gets `None` for the leader itself. A voter that has reported no
+    /// disk identity, or another one than the membership records, is counted
+    /// with the value `missing`.
     fn quorum_value<T: Ord + Copy>(
         &self,
         missing: T,
@@ -85,7 +88,8 @@
         values.get(membership.quorum() - 1).copied()
     }
 
-    /// Returns when the latest round that a majority acknowledged was sent.
+    /// The time at which the leader sent the latest round that a majority
+    /// acknowledged.
     fn quorum_round_sent_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_value(None, |_, progress| match progress {
             Some(progress) => progress.round_sent_at,
@@ -102,12 +106,15 @@
             .max(leader_state.requested_at)
     }
 
+    /// See [`Core::holds_leader_lease_at`].
     pub(super) fn holds_leader_lease(&self) -> bool {
         self.holds_leader_lease_at(self.now)
     }
 
     /// Whether this member is the leader and no other leader can have been
-    /// elected by `now`.
+    /// elected by `now`. The leader may still not know all committed entries;
+    /// [`CoreStatus::leader_lease_until`](super::CoreStatus::leader_lease_until)
+    /// also requires that.
     pub fn holds_leader_lease_at(&self, now: Duration) -> bool {
         self.leader_lease_start(now)
             .is_some_and(|sent| now < sent + self.config.timing.leader_lease())
@@ -120,6 +127,8 @@
         self.quorum_round_sent_at(now).filter(|_| !ended)
     }
 
+    /// End of the leader lease; `None` until an entry of the leader's own term
+    /// is committed, as the leader may not know all committed entries before.
     pub(super) fn leader_lease_until(&self) -> Option<Duration> {
         let sent = self
             .leader_lease_start(self.now)
--- a/crates/cleat-quorum/src/core/status.rs
+++ b/crates/cleat-quorum/src/core/status.rs
@@ -49,8 +49,9 @@
     /// Time until which this member may serve, on its own clock; `None` if it
     /// may not.
     pub serves_until: Option<Duration>,
-    /// Time until which this member is certain to be the only leader, on its
-    /// own clock; `None` if it is not certain.
+    /// Time until which this member is certain to be the only leader and to
+    /// know all committed entries, on its own clock; `None` if it is not
+    /// certain.
     pub leader_lease_until: Option<Duration>,
     /// All members including this one; empty unless this member is the leader.
     pub members: Vec<MemberStatus>,
--- a/crates/cleat-quorum/src/driver/status.rs
+++ b/crates/cleat-quorum/src/driver/status.rs
@@ -55,7 +55,8 @@
     }
 
     /// Whether, at `now`, this member is certain to be the only leader and to
-    /// know all committed entries.
+    /// know all committed entries. The second condition is not part of
+    /// [`Core::holds_leader_lease_at`](crate::Core::holds_leader_lease_at).
     pub fn holds_leader_lease(&self, now: BootTime) -> bool {
         self.leader_lease_until.is_some_and(|until| now < until)
     }
