--- a/crates/cleat-control/src/gateway.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -114,10 +114,10 @@
 
     /// Sets the leader that the local replica knows; `None` has no effect.
     pub(crate) fn set_leader_hint(&self, leader: Option<MemberId>) {
-        if let Some(MemberId(key)) = leader {
+        if let Some(MemberId(id)) = leader {
             // Only a hint, so pending calls are not redirected.
             self.leader.send_if_modified(|leader| {
-                *leader = key;
+                *leader = id;
                 false
             });
         }
@@ -256,7 +256,7 @@
             Err(CallError::NotSent { .. }) => Attempt::NoLeader { may_be_done: false },
             Err(CallError::NoAnswer { .. }) => Attempt::NoLeader { may_be_done: true },
             Err(CallError::Refused { source, .. }) => match source {
-                ControlError::NotLeader { leader: Some(key) } => Attempt::Redirected(MemberId(key)),
+                ControlError::NotLeader { leader: Some(id) } => Attempt::Redirected(MemberId(id)),
                 ControlError::NotLeader { leader: None }
                 | ControlError::NoQuorum
                 | ControlError::Stopping => Attempt::NoLeader { may_be_done: false },
@@ -269,14 +269,14 @@
     fn known_leader(&self) -> Option<MemberId> {
         match *self.leader.borrow() {
             LEADER_UNKNOWN => None,
-            key => Some(MemberId(key)),
+            id => Some(MemberId(id)),
         }
     }
 
     /// Records the leader, and redirects pending calls to it if it changed.
-    fn set_leader(&self, MemberId(key): MemberId) {
+    fn set_leader(&self, MemberId(id): MemberId) {
         self.leader
-            .send_if_modified(|leader| std::mem::replace(leader, key) != key);
+            .send_if_modified(|leader| std::mem::replace(leader, id) != id);
     }
 
     /// Waits until a leader other than `target` is known.
@@ -287,9 +287,9 @@
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
-            let key = *changes.borrow_and_update();
-            if key != LEADER_UNKNOWN && key != target.0 {
-                return MemberId(key);
+            let id = *changes.borrow_and_update();
+            if id != LEADER_UNKNOWN && id != target.0 {
+                return MemberId(id);
             }
         }
     }
--- a/crates/cleat-decide/examples/replay/engine.rs
+++ b/crates/cleat-decide/examples/replay/engine.rs
@@ -314,7 +314,7 @@
         entry.in_flight[target] -= 1;
         entry.health[target].record(outcome, now - since, now);
         let req = &mut self.requests[request];
-        let facts = AttemptContext {
+        let context = AttemptContext {
             idempotent: req.idempotent,
             attempts: req.attempts,
             max_attempts: u32::try_from(self.service.retry.tries).unwrap_or(u32::MAX),
@@ -326,7 +326,7 @@
         if let AttemptOutcome::Answered { status } = outcome {
             req.status = status;
         }
-        match decide_retry(&outcome, facts, &mut entry.budget) {
+        match decide_retry(&outcome, context, &mut entry.budget) {
             RetryDecision::Retry => self.start_attempt(request),
             RetryDecision::Answer(answer) => self.finish(request, answer),
         }
@@ -348,11 +348,11 @@
             self.refuse(ticket, refusal.reason, refusal.retry_after);
         }
         while self.entries[index].controller.waiting() > 0 && self.free(index) > 0 {
-            let released = self.entries[index].controller.slot_freed(None, now);
-            for (ticket, refusal) in released.refused {
+            let dequeued = self.entries[index].controller.slot_freed(None, now);
+            for (ticket, refusal) in dequeued.refused {
                 self.refuse(ticket, refusal.reason, refusal.retry_after);
             }
-            if let Some(Ticket(request)) = released.start {
+            if let Some(Ticket(request)) = dequeued.start {
                 self.start_attempt(usize::try_from(request).unwrap_or(usize::MAX));
             }
         }
--- a/crates/cleat-decide/tests/admission.rs
+++ b/crates/cleat-decide/tests/admission.rs
@@ -106,14 +106,14 @@
         let (_, since) = (!self.running.is_empty()).then(|| self.running.remove(0))?;
         self.free += 1;
         let service_time = self.now - since;
-        let released = self.controller.slot_freed(Some(service_time), self.now);
-        for (ticket, refusal) in &released.refused {
+        let dequeued = self.controller.slot_freed(Some(service_time), self.now);
+        for (ticket, refusal) in &dequeued.refused {
             self.refuse(*ticket, refusal);
         }
-        if let Some(ticket) = released.start {
+        if let Some(ticket) = dequeued.start {
             self.start(ticket);
         }
-        released.start
+        dequeued.start
     }
 
     fn expire(&mut self) {
--- a/crates/cleat-decide/tests/retry.rs
+++ b/crates/cleat-decide/tests/retry.rs
@@ -36,7 +36,7 @@
     let (mut runs, mut attempts) = (0, 0);
     for outcome in outcomes.iter().cycle() {
         attempts += 1;
-        let facts = AttemptContext {
+        let context = AttemptContext {
             idempotent,
             attempts,
             max_attempts: 3,
@@ -45,7 +45,7 @@
             expected_duration: Duration::from_millis(20),
         };
         runs += u32::from(outcome.may_have_run());
-        match decide_retry(outcome, facts, budget) {
+        match decide_retry(outcome, context, budget) {
             RetryDecision::Retry => {}
             RetryDecision::Answer(answer) => return (runs, attempts, answer),
         }
