--- a/crates/cleat-control/src/gateway.rs
+++ b/crates/cleat-control/src/gateway.rs
@@ -26,7 +26,8 @@
 /// The delay before the next attempt if no leader is known: a fraction of the
 /// time of an election.
 const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Stands for an unknown leader.
+/// Stands for an unknown leader. A member ID is an IPv4 address, and no member has the
+/// address 0.0.0.0.
 const LEADER_UNKNOWN: u32 = 0;
 
 /// The configuration of a gateway.
--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -50,7 +50,8 @@
             let leader = status.leader().map(|id| id.0);
             return Err(ControlError::NotLeader { leader });
         }
-        // Without a valid leader lease, another instance may already lead.
+        // Without a valid leader lease, another instance may already lead. Until the state
+        // is founded, the group has too few voters.
         if !self.leads() || !self.state.read(|state| state.founded) {
             return Err(ControlError::NoQuorum);
         }
--- a/crates/cleat-control/src/node/mod.rs
+++ b/crates/cleat-control/src/node/mod.rs
@@ -32,6 +32,8 @@
 /// The state shared by the tasks of a control instance.
 pub(crate) struct Shared {
     pub(crate) id: MemberId,
+    /// The number of voters that the group must have before the first takeover of the
+    /// workers.
     pub(crate) voters: usize,
     /// Replaced by a new replica after a disk failure.
     replica: ArcSwap<Replica>,
--- a/crates/cleat-decide/tests/admission.rs
+++ b/crates/cleat-decide/tests/admission.rs
@@ -259,7 +259,7 @@
     assert_eq!(
         model.controller.waiting(),
         8,
-        "only the limit keeps the length at 4"
+        "the queue was limited without the protection"
     );
 }
 
@@ -283,16 +283,16 @@
     }
     assert!(
         max_retry_after(&mut model, "batch") > ms(20_000),
-        "many callers have yet to return"
+        "no long retry-after time while many callers have yet to return"
     );
     assert!(
         max_retry_after(&mut model, "school") < ms(25_000),
-        "few callers have yet to return"
+        "a long retry-after time although few callers have yet to return"
     );
     model.now += ms(60_000);
     assert!(
         max_retry_after(&mut model, "batch") < ms(25_000),
-        "no caller has yet to return"
+        "a long retry-after time although no caller has yet to return"
     );
 }
 
@@ -320,6 +320,6 @@
     let longest = (0..20).map(|_| one()).max().unwrap();
     assert!(
         longest < ms(10_000),
-        "the burst of another caller delays it: {longest:?}"
+        "delayed by the burst of another caller: {longest:?}"
     );
 }
--- a/crates/cleat-decide/tests/choice.rs
+++ b/crates/cleat-decide/tests/choice.rs
@@ -94,7 +94,7 @@
     assert_eq!(
         chosen(off).count(),
         0,
-        "only the limit on ejection keeps targets in use"
+        "a target was chosen without the limit on ejection"
     );
 }
 
@@ -136,12 +136,12 @@
         let until = health.ejected_until(now).unwrap();
         durations.push(until - now);
         now = until;
-        assert_eq!(health.warm_up_percent(now), 10, "the target warms up again");
         assert_eq!(
-            health.latency_us(now),
-            0,
-            "failures do not lower the latency"
+            health.warm_up_percent(now),
+            10,
+            "the target did not warm up again"
         );
+        assert_eq!(health.latency_us(now), 0, "failures changed the latency");
     }
     assert_eq!(durations, [ms(1_000), ms(2_000), ms(4_000), ms(8_000)]);
 }
@@ -171,7 +171,10 @@
     for i in 8..20 {
         health.record(AttemptOutcome::TimedOut, ms(30), ms(i));
     }
-    assert!(health.is_ejected(ms(20)), "many short timeouts eject");
+    assert!(
+        health.is_ejected(ms(20)),
+        "many short timeouts did not eject the target"
+    );
 }
 
 #[test]
--- a/crates/cleat-decide/tests/retry.rs
+++ b/crates/cleat-decide/tests/retry.rs
@@ -97,6 +97,8 @@
             .map(|outcome| request(true, &[*outcome], hour, &mut budget).1)
             .sum();
         let retries = u64::from(attempts) - outcomes.len() as u64;
+        // 3 initial retries, then 10 % of the successes (`budget_percent`) and 1 % of
+        // all requests.
         prop_assert!(retries * 100 <= 300 + outcomes.len() as u64 * 11);
     }
 }
@@ -131,6 +133,6 @@
     };
     assert!(
         attempts(off) > 1.2,
-        "without the budget there are more attempts"
+        "the attempts were limited without the budget"
     );
 }
--- a/crates/cleat-decide/tests/slots.rs
+++ b/crates/cleat-decide/tests/slots.rs
@@ -323,7 +323,11 @@
     now += TERMS.idle_timeout * 2;
     let out = nodes[1].tick(now);
     exchange(&mut nodes, 1, out, now);
-    assert_eq!(split(&nodes, now), (3, 5), "a borrowed slot in use is kept");
+    assert_eq!(
+        split(&nodes, now),
+        (3, 5),
+        "a borrowed slot in use was returned"
+    );
 
     busy.into_iter()
         .for_each(|slot| nodes[1].release(slot, now));
@@ -348,7 +352,11 @@
 
     // The borrower learns before the lender that requests may take longer.
     nodes[1].set_max_request_duration(TERMS.max_request_duration * 2);
-    assert_eq!(nodes[1].usable(borrower, now), 4, "the lease ends");
+    assert_eq!(
+        nodes[1].usable(borrower, now),
+        4,
+        "the lease for shorter requests did not end"
+    );
     let later = now + Duration::from_millis(200);
     let out = nodes[1].tick(later);
     exchange(&mut nodes, 1, out, later);
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -213,6 +213,7 @@
     let cfg = ReplicaConfig::new(
         members.own_id(),
         members.iter().map(member_config).collect(),
+        // The random seed must differ between incarnations.
         rand::random(),
     );
     let transport = LinkTransport(links.clone());
--- a/crates/cleat-node/src/slots.rs
+++ b/crates/cleat-node/src/slots.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns idle borrowed slots to their owners.
+/// Returns idle borrowed slots to their lenders.
 async fn return_idle_slots(node: Arc<Node>) {
     while let Some(entry) = node.entry() {
         let has_borrowed_slots = entry.tick_slots();
--- a/crates/cleat-quorum/src/driver/replica.rs
+++ b/crates/cleat-quorum/src/driver/replica.rs
@@ -192,7 +192,9 @@
         }
     }
 
-    /// Removes a member permanently; it can rejoin only under another id.
+    /// Removes a member. Without a [`JoinConfig`](crate::JoinConfig) this is permanent:
+    /// the member can rejoin only under another id. With one, it is added again if it
+    /// asks to join.
     ///
     /// # Errors
     /// See [`ProposeError`]. Success means that the change was appended.
--- a/crates/cleat-quorum/tests/simulation/actions.rs
+++ b/crates/cleat-quorum/tests/simulation/actions.rs
@@ -23,6 +23,8 @@
         self.step(at, Event::Read(id))
     }
 
+    /// Stage 0: the last voter loses its disk. Stage 1: the last member releases its
+    /// lease and stops.
     pub(super) fn disk_loss_and_stop(&mut self, stage: u8) -> Result<(), Violation> {
         let last_voter = self.plan.voters as usize - 1;
         let last = self.nodes.len() - 1;
--- a/crates/cleat-quorum/tests/simulation/check.rs
+++ b/crates/cleat-quorum/tests/simulation/check.rs
@@ -64,6 +64,7 @@
 }
 
 impl Checker {
+    /// Last committed index; the bootstrap snapshot if there is no committed entry.
     pub(super) fn committed(&self) -> LogIndex {
         self.committed.len() as u64 + 1
     }
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -14,6 +14,7 @@
 
 use super::{Micros, duration};
 
+/// Clock rates are in thousandths of real time.
 const RATE_UNIT: u64 = 1000;
 
 #[derive(Default)]
