--- a/crates/cleat-quorum/src/core/log.rs
+++ b/crates/cleat-quorum/src/core/log.rs
@@ -136,6 +136,7 @@
         while self.last_index() >= index && !self.entries.is_empty() {
             self.entries.pop_back();
         }
+        // The first membership is not after the snapshot, so it is committed.
         let first_kept = 1;
         while self.memberships.len() > first_kept && self.membership_index() >= index {
             self.memberships.pop();
--- a/crates/cleat-quorum/src/core/progress.rs
+++ b/crates/cleat-quorum/src/core/progress.rs
@@ -76,6 +76,8 @@
         sending || self.next <= last || self.peer_lease.applied_index() < commit
     }
 
+    /// Gives up on an unacknowledged message once it counts as lost, so that its
+    /// entries are sent again.
     pub(crate) fn expire(&mut self, now: Duration) {
         if let Some(inflight) = self.inflight
             && inflight.expires <= now
--- a/crates/cleat-quorum/src/core/replicate.rs
+++ b/crates/cleat-quorum/src/core/replicate.rs
@@ -26,6 +26,7 @@
         self.send_round(&members);
     }
 
+    /// Starts a round and sends it to these members.
     fn send_round(&mut self, members: &[MemberId]) {
         let due = self.now + self.config.timing.heartbeat_interval;
         let Some(round) = self.next_round() else {
--- a/crates/cleat-quorum/tests/simulation/node.rs
+++ b/crates/cleat-quorum/tests/simulation/node.rs
@@ -39,7 +39,7 @@
             .push_back((sync_id, self.pending.len() - earlier));
     }
 
-    /// Returns when a sync requested now ends. All requests that arrive during
+    /// The time at which a sync requested now ends. All requests that arrive during
     /// a sync share the next one.
     pub(super) fn sync_end(&mut self, now: Micros, sync_duration: Micros) -> Micros {
         if now >= self.next_sync_end {
