--- a/crates/cleat-jobs/src/catalogue/error.rs
+++ b/crates/cleat-jobs/src/catalogue/error.rs
@@ -20,7 +20,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum CatalogueFault {
     /// A queue refers to a pool that does not exist.
-    #[snafu(display("queue {queue}: pool {pool} does not exist; add it or choose another pool"))]
+    #[snafu(display("queue {queue}: there is no pool {pool}; list it or name another"))]
     UnknownPool {
         /// The queue.
         queue: Box<str>,
@@ -42,7 +42,7 @@
         queue: Box<str>,
     },
     /// Two customers have the same name.
-    #[snafu(display("customers {at} and {first}: both have the name {name}; rename one"))]
+    #[snafu(display("customers {at} and {first}: both are called {name}; rename one"))]
     DuplicateCustomer {
         /// The position of the first in the list.
         first: usize,
@@ -52,7 +52,7 @@
         name: Box<str>,
     },
     /// A customer's key is empty.
-    #[snafu(display("customer {customer}, key {at}: the key is empty; remove it"))]
+    #[snafu(display("customer {customer}, key {at}: it is empty; remove it"))]
     EmptyKey {
         /// The customer.
         customer: Box<str>,
@@ -60,9 +60,7 @@
         at: usize,
     },
     /// A customer's weight is negative or not finite.
-    #[snafu(display(
-        "customer {customer}: its weight is {weight}; expected a finite number of 0 or more"
-    ))]
+    #[snafu(display("customer {customer}: its weight is {weight}; give a number of 0 or more"))]
     WeightOutOfRange {
         /// The customer.
         customer: Box<str>,
@@ -70,9 +68,7 @@
         weight: f64,
     },
     /// Two customers have the same key. The message does not show the key.
-    #[snafu(display(
-        "customer {customer}, key {at}: customer {other} has the same key; use different keys"
-    ))]
+    #[snafu(display("customer {customer}, key {at}: {other} has it too; give each its own"))]
     SharedKey {
         /// The customer.
         customer: Box<str>,
--- a/crates/cleat-jobs/src/ids.rs
+++ b/crates/cleat-jobs/src/ids.rs
@@ -120,13 +120,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ParseIdError {
     /// The text is not 16 lower-case hexadecimal digits.
-    #[snafu(display("{text:?} is not a job id: expected 16 lower-case hexadecimal digits"))]
+    #[snafu(display("{text:?} is no job id: give 16 lower-case hexadecimal digits"))]
     JobId {
         /// The text.
         text: Box<str>,
     },
     /// The text does not have the form `JOB.OCCURRENCE.STEP.INDEX`.
-    #[snafu(display("{text:?} is not a task id: expected JOB.OCCURRENCE.STEP.INDEX"))]
+    #[snafu(display("{text:?} is no task: expected JOB.OCCURRENCE.STEP.INDEX"))]
     Task {
         /// The text.
         text: Box<str>,
--- a/crates/cleat-jobs/src/job/error.rs
+++ b/crates/cleat-jobs/src/job/error.rs
@@ -10,7 +10,7 @@
     #[snafu(display("steps: a job needs at least one step"))]
     NoSteps,
     /// The job has too many steps.
-    #[snafu(display("steps: {count} steps are too many; at most {limit} are accepted"))]
+    #[snafu(display("steps: {count} steps are too many; at most {limit} are taken"))]
     TooManySteps {
         /// The number of steps.
         count: usize,
@@ -24,9 +24,7 @@
         step: usize,
     },
     /// A step has too many tasks.
-    #[snafu(display(
-        "steps.{step}.count: {count} tasks are too many; at most {limit} are accepted"
-    ))]
+    #[snafu(display("steps.{step}.count: {count} tasks are too many; at most {limit} are taken"))]
     TooManyTasks {
         /// The step.
         step: usize,
@@ -44,7 +42,7 @@
         after: usize,
     },
     /// The specification is too long.
-    #[snafu(display("specification: {bytes} bytes are too many; at most {limit} are accepted"))]
+    #[snafu(display("specification: {bytes} bytes are too many; at most {limit} are taken"))]
     SpecificationTooLong {
         /// The length in bytes.
         bytes: usize,
