--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -1,9 +1,9 @@
 //! Accounts of what each customer has running, which enforce its cap.
 //!
-//! A cap applies to all workers together, and whatever may be running counts against it.
-//! A run counts from the order that may start it until its worker reports its end, or the
-//! worker's lease expires. Everything that an earlier owner may have started on workers
-//! that have not answered yet counts as if it were running.
+//! A cap limits the total over all workers, and every run that may be active counts
+//! against it. A run counts from the order that may start it until its worker reports
+//! its end, or the worker's lease expires. Everything that an earlier owner may have
+//! started on workers that have not answered yet counts as if it were running.
 
 mod report;
 mod usage;
@@ -47,9 +47,10 @@
     /// The total size of the tasks that may be running in addition, started by an earlier
     /// owner.
     pub(crate) in_doubt: Size,
-    /// The pools in which its cap has held steps back since a run of it was last released.
+    /// The pools in which its cap has prevented the start of steps since one of its
+    /// runs was last released.
     blocked_pools: IndexSet<Box<str>>,
-    /// When it was last logged that its cap holds steps back.
+    /// When it was last logged that its cap prevents the start of steps.
     cap_logged_at: Option<Duration>,
 }
 
@@ -142,8 +143,8 @@
             || (count == 1 && account.cap.is_under_half(used))
     }
 
-    /// Records that the cap held a step back in a pool, and returns the account if that is
-    /// to be logged.
+    /// Records that the cap prevented the start of a step in a pool, and returns the
+    /// account if this is to be logged.
     fn record_blocked(&mut self, charge: Charge, pool: &str, now: Duration) -> Option<&Account> {
         let account = self.get_mut(charge.customer?);
         if !account.blocked_pools.contains(pool) {
@@ -185,9 +186,10 @@
         account.recent_jobs.admit(at, account.weight)
     }
 
-    /// Whether a customer is within its share of the capacity in use. It is beyond if its
-    /// part of that capacity is larger than its part of the sum of all weights.
-    pub(crate) fn standing_by_usage(&self, key: CustomerKey) -> ShareStatus {
+    /// Whether a customer is within its share of the capacity in use. A customer
+    /// exceeds its share if its part of that capacity is larger than its part of the
+    /// sum of all weights.
+    pub(crate) fn share_status_by_usage(&self, key: CustomerKey) -> ShareStatus {
         let (mut all, mut weights) = (Size::default(), 0.0);
         for account in &self.arena {
             all += account.used;
--- a/crates/cleat-jobs/src/schedule/account/usage.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Releases the charge of a run. The pools in which the customer's cap held steps back
-    /// are scheduled again.
+    /// Releases the charge of a run. The pools in which the customer's cap prevented
+    /// the start of steps are scheduled again.
     pub(in crate::schedule) fn release_charge(&mut self, charge: Charge) {
         for pool in self.accounts.release(charge) {
             self.mark_pool_dirty(&pool);
@@ -124,7 +124,7 @@
     /// Counts everything that an earlier owner may have started on workers that have not
     /// reported their runs to this one.
     fn update_in_doubt(&mut self, state: &ControlState) {
-        let off = !self.cfg.protections.charge_hidden_runs;
+        let is_disabled = !self.cfg.protections.charge_hidden_runs;
         let mut in_doubt: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(customer) = step.charge.customer else {
@@ -144,12 +144,12 @@
         for (at, account) in self.accounts.arena.iter_mut().enumerate() {
             let key = CustomerKey(u32::try_from(at).unwrap_or(u32::MAX));
             let size = in_doubt.get(&key).copied().unwrap_or_default();
-            account.in_doubt = if off { Size::default() } else { size };
+            account.in_doubt = if is_disabled { Size::default() } else { size };
         }
     }
 
-    /// Proposes to record the cancelled and failed jobs of which no task can be running any
-    /// more, so that the next owner need not count them.
+    /// Proposes to record the cancelled and failed jobs of which no task can be running
+    /// any more, so that the next owner need not count their tasks as possibly running.
     pub(in crate::schedule) fn propose_stopped_jobs(&mut self, state: &ControlState) {
         if state.stopping.is_empty() || self.may_have_hidden_runs {
             return;
--- a/crates/cleat-jobs/src/schedule/fleet/demand.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/demand.rs
@@ -12,11 +12,13 @@
 use crate::schedule::{Decision, Scheduler};
 use crate::state::ControlState;
 
-/// The percentage of late work that counts as demand for machines. Late work is worth
-/// less than a tenth of its value in time, but has to be done eventually.
+/// The percentage of late work that counts as demand for machines. The result of late
+/// work has less than a tenth of the value that it would have had in time, but the work
+/// has to be done eventually.
 const LATE_WORK_PERCENT: u64 = 30;
-/// The percentage of worthless work, which is later still, that counts as demand.
-const WORTHLESS_WORK_PERCENT: u64 = 5;
+/// The percentage of work that counts as demand for machines if it will end too late
+/// for its result to have any value.
+const TOO_LATE_WORK_PERCENT: u64 = 5;
 
 /// The interval at which the balances are logged.
 const BALANCE_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -123,7 +125,7 @@
         let isolated = self.isolated_tasks.min(2 * self.workers);
         let for_unplaceable = match self.workers_for_unplaceable() {
             0 => 0,
-            more => self.accepting + more,
+            additional => self.accepting + additional,
         };
         self.min_workers = self.min_workers.max(isolated).max(for_unplaceable);
     }
@@ -178,8 +180,8 @@
         }
         self.balances_logged_at = self.now;
         for (pool, balance) in balances.iter().filter(|(_, b)| b.needed.cpu_milli > 0) {
-            let taking = self.candidates(pool);
-            let free = taking
+            let candidates = self.candidates(pool);
+            let free = candidates
                 .iter()
                 .map(|key| self.workers[*key].free_capacity().cpu_milli);
             self.log(Decision::Pool {
@@ -191,7 +193,7 @@
                 offered_memory_mb: balance.offered.memory_mb,
                 workers: balance.workers,
                 least_workers: balance.min_workers,
-                taking: taking.len(),
+                taking: candidates.len(),
                 free_cpu_milli: free.sum(),
                 waiting: balance.waiting_tasks,
             });
@@ -217,7 +219,7 @@
             let percent = match step.timeliness(self.now) {
                 Timeliness::InTime => 100,
                 Timeliness::Late => LATE_WORK_PERCENT,
-                Timeliness::TooLate => WORTHLESS_WORK_PERCENT,
+                Timeliness::TooLate => TOO_LATE_WORK_PERCENT,
             };
             count = (count * percent).div_ceil(100);
             if let Some(key) = step.charge.customer {
--- a/crates/cleat-jobs/src/schedule/fleet/evict.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/evict.rs
@@ -46,12 +46,13 @@
         };
         let unavailable = (0..spec.count)
             .filter(|index| *index != task.index)
-            .filter(|index| !self.is_at_work(task.step.task(*index)))
+            .filter(|index| !self.is_fully_available(task.step.task(*index)))
             .count();
         (unavailable as u64) < u64::from(limit)
     }
 
-    fn is_at_work(&self, task: TaskId) -> bool {
+    /// Whether a task runs at full speed on a worker that answers.
+    fn is_fully_available(&self, task: TaskId) -> bool {
         let attempt = self.attempts.get(&task);
         attempt.is_some_and(|attempt| {
             let running = matches!(attempt.phase, Phase::Running { .. });
--- a/crates/cleat-jobs/src/schedule/fleet/machine.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/machine.rs
@@ -126,21 +126,22 @@
         pending.is_some_and(|pending| pending.accepted_at.is_none())
     }
 
-    /// Whether an order ended the life of a worker that belonged to `pool` and became
-    /// known at `since`. The order that moved the machine to `pool` stays pending until the
-    /// machine is listed again, but does not end the life that started because of it.
+    /// Whether an order ended the life of a worker that belonged to `pool` and has been
+    /// known since `known_since`. The order that moved the machine to `pool` stays
+    /// pending until the machine is listed again, but does not end the life that
+    /// started because of it.
     pub(crate) fn order_ended_life(
         &self,
         pool: &str,
-        since: Duration,
+        known_since: Duration,
         list_requested_at: Duration,
     ) -> bool {
         if *self.view.pool != *pool || self.awaits_answer() {
             return true;
         }
-        let started_after_order = self.last_accepted_at.is_some_and(|at| at < since);
+        let started_after_order = self.last_accepted_at.is_some_and(|at| at < known_since);
         match started_after_order {
-            true => self.view.has_left_pool(pool) && list_requested_at > since,
+            true => self.view.has_left_pool(pool) && list_requested_at > known_since,
             false => self.pending_order.is_some() || self.view.has_left_pool(pool),
         }
     }
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -10,12 +10,12 @@
 use crate::schedule::{Scheduler, forecast};
 use crate::state::ControlState;
 
-/// How long a machine is idle before it returns to the spare pool. A move costs about as
-/// much as a machine for this time, so that waiting costs at most twice as much as the
-/// best decision in hindsight (the ski rental problem).
+/// How long a machine is idle before it returns to the spare pool. A move costs about
+/// as much as a machine that is kept for this time, so waiting costs at most twice as
+/// much as the best decision in hindsight (the ski rental problem).
 const IDLE_LIMIT: Duration = Duration::from_millis(900);
-/// The same in a pool with a large surplus: demand has fallen, and enough free capacity
-/// remains for new work.
+/// The idle limit in a pool with a large surplus: its demand has fallen, and enough
+/// free capacity remains for new work.
 const SURPLUS_IDLE_LIMIT: Duration = Duration::from_millis(150);
 /// How far the offer of a pool with a large surplus exceeds its need, in percent.
 const SURPLUS_PERCENT: u64 = 50;
@@ -32,7 +32,8 @@
 /// shortage.
 const MAX_UNANSWERED_BEFORE_RETURNS: usize = 16;
 
-/// The kind of pool that gives a machine away, most preferred first.
+/// The kind of pool from which a machine is moved to a pool with a shortage, most
+/// preferred first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Donor {
     /// A pool that offers more than it needs.
@@ -93,9 +94,10 @@
         idle
     }
 
-    /// Removes a machine for `pool` from `idle`: one of the pool with the largest surplus,
-    /// or else one of the spare pool. If the spare pool came first, each machine that a
-    /// demand peak leaves behind would move twice, back to the spare pool and out again.
+    /// Removes a machine for `pool` from `idle`: one of the pool with the largest
+    /// surplus, or else one of the spare pool. If the spare pool came first, each
+    /// machine that is idle after a demand peak would move twice, back to the spare
+    /// pool and out again.
     fn choose_donor_machine(
         &self,
         state: &ControlState,
@@ -131,8 +133,8 @@
     }
 
     /// Whether this owner has observed the demand for the whole window of its forecast.
-    /// Before that, a pool between two demand peaks seems to need nothing, and a machine
-    /// that it gives away may be missing a second later.
+    /// Before that, a pool between two demand peaks seems to need nothing, and a
+    /// machine that is moved away may be needed there a second later.
     fn has_demand_history(&self) -> bool {
         self.now >= self.taken_over_at + forecast::ARRIVAL_WINDOW
     }
@@ -143,9 +145,10 @@
         up && machine.is_unassigned() && self.is_idle(machine)
     }
 
-    /// Whether nothing runs on a machine, and all ends that its worker reported have been
-    /// acknowledged. If the list names no worker for the machine, a worker that reports
-    /// the machine as its own counts, because an order would end its tasks.
+    /// Whether nothing runs on a machine, and all ends that its worker reported have
+    /// been acknowledged. If the list names no worker for the machine, a worker that
+    /// reports the machine as its own is checked instead, because an order for the
+    /// machine would end its tasks.
     pub(super) fn is_idle(&self, machine: &Machine) -> bool {
         let is_empty = |key| self.is_worker_empty(key);
         match &machine.view.worker {
--- a/crates/cleat-jobs/src/schedule/fleet/orders.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/orders.rs
@@ -14,8 +14,8 @@
 /// The interval at which the machines are listed. A list takes one call for each 200
 /// machines.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same while an order is pending or a worker does not answer, so that the result is
-/// seen soon.
+/// The interval while an order is pending or a worker does not answer, so that the
+/// effect of the order or the end of the worker is detected soon.
 const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(400);
 /// How long after it was sent an order without a definite answer is sent again. Orders
 /// are idempotent.
@@ -25,7 +25,8 @@
 const ORDER_LIMIT: Duration = Duration::from_secs(8);
 
 impl Scheduler {
-    /// Lists, orders, maintains and moves machines. Called at each tick.
+    /// Lists the machines, checks the orders to them, and plans their maintenance and
+    /// moves. Called at each tick.
     pub(in crate::schedule) fn manage_machines(&mut self, state: &ControlState) {
         self.list_machines();
         if self.machines.list_requested_at.is_none() {
@@ -93,8 +94,8 @@
     }
 
     /// Cordons the workers on machines that must be emptied. This includes workers that
-    /// became known after the decision: otherwise they would continue to accept tasks, and
-    /// a wave would end without their machine.
+    /// became known after the decision: otherwise they would continue to accept tasks,
+    /// and the wave would end without the maintenance of their machine.
     fn cordon_planned(&mut self) {
         let machines = self.machines.by_name.iter();
         let planned = machines.filter(|(_, machine)| machine.must_be_emptied());
--- a/crates/cleat-jobs/src/schedule/fleet/reservations.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/reservations.rs
@@ -2,7 +2,8 @@
 //!
 //! If no idle machine is left, machines of the pool with the best coverage are emptied
 //! for the pool with a shortage, until their coverage is about equal. Otherwise a pool
-//! with an endless queue would never give a machine away, and the others would starve.
+//! whose queue never becomes empty would never release a machine, and the other pools
+//! would starve.
 
 use super::demand::Balance;
 use super::machine::{Machine, MachineOrder, MachineState};
--- a/crates/cleat-jobs/src/schedule/fleet/waves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/waves.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// The workers with tasks that must become empty: those that are cordoned and those
-    /// that announced their end.
+    /// The workers that must become empty and still have tasks: those that are cordoned
+    /// and those that announced their end.
     pub(super) fn workers_to_empty(&self) -> Vec<WorkerKey> {
         let leaving = |worker: &crate::schedule::worker::Worker| worker.draining || worker.cordoned;
         let workers = self.workers.iter();
--- a/crates/cleat-jobs/src/schedule/forecast.rs
+++ b/crates/cleat-jobs/src/schedule/forecast.rs
@@ -22,15 +22,16 @@
 /// How far back arrivals are counted. With this window, the measured rate of a
 /// queue with a constant 20 jobs a second varies by about a tenth at random.
 pub(crate) const ARRIVAL_WINDOW: Duration = Duration::from_millis(6_000);
-/// The minimum duration of a segment with fewer than [`MANY_JOBS`] jobs. Jobs
-/// arrive in bursts, since callers retry and gateways send the requests that
-/// they had queued. [`MANY_JOBS`] jobs are more than such a burst, so
-/// [`MIN_SEGMENT_MANY_JOBS`] is long enough for a segment with that many.
+/// The minimum duration of a segment that counts as a fall, or as a rise if it
+/// has fewer than [`MANY_JOBS`] jobs. Jobs arrive in bursts, since callers
+/// retry and gateways send the requests that they had queued. [`MANY_JOBS`]
+/// jobs are more than such a burst, so [`MIN_SEGMENT_MANY_JOBS`] is long enough
+/// for a rise with that many.
 const MIN_SEGMENT: Duration = Duration::from_millis(150);
-/// The number of jobs from which a segment may be as short as
+/// The number of jobs from which a rise may be as short as
 /// [`MIN_SEGMENT_MANY_JOBS`].
 const MANY_JOBS: usize = 10;
-/// The minimum duration of a segment with at least [`MANY_JOBS`] jobs.
+/// The minimum duration of a rise with at least [`MANY_JOBS`] jobs.
 const MIN_SEGMENT_MANY_JOBS: Duration = Duration::from_millis(50);
 /// The minimum number of jobs in a segment that counts as a rise, however close
 /// together they arrived.
--- a/crates/cleat-jobs/src/schedule/loss.rs
+++ b/crates/cleat-jobs/src/schedule/loss.rs
@@ -99,7 +99,7 @@
     /// Whether a worker without a lease has neither answered nor sent
     /// heartbeats for so long that it counts as gone. Otherwise the record of
     /// each crashed worker would be kept, and renewals would be sent to it,
-    /// forever. The jobs of its tasks are removed after the same time.
+    /// forever. Ended jobs are removed after the same time.
     fn is_abandoned(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let last_contact = worker
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -70,7 +70,9 @@
         match (self.cfg.share_policy, step.charge.customer) {
             (SharePolicy::DeadlineFirst, _) | (_, None) => ShareStatus::Within,
             (SharePolicy::ArrivalRate, _) => step.share_status,
-            (SharePolicy::ResourceUse, Some(customer)) => self.accounts.standing_by_usage(customer),
+            (SharePolicy::ResourceUse, Some(customer)) => {
+                self.accounts.share_status_by_usage(customer)
+            }
         }
     }
 
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -11,14 +11,15 @@
 use crate::{Catalogue, JobId, Size};
 
 /// The maximum number of draining workers that are recorded; beyond it the oldest
-/// record is dropped. A draining worker ends within seconds, and the limit has room for
-/// a fleet of 1,100 workers that drain at the same time, twice over.
+/// record is dropped. A draining worker ends within seconds, and the limit is more than
+/// twice the size of a fleet of 1,100 workers that all drain at the same time.
 const MAX_DRAINING_WORKERS: usize = 2_500;
 
 /// The result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The command was applied, or had no effect because the state is as it asks.
+    /// The command was applied, or had no effect because the state already was as
+    /// requested.
     Done,
     /// The job does not exist.
     NoSuchJob,
@@ -310,8 +311,8 @@
         let Some(wave) = self.waves.get_mut(&wave) else {
             return;
         };
-        let waited = wave.waiting.shift_remove(&machine);
-        if waited && maintained {
+        let was_waiting = wave.waiting.shift_remove(&machine);
+        if was_waiting && maintained {
             wave.maintained.insert(machine);
         }
     }
--- a/crates/cleat-jobs/src/state/crash.rs
+++ b/crates/cleat-jobs/src/state/crash.rs
@@ -1,9 +1,9 @@
 //! Replicated counts of the worker crashes that each task may have caused.
 //!
-//! A crashed worker reports no ends, so its runs don't count as failed attempts. A
-//! task that crashes every worker it starts on would be restarted for ever and
-//! would stop the other tasks on those workers each time. The crashes of the workers
-//! that ran a task are therefore counted per task, across changes of owner.
+//! A crashed worker reports no ends, so its runs don't count as failed attempts. A task
+//! that crashes every worker it starts on would be restarted for ever, and each time
+//! the runs of other tasks on its worker would be lost. The crashes of the workers that
+//! ran a task are therefore counted per task, across changes of owner.
 
 use serde::{Deserialize, Serialize};
 
@@ -88,9 +88,9 @@
             || self.count_at_least(CrashEvidence::JustStarted) > 0
     }
 
-    /// Whether the task has crashed so many workers that its job fails. Up to `uncounted`
-    /// more workers that ran it may have crashed. A long-running task needs two crashes
-    /// while it ran alone, because callers depend on it staying up.
+    /// Whether the task has crashed so many workers that its job fails. Up to
+    /// `uncounted` more workers that ran it may have crashed. A long-running task needs
+    /// two crashes while it ran alone, because callers depend on its availability.
     pub(super) fn reaches_limit(&self, uncounted: usize, long_running: bool) -> bool {
         let alone = self.count_at_least(CrashEvidence::RunningAlone);
         let proved = match long_running {
--- a/crates/cleat-jobs/src/state/worker.rs
+++ b/crates/cleat-jobs/src/state/worker.rs
@@ -49,7 +49,7 @@
     pub silent_index: Option<u64>,
     /// How many times the worker was added, which sets `may_have_runs`. A record that
     /// it is silent, or that its lease expired, applies only if it names the current
-    /// number: otherwise it dates from before the worker was last added.
+    /// number: otherwise it was proposed before the worker was last added.
     pub activations: u32,
     /// The sequence number of the heartbeat that reported its capacity.
     ///
