--- a/crates/cleat-jobs/src/schedule/attempt.rs
+++ b/crates/cleat-jobs/src/schedule/attempt.rs
@@ -15,18 +15,19 @@
     Starting,
     /// The worker confirmed the start or listed the run.
     Running {
-        /// When the owner learned of it. A list that is requested later has to
-        /// contain the run.
+        /// When the owner learned that the run exists. A list that is requested
+        /// later has to contain the run.
         known_at: Duration,
     },
     /// The start order failed without an answer. The next list that is
-    /// requested shows whether the run exists; nothing is done before that.
+    /// requested shows whether the run exists; until then the owner neither
+    /// stops the run nor starts the task again.
     Unanswered {
         /// When the start order failed.
         since: Duration,
     },
-    /// The start order failed without an answer. The worker is told to stop the
-    /// run before the task is started elsewhere.
+    /// The start order failed without an answer. The worker is ordered to stop
+    /// the run before the task is started elsewhere.
     InDoubt {
         /// When the stop order was last sent.
         stop_sent: Duration,
--- a/crates/cleat-jobs/src/schedule/crashes.rs
+++ b/crates/cleat-jobs/src/schedule/crashes.rs
@@ -1,12 +1,13 @@
 //! Tasks that ran on a worker when it crashed.
 //!
 //! A crash does not show which of the worker's runs caused it, or whether the
-//! machine did. So the tasks of a crashed worker start again apart from each
-//! other, on other machines, and with as few other runs beside them as
-//! possible: the next crash then leaves fewer suspects and destroys less work.
-//! The module `isolation` has the rules that must hold. Each crash is committed
-//! before its tasks start again, so that the next owner knows of it. The
-//! replicated state decides when a task is given up.
+//! machine did. So the tasks of a crashed worker are restarted on separate
+//! workers, on other machines, and with as few other runs beside them as
+//! possible: the next crash then leaves fewer suspects, and less work is lost.
+//! The module `isolation` contains the rules that a placement must not break.
+//! Each crash is committed before its tasks start again, so that the next owner
+//! knows of the crash. The replicated state determines when a job fails because
+//! of crashes.
 
 use std::time::Duration;
 
@@ -32,7 +33,7 @@
 const MACHINE_SUSPECT_FOR: Duration = Duration::from_secs(30);
 /// A task that has to run alone starts only on a worker whose last answer is
 /// not older than this. A renewal is answered after a second if nothing ends,
-/// so a worker with a recent answer soon turns up.
+/// so a worker with a recent answer is found soon.
 const MAX_ANSWER_AGE: Duration = Duration::from_millis(100);
 
 /// When a worker last crashed on each machine.
@@ -122,7 +123,8 @@
     }
 
     /// Counts an expired lease against the runs that the worker had. The worker
-    /// may only be cut off, but if it crashed, the owner may never learn so.
+    /// may only be disconnected, but if it crashed, the owner may never learn
+    /// of the crash.
     pub(super) fn record_lapse(&mut self, key: WorkerKey) {
         let lapsed = self.end_suspect_runs(key, LossReason::Lapsed);
         self.workers[key].lapsed_runs = lapsed.clone();
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Ends the suspect runs of a worker and returns them with their part in
-    /// the crash, to be committed.
+    /// Ends the suspect runs of a worker and returns them with the evidence of
+    /// the crash against each, to be committed.
     fn end_suspect_runs(&mut self, key: WorkerKey, reason: LossReason) -> Vec<CrashedRun> {
         let suspects = self.suspect_tasks_on(key);
         let worker = &self.workers[key];
@@ -188,8 +190,8 @@
         may_run && self.steps.contains_key(&task.step) && !self.is_cleared(attempt)
     }
 
-    /// Whether a run has been listed for so long that a crash of its worker
-    /// says nothing about its task.
+    /// Whether a run has been listed for so long that a crash of its worker is
+    /// no evidence against its task.
     pub(super) fn is_cleared(&self, attempt: &Attempt) -> bool {
         let answered_at = self.workers[attempt.worker].answered_at.unwrap_or_default();
         let running = matches!(attempt.phase, Phase::Running { .. });
@@ -213,8 +215,8 @@
         });
     }
 
-    /// Handles committed crashes: their tasks may start again, except for those
-    /// that the replicated state has given up.
+    /// Handles committed crashes: the tasks of the lost runs may start again,
+    /// unless the replicated state has ended their job.
     pub(super) fn handle_crashes_applied(&mut self, state: &ControlState, runs: &[CrashedRun]) {
         let mut jobs: IndexSet<JobId> = IndexSet::new();
         for CrashedRun { task, run, .. } in runs {
--- a/crates/cleat-jobs/src/schedule/durations.rs
+++ b/crates/cleat-jobs/src/schedule/durations.rs
@@ -5,8 +5,8 @@
 //! estimate mostly takes about as long as any other task. So each estimate is
 //! corrected towards the queue's mean by a linear regression of the logarithm
 //! of the duration on the logarithm of the estimate, over the tasks that were
-//! done. Without it, a job whose estimate is five times too long would look as
-//! if it had 20 s to spare.
+//! done. Without it, a job whose estimate is five times too long would appear
+//! to have 20 s of slack.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 const MIN_WEIGHT: f64 = 0.02;
 /// The prior on the quality of estimates, added to the variance and the
 /// covariance of the logarithms: that of estimates that are off by a quarter.
-/// It keeps the first tasks from deciding the slope, since tasks of one job
-/// share an estimate.
+/// It prevents the first tasks from determining the slope, since tasks of one
+/// job share an estimate.
 const PRIOR_VARIANCE: f64 = 0.05;
 /// The largest difference between the logarithms of duration and estimate that
 /// is counted: a factor of a thousand. A task beyond it only shows that its
@@ -75,8 +75,8 @@
         Duration::from_secs_f64(mean_ms / 1_000.0)
     }
 
-    /// The slope of the regression: 1 if estimates are good, 0 if they say
-    /// nothing about the duration.
+    /// The slope of the regression: 1 if estimates are good, 0 if they are
+    /// unrelated to the duration.
     fn slope(&self) -> f64 {
         let slope = (self.covariance + PRIOR_VARIANCE) / (self.estimate_variance + PRIOR_VARIANCE);
         slope.clamp(0.0, 1.0)
--- a/crates/cleat-jobs/src/schedule/isolation.rs
+++ b/crates/cleat-jobs/src/schedule/isolation.rs
@@ -1,12 +1,12 @@
 //! Isolation of suspect tasks, which were running on a worker when it crashed.
 //!
-//! A crash proves something about a task only if no other task can have caused
-//! it. So a task that had started right before a crash, or that has seen two
-//! crashes, starts alone: nothing starts beside it until it has ended, or has
-//! run for so long that it is no longer a suspect. The next crash then proves
-//! something about a single task, however many tasks crash their workers at
-//! once. Of the other tasks of a crashed worker only a few start together on
-//! one worker, since most of them are not the cause.
+//! A crash is evidence against a single task only if no other task can have
+//! caused it. So a task that had started right before a crash, or whose workers
+//! have crashed twice, starts alone: no other task starts on its worker until
+//! it has ended, or has run for so long that it is no longer a suspect. The
+//! next crash is then evidence against a single task, however many tasks crash
+//! their workers at once. Of the other tasks of a crashed worker only a few
+//! start together on one worker, since most of them are not the cause.
 
 use indexmap::IndexSet;
 
@@ -94,8 +94,8 @@
     }
 
     /// Chooses the workers of a pool that are reserved for tasks that have to
-    /// start alone: those with the fewest runs to wait for. Nothing else starts
-    /// on them.
+    /// start alone: those with the fewest runs that have to end first. No other
+    /// task starts on them.
     pub(super) fn reserve_for_suspects(&mut self, state: &ControlState, candidates: &[WorkerKey]) {
         self.reserved_for_suspects.clear();
         let steps = &self.steps;
@@ -122,8 +122,8 @@
         self.reserved_for_suspects = reserved;
     }
 
-    /// The worker with the fewest runs to wait for among those that could hold
-    /// the task once these have ended.
+    /// The worker with the fewest runs that have to end first, among those that
+    /// have enough capacity for the task once these runs have ended.
     fn worker_to_reserve(
         &self,
         state: &ControlState,
--- a/crates/cleat-jobs/src/schedule/mod.rs
+++ b/crates/cleat-jobs/src/schedule/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// The longest time on the owner's clock that `span` on a worker's clock
-    /// can take.
+    /// can correspond to.
     pub(crate) fn max_real_duration(&self, span: Duration) -> Duration {
         span * 100 / (100 - self.max_clock_drift_percent.min(99))
     }
@@ -150,8 +150,8 @@
     /// their job has ended, or another run took their place.
     strays: IndexMap<(WorkerKey, TaskId, Run), Stray>,
     accounts: Accounts,
-    /// Whether some worker may still have runs of an earlier owner that this
-    /// owner has not seen listed.
+    /// Whether some worker may still have runs of an earlier owner that it has
+    /// not listed to this owner.
     may_have_hidden_runs: bool,
     /// Jobs for which [`Command::JobsStopped`] is proposed and not yet applied.
     stopped_jobs_proposed: IndexSet<JobId>,
--- a/crates/cleat-jobs/src/schedule/orders.rs
+++ b/crates/cleat-jobs/src/schedule/orders.rs
@@ -10,7 +10,7 @@
 use crate::state::ControlState;
 use crate::{JobId, Run, TaskId};
 
-/// How long after a stop without effect it is sent again.
+/// How long after a stop order that had no effect the order is sent again.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long starts are paused on a worker that is unhealthy, or that lacks the
 /// free capacity that this owner expected.
@@ -167,8 +167,8 @@
     }
 
     /// Waits for the worker's next list to show whether a start without an
-    /// answer was executed. Stopping the run could end a task at work while
-    /// more tasks of its step may be unavailable than the step allows. A
+    /// answer was executed. Stopping the run could end a task that is running
+    /// while more tasks of its step may be unavailable than the step allows. A
     /// long-running task has no deadline that the wait could miss.
     fn await_listing(&mut self, task: TaskId) {
         let now = self.now;
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -1,9 +1,9 @@
 //! Which pools need a scheduling pass, and in which order their steps are
 //! scheduled.
 //!
-//! When there is more work than capacity, looking at every step of every pool
-//! after each event takes most of the owner's processor time. So a pool is
-//! looked at only after something has changed there.
+//! When there is more work than capacity, examining every step of every pool
+//! after each event uses most of the owner's processor time. So a scheduling
+//! pass covers a pool only after its workers or its steps have changed.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -56,7 +56,8 @@
         self.mark_pool_dirty(&pool);
     }
 
-    /// Takes the pools that need a scheduling pass.
+    /// Returns the pools that need a scheduling pass, and clears the record of
+    /// them.
     pub(super) fn take_dirty_pools(&mut self) -> Vec<Box<str>> {
         let none = DirtyPools::Pools(IndexSet::new());
         match std::mem::replace(&mut self.dirty_pools, none) {
@@ -81,7 +82,7 @@
     /// those that can still meet their objective. Returns none if no step may
     /// fit into `max_free`. Steps of a customer whose cap is reached are left out.
     ///
-    /// A pass looks only at the first few steps, so the steps are put on a heap
+    /// A pass examines only the first few steps, so the steps are put on a heap
     /// rather than sorted.
     pub(super) fn ready_steps(
         &mut self,
--- a/crates/cleat-jobs/src/schedule/shares.rs
+++ b/crates/cleat-jobs/src/schedule/shares.rs
@@ -1,10 +1,10 @@
-//! Fair sharing between customers: whose work goes first when capacity is
-//! short.
+//! Fair sharing between customers: whose jobs are scheduled first when capacity
+//! is short.
 //!
 //! During a demand peak a pool is full, and a customer that sends far more than
 //! its share would fill it alone. A customer's share is given in jobs a second.
-//! Jobs beyond it wait behind the jobs that other customers send within theirs,
-//! but only while capacity is short.
+//! Jobs that exceed the share are scheduled after the jobs that other customers
+//! submit within theirs, but only while capacity is short.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 /// How customers' shares affect the order of steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SharePolicy {
-    /// Not at all: steps that can meet their objective go first, whoever sent
-    /// them.
+    /// They have no effect: steps that can meet their objective are scheduled
+    /// first, whichever customer submitted them.
     DeadlineFirst,
     /// A job exceeds its customer's share if the customer had sent as many jobs
     /// as its share within the second before.
@@ -28,7 +28,8 @@
     ResourceUse,
 }
 
-/// Whether work is within its customer's share; the lower value goes first.
+/// Whether work is within its customer's share; the lower value is scheduled
+/// first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShareStatus {
     #[default]
@@ -46,7 +47,8 @@
 impl RecentJobs {
     /// Records a job that arrived at `at` and returns whether it is within the
     /// share of `weight` jobs a second. Jobs beyond the share are not counted,
-    /// so a customer that keeps sending too much still gets its share.
+    /// so a customer that constantly submits too many jobs still gets its
+    /// share.
     pub(crate) fn admit(&mut self, at: Duration, weight: f64) -> ShareStatus {
         while self
             .times
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -29,9 +29,9 @@
     pub(crate) done: BTreeSet<u32>,
     /// When it became active at this owner.
     pub(crate) active_since: Duration,
-    /// The log position at which it became ready. If that was before this
-    /// owner's time, an earlier owner may have started the step: a task that no
-    /// worker lists may still run on a worker that has not answered.
+    /// The log position at which it became ready. If it became ready before
+    /// this owner took over, an earlier owner may have started the step: a task
+    /// that no worker lists may still run on a worker that has not answered.
     pub(crate) ready_index: u64,
     /// The minimum number of workers that it needs, given the maximum number of
     /// its tasks on one worker.
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Whether a scheduling pass has to look at it while no worker has more
-    /// free capacity than `max_free`. A step that needs permissions always counts,
-    /// since they are requested before there is capacity.
+    /// Whether a scheduling pass has to examine the step while no worker has
+    /// more free capacity than `max_free`. A step that needs permissions always
+    /// counts, since they are requested before there is capacity.
     pub(crate) fn may_fit(&self, max_free: Size) -> bool {
         !self.pending.is_empty() && (self.advised || self.footprint.fits(max_free))
     }
