--- a/crates/cleat-control/src/node/answer.rs
+++ b/crates/cleat-control/src/node/answer.rs
@@ -341,7 +341,7 @@
             jobs: state.jobs.values().filter(own).count() as u64,
             waiting: view.map_or(0, |view| view.waiting as u64),
             used: view.map(|view| view.used).unwrap_or_default(),
-            in_doubt: view.map(|view| view.in_doubt).unwrap_or_default(),
+            in_doubt: view.map(|view| view.hidden_usage).unwrap_or_default(),
             cap,
         }
     };
--- a/crates/cleat-jobs/src/schedule/account/mod.rs
+++ b/crates/cleat-jobs/src/schedule/account/mod.rs
@@ -45,8 +45,8 @@
     /// that have ended.
     pub(crate) used: Size,
     /// The total size of the tasks that may be running in addition, started by an earlier
-    /// owner.
-    pub(crate) in_doubt: Size,
+    /// owner and not yet reported to this one.
+    pub(crate) hidden_usage: Size,
     /// The pools in which its cap has held steps back since a run of it was last released.
     blocked_pools: IndexSet<Box<str>>,
     /// When it was last logged that its cap holds steps back.
@@ -65,7 +65,7 @@
 impl Account {
     /// The total size of the tasks that may still be started for the customer.
     pub(crate) fn remaining(&self) -> Size {
-        self.cap.remaining(self.used + self.in_doubt)
+        self.cap.remaining(self.used + self.hidden_usage)
     }
 }
 
@@ -137,7 +137,7 @@
             return true;
         };
         let account = self.get(key);
-        let used = account.used + account.in_doubt;
+        let used = account.used + account.hidden_usage;
         account.cap.allows(used + charge.size.scaled(count))
             || (count == 1 && account.cap.is_under_half(used))
     }
--- a/crates/cleat-jobs/src/schedule/account/report.rs
+++ b/crates/cleat-jobs/src/schedule/account/report.rs
@@ -15,7 +15,7 @@
     CustomerView {
         name: &account.name,
         used: account.used,
-        in_doubt: account.in_doubt,
+        hidden_usage: account.hidden_usage,
         waiting: 0,
     }
 }
@@ -29,7 +29,7 @@
     pub used: Size,
     /// The total size of the tasks that may be running in addition, started by an earlier
     /// owner.
-    pub in_doubt: Size,
+    pub hidden_usage: Size,
     /// The number of its tasks that wait for a start.
     pub waiting: usize,
 }
@@ -49,7 +49,7 @@
                 customer: account.name.clone(),
                 step: id.to_string().into(),
                 held_cpu_milli: account.used.cpu_milli,
-                hidden_cpu_milli: account.in_doubt.cpu_milli,
+                hidden_cpu_milli: account.hidden_usage.cpu_milli,
                 cap_cpu_milli: cap.cpu_milli,
                 held_memory_mb: account.used.memory_mb,
                 cap_memory_mb: cap.memory_mb,
--- a/crates/cleat-jobs/src/schedule/account/usage.rs
+++ b/crates/cleat-jobs/src/schedule/account/usage.rs
@@ -11,8 +11,10 @@
 use crate::{JobId, Run, Size, StepSpec, TaskId};
 
 impl Scheduler {
-    /// The charge for a run of a step of the job. A best-effort run is charged for its full
-    /// size, since a cap limits what a customer has running.
+    /// The charge for a run of a step of the job: what it counts against the customer's cap.
+    /// Its footprint is what it uses of the worker's capacity. A best-effort run is charged
+    /// for its full size, since a cap limits what a customer has running, but its footprint
+    /// has no CPU.
     pub(in crate::schedule) fn charge_for(
         &mut self,
         state: &ControlState,
@@ -30,15 +32,19 @@
     /// The charge and footprint of a stray run. If its job has ended, the run counts as the
     /// largest task of the job. If the job is unknown, the run is charged to no customer
     /// and may use the whole worker.
-    fn stray_usage(&mut self, state: &ControlState, at: (WorkerKey, TaskId)) -> (Charge, Size) {
-        let (key, task) = at;
+    fn stray_usage(
+        &mut self,
+        state: &ControlState,
+        assignment: (WorkerKey, TaskId),
+    ) -> (Charge, Size) {
+        let (worker, task) = assignment;
         if let Some(job) = state.jobs.get(&task.job())
             && let Some(spec) = job.step(task.step)
         {
             return (self.charge_for(state, job, spec), spec.footprint());
         }
         let Some(ended) = state.ended.get(&task.job()) else {
-            return (Charge::default(), self.workers[key].record.capacity);
+            return (Charge::default(), self.workers[worker].record.capacity);
         };
         let catalogue = state.catalogue.as_deref();
         let name = ended.customer.as_deref();
@@ -54,17 +60,19 @@
     pub(in crate::schedule) fn add_stray(
         &mut self,
         state: &ControlState,
-        at: (WorkerKey, TaskId, Run),
+        stray_key: (WorkerKey, TaskId, Run),
     ) {
-        let (charge, footprint) = self.stray_usage(state, (at.0, at.1));
+        let (worker, task, _) = stray_key;
+        let (charge, footprint) = self.stray_usage(state, (worker, task));
         self.accounts.add(charge);
-        self.workers[at.0].used_by_strays += footprint;
+        self.workers[worker].used_by_strays += footprint;
         let stray = Stray {
+            // The caller sends the first stop order now.
             sent_at: self.now,
             charge,
             footprint,
         };
-        self.strays.insert(at, stray);
+        self.strays.insert(stray_key, stray);
     }
 
     /// Releases the strays of a worker for which `is_running` returns false.
@@ -74,15 +82,15 @@
         is_running: impl Fn(TaskId, Run) -> bool,
     ) {
         let strays = self.strays.keys().copied();
-        let ended = strays.filter(|(at, task, run)| *at == key && !is_running(*task, *run));
+        let ended = strays.filter(|(worker, task, run)| *worker == key && !is_running(*task, *run));
         let ended: Vec<_> = ended.collect();
-        for at in ended {
-            let Some(stray) = self.strays.swap_remove(&at) else {
+        for stray_key in ended {
+            let Some(stray) = self.strays.swap_remove(&stray_key) else {
                 continue;
             };
             self.workers[key].used_by_strays -= stray.footprint;
             self.release_charge(stray.charge);
-            self.mark_worker_pool_dirty(key);
+            self.request_scheduling_for_worker(key);
         }
     }
 
@@ -90,11 +98,11 @@
     /// are scheduled again.
     pub(in crate::schedule) fn release_charge(&mut self, charge: Charge) {
         for pool in self.accounts.release(charge) {
-            self.mark_pool_dirty(&pool);
+            self.request_scheduling(&pool);
         }
     }
 
-    /// Updates the caps from the configuration in force, and the usage in doubt from the
+    /// Updates the caps from the configuration in force, and the hidden usage from the
     /// workers that have reported their runs.
     pub(in crate::schedule) fn update_accounts(&mut self, state: &ControlState) {
         if let Some(catalogue) = &state.catalogue
@@ -103,48 +111,50 @@
             self.dirty_pools = DirtyPools::All;
         }
         let capped = self.may_have_hidden_runs && self.accounts.has_caps();
-        let in_doubt = capped
+        let has_hidden_runs = capped
             && self
                 .workers
                 .iter()
                 .any(|(_, worker)| !worker.runs_are_known());
-        if in_doubt {
-            self.update_in_doubt(state);
+        if has_hidden_runs {
+            self.update_hidden_usage(state);
         } else if self.may_have_hidden_runs {
             self.may_have_hidden_runs = self
                 .workers
                 .iter()
                 .any(|(_, worker)| !worker.runs_are_known());
             for account in &mut self.accounts.arena {
-                account.in_doubt = Size::default();
+                account.hidden_usage = Size::default();
             }
         }
     }
 
     /// Counts everything that an earlier owner may have started on workers that have not
     /// reported their runs to this one.
-    fn update_in_doubt(&mut self, state: &ControlState) {
-        let off = !self.cfg.protections.charge_hidden_runs;
-        let mut in_doubt: IndexMap<CustomerKey, Size> = IndexMap::new();
+    fn update_hidden_usage(&mut self, state: &ControlState) {
+        // True except in tests that check what happens without this protection.
+        let charged = self.cfg.protections.charge_hidden_runs;
+        let mut hidden_sizes: IndexMap<CustomerKey, Size> = IndexMap::new();
         for step in self.steps.values() {
             let Some(customer) = step.charge.customer else {
                 continue;
             };
-            let until = self.unknown_until(&step.pool);
-            if until.is_some_and(|until| step.ready_index <= until) {
+            let unknown_until = self.unknown_until(&step.pool);
+            // A log position: tasks of steps that became ready up to it may be running.
+            if unknown_until.is_some_and(|index| step.ready_index <= index) {
                 let pending = step.pending.len() as u64;
-                *in_doubt.entry(customer).or_default() += step.charge.size.scaled(pending);
+                *hidden_sizes.entry(customer).or_default() += step.charge.size.scaled(pending);
             }
         }
         for stopping in state.stopping.values() {
             let catalogue = state.catalogue.as_deref();
             let customer = self.accounts.get_or_create(&stopping.customer, catalogue);
-            *in_doubt.entry(customer).or_default() += stopping.size;
+            *hidden_sizes.entry(customer).or_default() += stopping.size;
         }
-        for (at, account) in self.accounts.arena.iter_mut().enumerate() {
-            let key = CustomerKey(u32::try_from(at).unwrap_or(u32::MAX));
-            let size = in_doubt.get(&key).copied().unwrap_or_default();
-            account.in_doubt = if off { Size::default() } else { size };
+        for (index, account) in self.accounts.arena.iter_mut().enumerate() {
+            let key = CustomerKey(u32::try_from(index).unwrap_or(u32::MAX));
+            let size = hidden_sizes.get(&key).copied().unwrap_or_default();
+            account.hidden_usage = if charged { size } else { Size::default() };
         }
     }
 
--- a/crates/cleat-jobs/src/schedule/commits.rs
+++ b/crates/cleat-jobs/src/schedule/commits.rs
@@ -28,7 +28,7 @@
         let worker = &mut self.workers[key];
         worker.use_recorded = true;
         worker.use_proposed = false;
-        self.mark_worker_pool_dirty(key);
+        self.request_scheduling_for_worker(key);
     }
 
     pub(super) fn handle_workers_removed(&mut self, names: &[Box<str>]) {
@@ -96,7 +96,7 @@
             return self.handle_committed_ends(state, worker, ends);
         }
         let key = self.workers.key(worker);
-        if key.is_none_or(|key| self.workers[key].proposed_ends >= last) {
+        if key.is_none_or(|key| self.workers[key].last_proposed_end >= last) {
             self.propose(command.clone());
         }
     }
@@ -108,8 +108,8 @@
         let key = self.workers.key(name);
         if let (Some(key), Some(last)) = (key, ends.last()) {
             let worker = &mut self.workers[key];
-            worker.committed_ends = worker.committed_ends.max(last.number);
-            worker.proposed_ends = worker.proposed_ends.max(last.number);
+            worker.last_committed_end = worker.last_committed_end.max(last.number);
+            worker.last_proposed_end = worker.last_proposed_end.max(last.number);
             worker.renewal_due = self.now;
         }
         let mut jobs = IndexSet::new();
--- a/crates/cleat-jobs/src/schedule/fleet/moves.rs
+++ b/crates/cleat-jobs/src/schedule/fleet/moves.rs
@@ -161,7 +161,7 @@
         let worker = &self.workers[key];
         worker.tasks.is_empty()
             && worker.answers()
-            && worker.proposed_ends == worker.acknowledged_ends
+            && worker.last_proposed_end == worker.last_acknowledged_end
             && !worker.has_strays
     }
 
--- a/crates/cleat-jobs/src/schedule/heartbeat.rs
+++ b/crates/cleat-jobs/src/schedule/heartbeat.rs
@@ -32,7 +32,7 @@
             self.send_renewals();
         }
         if changed {
-            self.mark_worker_pool_dirty(key);
+            self.request_scheduling_for_worker(key);
         }
         self.update_capacity(key, capacity, sequence);
     }
@@ -55,7 +55,7 @@
             });
         }
         if resized || first_report {
-            self.mark_worker_pool_dirty(key);
+            self.request_scheduling_for_worker(key);
         }
     }
 
@@ -74,7 +74,7 @@
     pub(super) fn mark_draining(&mut self, name: &str) {
         if let Some(key) = self.workers.key(name) {
             self.workers[key].draining = true;
-            self.mark_worker_pool_dirty(key);
+            self.request_scheduling_for_worker(key);
         }
     }
 }
--- a/crates/cleat-jobs/src/schedule/ready.rs
+++ b/crates/cleat-jobs/src/schedule/ready.rs
@@ -39,11 +39,12 @@
 impl Scheduler {
     /// Records that tasks of a step may wait for a worker.
     pub(super) fn mark_step_ready(&mut self, id: StepId, pool: Box<str>) {
-        self.mark_pool_dirty(&pool);
+        self.request_scheduling(&pool);
         self.ready.entry(pool).or_default().insert(id);
     }
 
-    pub(super) fn mark_pool_dirty(&mut self, pool: &str) {
+    /// Requests a scheduling pass of a pool.
+    pub(super) fn request_scheduling(&mut self, pool: &str) {
         if let DirtyPools::Pools(pools) = &mut self.dirty_pools
             && !pools.contains(pool)
         {
@@ -51,9 +52,11 @@
         }
     }
 
-    pub(super) fn mark_worker_pool_dirty(&mut self, key: WorkerKey) {
+    /// Requests a scheduling pass of the pool of a worker, since what may be
+    /// started on the worker has changed.
+    pub(super) fn request_scheduling_for_worker(&mut self, key: WorkerKey) {
         let pool = self.workers[key].record.pool.clone();
-        self.mark_pool_dirty(&pool);
+        self.request_scheduling(&pool);
     }
 
     /// Takes the pools that need a scheduling pass.
--- a/crates/cleat-jobs/src/schedule/renewal.rs
+++ b/crates/cleat-jobs/src/schedule/renewal.rs
@@ -65,7 +65,7 @@
         // renewal that acknowledges its last ends. Delaying that answer would
         // cost up to a second for each move.
         let acknowledges_last_ends =
-            worker.tasks.is_empty() && worker.committed_ends > worker.acknowledged_ends;
+            worker.tasks.is_empty() && worker.last_committed_end > worker.last_acknowledged_end;
         let wait = match deadline_ms {
             None => Duration::ZERO,
             Some(_) if acknowledges_last_ends => Duration::ZERO,
@@ -76,7 +76,7 @@
         worker.renewing = true;
         let order = RenewalOrder {
             token: self.owner.token,
-            acked: worker.committed_ends,
+            acked: worker.last_committed_end,
             deadline_ms,
             wait,
         };
@@ -145,11 +145,11 @@
         let worker = &mut self.workers[key];
         worker.has_strays = has_strays;
         worker.fully_listed |= !answer.more_ended;
-        worker.acknowledged_ends = worker.acknowledged_ends.max(acked);
+        worker.last_acknowledged_end = worker.last_acknowledged_end.max(acked);
         worker.renewing = false;
         // The next renewal waits until it can acknowledge the ends that are
         // being committed.
-        if worker.proposed_ends > worker.committed_ends {
+        if worker.last_proposed_end > worker.last_committed_end {
             worker.renewal_due = now + MAX_COMMIT_WAIT;
         } else {
             self.send_renewal(key);
@@ -209,7 +209,7 @@
             over: worker.life_over,
         };
         self.log(decision);
-        self.mark_worker_pool_dirty(key);
+        self.request_scheduling_for_worker(key);
     }
 
     /// Frees the capacity of runs that ended, and proposes new ends for commit.
@@ -219,7 +219,7 @@
         if !state.workers.contains_key(&self.workers[key].record.name) {
             return;
         }
-        let proposed = self.workers[key].proposed_ends;
+        let proposed = self.workers[key].last_proposed_end;
         let ends: Vec<TaskEnd> = ended
             .iter()
             .filter(|end| end.number > proposed)
@@ -228,7 +228,7 @@
         let Some(last) = ends.last() else {
             return;
         };
-        self.workers[key].proposed_ends = last.number;
+        self.workers[key].last_proposed_end = last.number;
         for end in &ends {
             self.handle_end(state, key, end);
         }
@@ -238,7 +238,7 @@
             after: proposed,
             ends,
         });
-        self.mark_worker_pool_dirty(key);
+        self.request_scheduling_for_worker(key);
     }
 
     fn handle_end(&mut self, state: &ControlState, key: WorkerKey, listed: &TaskEnd) {
--- a/crates/cleat-jobs/src/schedule/worker.rs
+++ b/crates/cleat-jobs/src/schedule/worker.rs
@@ -20,7 +20,7 @@
 pub enum WorkerState {
     /// It has not answered this owner, and may have runs of an earlier owner.
     Unseen,
-    /// It answers renewals.
+    /// It answers the calls by which the owner renews its lease.
     Live,
     /// It does not answer. Its runs may continue until its lease expires.
     Silent,
@@ -74,14 +74,15 @@
     pub(crate) renewing: bool,
     /// When the next renewal is due, if none is in progress.
     pub(crate) renewal_due: Duration,
-    /// Ends up to this number were proposed for commit.
-    pub(crate) proposed_ends: u64,
-    /// Ends up to this number are in the replicated state, and may be
+    /// The number of the last end that was proposed for commit. The worker
+    /// numbers the ends of its runs from 1.
+    pub(crate) last_proposed_end: u64,
+    /// The number of the last end that is in the replicated state, and may be
     /// acknowledged.
-    pub(crate) committed_ends: u64,
-    /// Ends up to this number were acknowledged by a renewal that the worker
-    /// answered.
-    pub(crate) acknowledged_ends: u64,
+    pub(crate) last_committed_end: u64,
+    /// The number of the last end that was acknowledged by a renewal that the
+    /// worker answered.
+    pub(crate) last_acknowledged_end: u64,
     /// Whether nothing is started here, since its machine has to become empty
     /// for a move or for maintenance.
     pub(crate) cordoned: bool,
@@ -91,8 +92,9 @@
     pub(crate) long_running: usize,
     /// The sum of the crashes that count against its tasks.
     pub(crate) task_crashes: usize,
-    /// The suspect runs that it had when its lease expired, until it answers
-    /// again.
+    /// The runs that it had when its lease expired and that may have crashed it,
+    /// until it answers again. If it turns out to have crashed, they are recorded
+    /// as crashed.
     pub(crate) lapsed_runs: Vec<CrashedRun>,
     /// Whether best-effort tasks run there beside tasks that serve users.
     pub(crate) colocated: bool,
@@ -103,8 +105,8 @@
     pub(crate) use_proposed: bool,
     /// When this owner first learned of it.
     pub(crate) known_since: Duration,
-    /// When the platform was asked for the first of the uninterrupted sequence
-    /// of machine lists that show that it is not on its machine.
+    /// When the list of machines was requested that first showed it as absent
+    /// from its machine; `None` if the latest list does not show that.
     pub(crate) absent_since: Option<Duration>,
     /// Whether it has listed all its runs and ends to this owner.
     pub(crate) fully_listed: bool,
@@ -120,7 +122,8 @@
     ///
     /// Invariant: the sum of the footprints of its strays.
     pub(crate) used_by_strays: Size,
-    /// The number of consecutive tasks that failed for the first time here.
+    /// The number of tasks whose first failure was here, since a run last
+    /// completed here.
     pub(crate) failure_streak: u32,
     /// Until when nothing is started here, after failures or rejected starts.
     pub(crate) starts_paused_until: Duration,
@@ -129,9 +132,12 @@
 impl Worker {
     fn new(record: WorkerRecord, now: Duration) -> Worker {
         Worker {
-            committed_ends: record.history.last_recorded_end,
-            proposed_ends: record.history.last_recorded_end,
-            acknowledged_ends: record.history.last_recorded_end,
+            last_committed_end: record.history.last_recorded_end,
+            last_proposed_end: record.history.last_recorded_end,
+            last_acknowledged_end: record.history.last_recorded_end,
+            // `silent_index` is the log position at which it was recorded as
+            // silent. After that, its use has to be recorded again before
+            // anything is started here.
             use_recorded: record.history.may_have_runs && record.history.silent_index.is_none(),
             use_proposed: false,
             known_since: now,
@@ -275,8 +281,8 @@
     /// there.
     pub(crate) fn on_machine(&self, machine: &str) -> Option<WorkerKey> {
         let key = *self.by_machine.get(machine)?;
-        let is_over = matches!(self[key].state, WorkerState::Lapsed | WorkerState::Gone);
-        (!is_over).then_some(key)
+        let has_no_runs = matches!(self[key].state, WorkerState::Lapsed | WorkerState::Gone);
+        (!has_no_runs).then_some(key)
     }
 
     /// The workers of a pool that are not removed.
--- a/crates/cleat-jobs/src/state/apply.rs
+++ b/crates/cleat-jobs/src/state/apply.rs
@@ -18,7 +18,8 @@
 /// The result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The command was applied, or had no effect because the state is as it asks.
+    /// The command was applied, or it was ignored because it is outdated, has already
+    /// taken effect, or records ends while earlier ends of the worker are missing.
     Done,
     /// The job does not exist.
     NoSuchJob,
@@ -126,6 +127,7 @@
         CommandOutcome::Done
     }
 
+    /// The number of owners before the current one; 0 without an owner.
     fn ordinal(&self) -> u32 {
         self.owner.map_or(0, |owner| owner.ordinal)
     }
@@ -200,6 +202,8 @@
         if let Some(customer) = customer.clone()
             && state != JobState::Completed
         {
+            // Its tasks may still be running. Until they have stopped they count against
+            // the customer's cap, also under a later owner.
             self.stopping.insert(id, StoppingJob { customer, size });
         }
         let ended = EndedJob {
@@ -210,19 +214,20 @@
         self.ended.insert(id, ended);
     }
 
-    /// Records ends that a worker reported, except those that were recorded before.
+    /// Records ends that a worker reported, except those that were recorded before. All of
+    /// `ends` are ignored unless every end up to number `after` is recorded.
     fn record_ends(&mut self, index: u64, worker: &str, after: u64, ends: &[TaskEnd]) {
         let Some(record) = self.workers.get_mut(worker) else {
             return;
         };
-        let before = record.history.last_recorded_end;
-        if before < after {
+        let last_recorded = record.history.last_recorded_end;
+        if last_recorded < after {
             return;
         }
         if let Some(last) = ends.last() {
-            record.history.last_recorded_end = before.max(last.number);
+            record.history.last_recorded_end = last_recorded.max(last.number);
         }
-        for TaskEnd { end, .. } in ends.iter().filter(|end| end.number > before) {
+        for TaskEnd { end, .. } in ends.iter().filter(|end| end.number > last_recorded) {
             let id = end.task.job();
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -248,6 +253,8 @@
         }
     }
 
+    /// Adds a worker, or adds it again after it was recorded as silent or its lease expired.
+    /// Each time starts a new activation, which `activations` counts.
     fn add_worker(&mut self, record: WorkerRecord) {
         let known = self.workers.get(&record.name);
         let before = known.map(|known| known.history).unwrap_or_default();
