--- a/crates/cleat-entry/src/attempts/claim.rs
+++ b/crates/cleat-entry/src/attempts/claim.rs
@@ -14,6 +14,7 @@
 /// The initial delay between attempts to claim a key that is used by another
 /// request.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The maximum delay between these attempts; it doubles up to this.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The result of a claim.
@@ -30,7 +31,9 @@
 /// What is needed to claim a key.
 pub(super) struct ClaimRequest<C: Control> {
     pub(super) control: Arc<C>,
-    pub(super) keys: Arc<HeldKeys>,
+    /// The keys that requests of this entry hold, of which only one may hold a
+    /// key at a time.
+    pub(super) held_keys: Arc<HeldKeys>,
     pub(super) claim: ClaimKey,
     /// How long keys are retained.
     pub(super) retention: Duration,
@@ -39,8 +42,10 @@
 
 /// The result of a single attempt to claim a key.
 enum ClaimAttempt<C: Control> {
+    /// The claim has a result.
     Done(Claim<C>),
-    InProgress,
+    /// Another request, of this entry or another one, is using the key.
+    KeyInUse,
 }
 
 impl<C: Control> ClaimRequest<C> {
@@ -65,28 +70,36 @@
     }
 
     async fn try_claim(&self) -> Result<ClaimAttempt<C>, Problem> {
-        let held_key = match self.keys.acquire(&self.claim.key) {
+        let held_key = match self.held_keys.acquire(&self.claim.key) {
             Ok(held_key) => held_key,
-            Err(AcquireError::InUse) => return Ok(ClaimAttempt::InProgress),
+            Err(AcquireError::InUse) => return Ok(ClaimAttempt::KeyInUse),
+            // The replicated table was not asked, so an earlier request with the
+            // key may have run.
             Err(AcquireError::Full) => return Ok(undecided(ProblemKind::KeysFull)),
         };
-        // Dropping the guard before the result is known settles the claim as
-        // not run.
+        // If the guard is dropped before the result is known, for example
+        // because this future is, it proposes to record in the replicated table
+        // that the request did not run. Otherwise a claim that was committed
+        // after all would leave the key pending until its hold ends.
         let control = Arc::clone(&self.control);
         let mut guard = ClaimGuard::new(control, &self.claim, self.retention, held_key);
         let answer = timeout_at(self.deadline, self.control.claim(self.claim.clone())).await;
         match answer.unwrap_or(Err(ClaimError::OutcomeUnknown)) {
             Ok(KeyAnswer::Granted) => Ok(ClaimAttempt::Done(Claim::Granted(guard))),
             Ok(other) => {
-                guard.dismiss();
+                // This request has no claim, so there is nothing to settle.
+                guard.disarm();
                 existing(other)
             }
             Err(ClaimError::NotClaimed) => {
-                guard.dismiss();
+                guard.disarm();
                 Ok(undecided(ProblemKind::KeyNotClaimed))
             }
             Err(ClaimError::OutcomeUnknown) => {
-                if guard.withdraw(self.deadline).await {
+                // True if the claim had been committed. Then the key was free, so no
+                // earlier request with it can have run.
+                let had_claim = guard.withdraw(self.deadline).await;
+                if had_claim {
                     return Err(Problem::new(ProblemKind::KeyNotClaimed));
                 }
                 Ok(undecided(ProblemKind::KeyNotClaimed))
@@ -103,8 +116,10 @@
 fn existing<C: Control>(answer: KeyAnswer) -> Result<ClaimAttempt<C>, Problem> {
     let kind = match answer {
         KeyAnswer::Ran(stored) => return Ok(ClaimAttempt::Done(Claim::Ran(stored))),
-        KeyAnswer::InProgress { .. } => return Ok(ClaimAttempt::InProgress),
+        KeyAnswer::InProgress { .. } => return Ok(ClaimAttempt::KeyInUse),
         KeyAnswer::OtherRequest => ProblemKind::KeyReused,
+        // The replicated table has no entry for the key, so no request with it
+        // is known to have run.
         KeyAnswer::Full => ProblemKind::KeysFull,
         KeyAnswer::RanAnswerNotKept => ProblemKind::KeyAnswerNotKept,
         KeyAnswer::Unknown => ProblemKind::KeyOutcomeUnknown,
--- a/crates/cleat-entry/src/attempts/claim_guard.rs
+++ b/crates/cleat-entry/src/attempts/claim_guard.rs
@@ -59,7 +59,7 @@
 
     /// Records that no claim of this request exists, so that nothing is
     /// settled.
-    pub(super) fn dismiss(&mut self) {
+    pub(super) fn disarm(&mut self) {
         self.held_key = None;
     }
 
@@ -71,7 +71,7 @@
         let end = deadline.min(Instant::now() + WITHDRAW_TIMEOUT);
         let settled = timeout_at(end, self.control.settle(self.settle.clone())).await;
         if matches!(settled, Ok(Ok(_))) {
-            self.dismiss();
+            self.disarm();
         }
         matches!(settled, Ok(Ok(KeyAnswer::Settled)))
     }
--- a/crates/cleat-entry/src/attempts/keyed.rs
+++ b/crates/cleat-entry/src/attempts/keyed.rs
@@ -59,7 +59,7 @@
     fn claim_request(&self, key: &str) -> ClaimRequest<C> {
         ClaimRequest {
             control: Arc::clone(&self.shared.control),
-            keys: Arc::clone(&self.shared.held_keys),
+            held_keys: Arc::clone(&self.shared.held_keys),
             claim: self.claim(key),
             retention: Duration::from_secs(self.shared.key_terms().retention_s),
             deadline: self.deadline,
--- a/crates/cleat-entry/src/problem/kind.rs
+++ b/crates/cleat-entry/src/problem/kind.rs
@@ -37,7 +37,8 @@
     NotInService,
     /// The memory for request bodies is exhausted.
     MemoryFull,
-    /// The table of idempotency keys is full, or too many keys are held.
+    /// The replicated table of idempotency keys is full, or the requests of this
+    /// entry hold too many keys.
     KeysFull,
     /// The idempotency key could not be claimed.
     KeyNotClaimed,
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Whether a retry, with the same idempotency key if there is one, may have
-    /// a different result.
+    /// Whether the response has a `Retry-After` header: a retry, with the same
+    /// idempotency key if there is one, may have a different result.
     pub(crate) fn has_retry_after(self) -> bool {
         let waits_for_key = matches!(self, K::KeyInProgress | K::KeyNotLookedUp);
         waits_for_key || self.outcome() == Outcome::NotRun
@@ -234,6 +235,7 @@
             RefusalReason::Displaced => K::Displaced,
             RefusalReason::CannotFinishInTime => K::CannotFinishInTime,
             RefusalReason::NoTarget => K::NoTarget,
+            // This reason is given only if no attempt reached a target.
             RefusalReason::AttemptsExhausted => K::TargetsUnreachable,
         }
     }
--- a/crates/cleat-entry/src/service/slot.rs
+++ b/crates/cleat-entry/src/service/slot.rs
@@ -149,9 +149,10 @@
         }
     }
 
-    /// Whether the target needs time to detect the closed connection. Returns
-    /// `true` only once: the next call happens after the grace period.
-    pub(super) fn take_awaits_close(&mut self) -> bool {
+    /// Whether the slot has to wait for the grace period, in which the target
+    /// detects the closed connection. Returns `true` only once: the next call
+    /// happens after that period.
+    pub(super) fn take_grace_period(&mut self) -> bool {
         std::mem::take(&mut self.awaits_close)
     }
 
--- a/crates/cleat-entry/src/service/state.rs
+++ b/crates/cleat-entry/src/service/state.rs
@@ -1,4 +1,7 @@
 //! The state of a service, shared by its requests.
+//!
+//! A slot is the right to have one request in progress at a target. The entries
+//! divide the slots of each target among themselves and lend them to one another.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,21 +18,28 @@
 use crate::target::{ServiceSlots, Target};
 
 /// The time allowed for a target to detect that a connection was closed or that
-/// the deadline has passed. Its slot stays in use until then.
+/// the deadline has passed. The slot of the attempt stays in use until then.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
-/// The state of one service on this entry. It is retained across versions of
-/// the routes.
+/// Passed to [`Inner::assign_slots`] if no request was served, so that there is
+/// no service time to record.
+const NO_SAMPLE: Option<Duration> = None;
+
+/// The state of one service on this entry. It is retained when a new
+/// configuration or set of targets replaces the routes.
 pub(crate) struct ServiceState {
     /// The zero point of the clock used for decisions.
     epoch: Instant,
-    tickets: AtomicU64,
+    /// The number of the next ticket, which identifies a waiting request.
+    next_ticket: AtomicU64,
     slots: Arc<ServiceSlots>,
     /// Locked for decisions only, never during I/O.
     inner: Mutex<Inner>,
 }
 
 impl ServiceState {
+    /// Creates the state. `seed` is that of the random numbers for admission,
+    /// the retry budget and the choice of targets.
     pub(crate) fn new(
         config: &Service,
         slots: Arc<ServiceSlots>,
@@ -38,7 +48,7 @@
     ) -> ServiceState {
         ServiceState {
             epoch,
-            tickets: AtomicU64::new(0),
+            next_ticket: AtomicU64::new(0),
             slots,
             inner: Mutex::new(Inner::new(config, seed)),
         }
@@ -54,7 +64,7 @@
         self.slots.handle_message(from, message);
         let now = self.now();
         let mut inner = self.lock();
-        inner.assign_slots(self, None, now);
+        inner.assign_slots(self, NO_SAMPLE, now);
         self.slots.request_slots(inner.slots_needed());
     }
 
@@ -75,7 +85,7 @@
     }
 
     pub(super) fn next_ticket(&self) -> Ticket {
-        Ticket(self.tickets.fetch_add(1, Ordering::Relaxed))
+        Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Replaces the configuration and the targets. After the call, no new
@@ -88,7 +98,7 @@
         if !inner.has_capacity() {
             inner.refuse_waiting(now);
         }
-        inner.assign_slots(self, None, now);
+        inner.assign_slots(self, NO_SAMPLE, now);
     }
 
     /// Refuses all waiting requests and all later ones.
@@ -118,7 +128,7 @@
             return false;
         }
         inner.expire(now);
-        inner.assign_slots(self, None, now);
+        inner.assign_slots(self, NO_SAMPLE, now);
         self.slots.request_slots(inner.slots_needed());
         inner.has_waiting()
     }
@@ -141,6 +151,8 @@
         if let Some(pending) = pending {
             pending.release();
         }
+        // The shortest time that another attempt is likely to take: with less time
+        // left, none is started.
         context.expected_duration = inner.service_time_p10();
         let decision = decide_retry(&outcome, context, inner.budget());
         inner.assign_slots(self, sample, now);
@@ -155,16 +167,17 @@
         let now = self.now();
         let mut inner = self.lock();
         pending.release();
-        inner.assign_slots(self, None, now);
+        inner.assign_slots(self, NO_SAMPLE, now);
     }
 
     /// If the target may still be working on the request, releases the slot
     /// after the grace period and returns `None`. Otherwise returns the slot,
     /// which must then be released at once.
     fn defer_release(self: &Arc<Self>, mut pending: PendingRelease) -> Option<PendingRelease> {
-        if !pending.take_awaits_close() {
+        if !pending.take_grace_period() {
             return Some(pending);
         }
+        // Without a runtime, the process is ending, and nothing could wait.
         let Ok(runtime) = Handle::try_current() else {
             return Some(pending);
         };
--- a/crates/cleat-http/src/lib.rs
+++ b/crates/cleat-http/src/lib.rs
@@ -10,5 +10,5 @@
 pub use body::{BodyError, read_body};
 pub use budget::ConnectionBudget;
 pub use client::{CallError, Client, ClientConfig, Reply};
-pub use respond::{Answer, empty, json, text, typed};
+pub use respond::{Answer, empty, json, json_with_media_type, text};
 pub use server::{Handler, ListenError, Listener, RunningServer};
--- a/crates/cleat-http/src/respond.rs
+++ b/crates/cleat-http/src/respond.rs
@@ -11,11 +11,15 @@
 
 /// `value` as JSON with `status`.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
-    typed(status, "application/json", value)
+    json_with_media_type(status, "application/json", value)
 }
 
 /// `value` as JSON under another media type.
-pub fn typed<T: Serialize>(status: StatusCode, media_type: &'static str, value: &T) -> Answer {
+pub fn json_with_media_type<T: Serialize>(
+    status: StatusCode,
+    media_type: &'static str,
+    value: &T,
+) -> Answer {
     // Our own plain data always serializes.
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(Full::new(Bytes::from(body)));
--- a/crates/cleat-operate/src/http/problem.rs
+++ b/crates/cleat-operate/src/http/problem.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::ControlError;
-use cleat_http::{Answer, typed};
+use cleat_http::{Answer, json_with_media_type};
 
 const MEDIA_TYPE: &str = "application/problem+json";
 const TYPE_PREFIX: &str = "urn:celerycleat:problem:";
@@ -15,28 +15,53 @@
 /// The kinds of problem; each has a stable name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProblemKind {
+    /// There is nothing at this path.
     NotFound,
+    /// The path exists, but not with this method.
     MethodNotAllowed,
+    /// The request or its body is not valid.
     BadRequest,
+    /// The request body is too large.
     BodyTooLarge,
+    /// The announcement of a target is not valid.
     BadAnnouncement,
+    /// The announcement names a service that is not configured.
     UnknownService,
+    /// Another target has the announced address.
     AddressTaken,
+    /// The change was not made: for example, no quorum could be reached, or
+    /// there is no configuration yet.
     NoQuorum,
+    /// It is unknown whether the change took effect.
     OutcomeUnknown,
+    /// The change is too large.
     CommandTooLarge,
+    /// The instance of the announced target moves to another pool or reboots.
     InstanceAway,
+    /// No pool has an instance of this name.
     UnknownInstance,
+    /// There is no pool of this name.
     UnknownPool,
+    /// The command id was first used with another kind of command.
     CommandIdTaken,
+    /// The availability budget of the pool does not allow another instance to be
+    /// away.
     OverBudget,
+    /// The instance is moving to another pool, or moved meanwhile.
     MoveInProgress,
+    /// A maintenance wave is working on the instance.
     InMaintenance,
+    /// The configuration names no platform that can drain or reboot instances.
     NoPlatform,
+    /// The previous maintenance wave of the pool has not ended.
     WaveInProgress,
+    /// No maintenance wave of the pool is in progress.
     NoWave,
+    /// There is no queue of this name.
     UnknownQueue,
+    /// There is no job with this id.
     UnknownJob,
+    /// The job has ended and can no longer be cancelled.
     JobOver,
 }
 
@@ -156,7 +181,7 @@
             status: status.as_u16(),
             detail: &self.detail,
         };
-        let mut answer = typed(status, MEDIA_TYPE, &body);
+        let mut answer = json_with_media_type(status, MEDIA_TYPE, &body);
         if self.kind == ProblemKind::NoQuorum {
             let value = HeaderValue::from_static(RETRY_AFTER_S);
             answer.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/cleat-world/src/fleet/types.rs
+++ b/crates/cleat-world/src/fleet/types.rs
@@ -39,6 +39,11 @@
 #[derive(Debug, Clone)]
 pub struct Pool {
     /// How many of its instances may be away at once, for whatever cause.
+    /// An instance is away while a maintenance wave drains it, reboots it or
+    /// has it on probation, after it failed in a wave until it has proved
+    /// itself, while it leaves the pool, and while no target on it is
+    /// announced. One that has joined the pool and not served yet is
+    /// not away, unless a wave makes it so.
     /// Invariant: at most the number of its instances.
     pub availability_budget: u64,
     /// Its instances as configured.
--- a/crates/cleat-world/src/state/budget.rs
+++ b/crates/cleat-world/src/state/budget.rs
@@ -46,7 +46,8 @@
         Some(availability)
     }
 
-    /// The instances of the pool with their places.
+    /// The instances of the pool with their places. A [`Place`] states the pool
+    /// that an instance belongs to and the phase of its membership.
     pub fn places_in<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (&'a str, &'a Place)> {
         let places = self.places.iter();
         let here = places.filter(move |(_, place)| &*place.pool == pool);
@@ -63,6 +64,8 @@
         }
         match place.phase {
             Phase::Joining => false,
+            // `Ordered` is a declared move that has not started: the instance still
+            // serves as a member.
             Phase::Member | Phase::Ordered { .. } => !self.has_target(instance),
             Phase::Leaving { .. } | Phase::Drained { .. } => true,
         }
