--- a/crates/cleat-world/src/fleet/types.rs
+++ b/crates/cleat-world/src/fleet/types.rs
@@ -40,6 +40,11 @@
 #[derive(Debug, Clone)]
 pub struct Pool {
     /// The number of instances of the pool that may be away at once, for any reason.
+    /// An instance is away while a maintenance wave drains it, reboots it or
+    /// has it on probation, after it failed in a wave until it has proved
+    /// itself, while it leaves the pool, and while no target on it is
+    /// announced. One that has joined the pool and not served yet is
+    /// not away, unless a wave makes it so.
     /// Invariant: at most the number of configured instances.
     pub availability_budget: u64,
     /// The instances that are configured in the pool.
--- a/crates/cleat-world/src/state/budget.rs
+++ b/crates/cleat-world/src/state/budget.rs
@@ -47,7 +47,8 @@
         Some(availability)
     }
 
-    /// Iterates over the instances of the pool with their places.
+    /// Iterates over the instances of the pool with their places. A [`Place`] states the pool
+    /// that an instance belongs to and the phase of its membership.
     pub fn places_in<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = (&'a str, &'a Place)> {
         let places = self.places.iter();
         let here = places.filter(move |(_, place)| &*place.pool == pool);
@@ -64,6 +65,8 @@
         }
         match place.phase {
             Phase::Joining => false,
+            // `Ordered` is a declared move that has not started: the instance still
+            // serves as a member.
             Phase::Member | Phase::Ordered { .. } => !self.has_target(instance),
             Phase::Leaving { .. } | Phase::Drained { .. } => true,
         }
