--- a/crates/cleat-jobs/src/schedule/account/report.rs
+++ b/crates/cleat-jobs/src/schedule/account/report.rs
@@ -7,8 +7,9 @@
 use crate::{Cap, Size, StepId};
 
 /// The minimum interval between two log events that report that a customer's cap
-/// prevents the start of its steps. It is short enough to explain to a caller why a job
-/// waits, and bounds the log volume under any load.
+/// prevents the start of its steps. It is short enough that an operator finds a recent
+/// event in the log that explains why a job waits, and bounds the log volume under any
+/// load.
 pub(super) const CAP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 fn view(account: &Account) -> CustomerView<'_> {
--- a/crates/cleat-jobs/src/schedule/event.rs
+++ b/crates/cleat-jobs/src/schedule/event.rs
@@ -33,7 +33,8 @@
         worker: Box<str>,
         /// When the renewal was sent.
         sent_at: Duration,
-        /// The number of the last end that the renewal acknowledged.
+        /// The number of the last end of a run that the renewal acknowledged.
+        /// A worker numbers the ends of its runs from 1.
         acked: u64,
         /// The worker's answer.
         answer: RenewalAnswer,
--- a/crates/cleat-jobs/src/schedule/step.rs
+++ b/crates/cleat-jobs/src/schedule/step.rs
@@ -25,7 +25,10 @@
     pub(crate) advised: bool,
     /// The tasks that are not done and have no run.
     pub(crate) pending: BTreeSet<u32>,
-    /// The tasks that were completed by a run that had counted as lost.
+    /// The tasks that were completed by a run that had counted as lost. Such a
+    /// task may have another run, whose loss must not make the task
+    /// pending again. A task completed by the run that the owner knows has no
+    /// entry here: the owner knows at most one run of each task.
     pub(crate) done: BTreeSet<u32>,
     /// When it became active at this owner.
     pub(crate) active_since: Duration,
@@ -59,8 +62,10 @@
     checkpoints: IndexMap<u32, Box<str>>,
 }
 
-/// The part of the scheduling order that does not change with time: by
-/// priority, then by the time when the job should be done, then by arrival.
+/// The part of the scheduling order that does not change with time. The derived
+/// order compares the fields from first to last: by priority, then steps that
+/// run until they are cancelled before those that end by themselves, then by the
+/// time when the job should be done, then by arrival, then by step id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StepOrder {
     pub(crate) priority: u32,
@@ -85,8 +90,9 @@
     }
 
     /// Whether a scheduling pass has to examine the step while no worker has
-    /// more free capacity than `max_free`. A step that needs permissions always
-    /// counts, since they are requested before there is capacity.
+    /// more free capacity than `max_free`. A step that needs permissions and has
+    /// pending tasks is examined whatever the free capacity, since permissions
+    /// are requested before there is capacity.
     pub(crate) fn may_fit(&self, max_free: Size) -> bool {
         !self.pending.is_empty() && (self.advised || self.footprint.fits(max_free))
     }
--- a/crates/cleat-jobs/tests/absent.rs
+++ b/crates/cleat-jobs/tests/absent.rs
@@ -16,7 +16,7 @@
     MachineView { state, ..view }
 }
 
-/// Feeds a machine list requested 100 ms later.
+/// Advances the time by 100 ms and feeds a machine list requested at that time.
 fn feed_list(harness: &mut Harness, machines: &[MachineView]) -> Vec<Effect> {
     harness.now += ms(100);
     list_machines(harness, machines.to_vec())
@@ -31,7 +31,7 @@
     harness
 }
 
-/// The number of tasks that start after the entry was listed twice.
+/// The number of tasks that start after two machine lists with this one entry.
 fn starts_after(entry: &MachineView) -> usize {
     let mut harness = harness_after_takeover();
     let first = feed_list(&mut harness, std::slice::from_ref(entry));
@@ -69,7 +69,7 @@
     assert_eq!(starts_after(&entry), 0);
 }
 
-/// The entry does not say which worker the machine runs.
+/// The machine list entry does not say which worker the machine runs.
 #[test]
 fn absent_worker_of_a_machine_that_names_no_worker_may_still_run_tasks() {
     assert_eq!(starts_after(&machine("m-w2", MachineState::Up, None)), 0);
@@ -110,8 +110,9 @@
     assert_eq!(harness.owner.workers().count(), 2);
 }
 
-/// The worker's tasks start elsewhere once it counts as silent, long before its lease
-/// expires.
+/// The worker's tasks start elsewhere once it counts as silent and two machine lists show
+/// it as absent, long before its lease expires. A worker counts as silent once renewals to
+/// it have failed for more than 800 ms.
 #[test]
 fn absent_worker_loses_its_tasks_at_once() {
     let mut harness = Harness::new();
@@ -119,6 +120,7 @@
     let other = if *first_worker == *"w1" { "w2" } else { "w1" };
     let entry = machine(&format!("m-{first_worker}"), MachineState::Down, None);
     harness.fail_renewal(&first_worker);
+    // Long enough for the worker to count as silent.
     harness.now += ms(900);
     harness.answer_renewal(other, RenewalAnswer::default());
     harness.tick(ms(1));
@@ -129,7 +131,7 @@
     .concat();
     assert!(
         starts(&effects).is_empty(),
-        "a task started before the crash was committed"
+        "a task started before the absent worker's crash was committed"
     );
     let started = starts(&harness.commit(&effects));
     assert_eq!(started.len(), 1);
--- a/crates/cleat-jobs/tests/takeover.rs
+++ b/crates/cleat-jobs/tests/takeover.rs
@@ -157,7 +157,9 @@
 }
 
 /// A job submitted long before the takeover can no longer complete in time, but one
-/// submitted since then can.
+/// submitted since then can. A job should be done 1,250 ms after its arrival: 1.5 times its
+/// estimate of 500 ms, and the queue's 500 ms. Each task takes a whole worker (8,000
+/// thousandths of a core), so only one of the jobs starts.
 #[test]
 fn takeover_serves_new_jobs_before_overdue_ones() {
     let mut harness = Harness::with_workers(&[]);
@@ -170,7 +172,9 @@
     assert_eq!(started[0].1.task.job(), JobId(2));
 }
 
-/// A job submitted just before the takeover can still complete in time and is served first.
+/// A job submitted just before the takeover can still complete in time and is served first:
+/// 300 ms and its estimate of 500 ms are less than the 1,250 ms within which it should be
+/// done. Each task takes a whole worker, as above.
 #[test]
 fn takeover_keeps_the_order_of_jobs_still_in_time() {
     let mut harness = Harness::with_workers(&[]);
--- a/crates/cleat-quorum/src/core/message.rs
+++ b/crates/cleat-quorum/src/core/message.rs
@@ -117,8 +117,9 @@
     /// Whether this is a pre-vote, which changes no state on the receiver.
     pub pre: bool,
     /// Whether the leader of the previous term transferred leadership to this
-    /// candidate. That leader then no longer relies on the receiver to reject
-    /// votes.
+    /// candidate. The leader lease relies on voters to reject other candidates.
+    /// The transfer ended that leader's lease, so the receiver need not reject
+    /// this one.
     pub transfer: bool,
     /// Last entry in the candidate's log.
     pub last_index: LogIndex,
--- a/crates/cleat-quorum/src/core/replicate.rs
+++ b/crates/cleat-quorum/src/core/replicate.rs
@@ -173,8 +173,9 @@
         if term < self.hard_state.term {
             return;
         }
-        // Ignore a removed member. It gets no new lease, so the leader waits
-        // only for the leases that it held at its removal.
+        // Ignore a removed member. The member gets no new lease, so an entry that
+        // it has not applied is held back from being in force only by the leases
+        // that the member held at its removal.
         if self.log.membership().get(from).is_none() {
             return;
         }
--- a/crates/cleat-quorum/tests/slow_disk.rs
+++ b/crates/cleat-quorum/tests/slow_disk.rs
@@ -105,8 +105,9 @@
 }
 
 /// A snapshot becomes due in the step that writes an entry, while the disk is
-/// busy. The member must count both as synced; otherwise it would never vote
-/// again.
+/// busy. The member must count both the entry and the snapshot as synced;
+/// otherwise it would never vote again. A step is the core's handling of one
+/// event.
 #[tokio::test]
 async fn step_snapshot_during_slow_sync() {
     let (cfg, recovery) = follower(1);
@@ -126,7 +127,7 @@
         applied.expect("what is committed is applied");
     }
     for _ in 0..20 {
-        allow.send(()).expect("the disk waits");
+        allow.send(()).expect("the disk thread still has its store");
     }
     let request_pre_vote = || {
         let req = VoteRequest {
