--- a/crates/cleat-decide/src/request/admission/flow.rs
+++ b/crates/cleat-decide/src/request/admission/flow.rs
@@ -31,10 +31,11 @@
     pub(super) terms: CallerTerms,
     pub(super) quota_usage: QuotaUsage,
     /// The virtual time at which its next request is due. Invariant: at least the
-    /// due time of the last request that it started from the queue.
+    /// due time of the last of its requests that the controller started from the queue.
     pub(super) next_due: u128,
     pub(super) waiting: BTreeMap<QueueKey, Ticket>,
-    /// The average time between two starts of its requests while some wait.
+    /// The average time between two starts of its requests while some wait. A freed
+    /// slot starts the next request.
     pub(super) start_interval: ReleaseInterval,
     /// The expected returns of its refused requests.
     pub(super) returns: PendingReturns,
--- a/crates/cleat-decide/src/slots/types.rs
+++ b/crates/cleat-decide/src/slots/types.rs
@@ -90,7 +90,7 @@
     },
 }
 
-/// One lent slot, as the message describes it.
+/// One lent slot, as [`Message::Grants`] describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The identifier of the grant.
--- a/crates/cleat-entry/src/attempts/target_response.rs
+++ b/crates/cleat-entry/src/attempts/target_response.rs
@@ -35,8 +35,8 @@
         response
     }
 
-    /// The response to store with an idempotency key, unless it is larger than
-    /// `limit` bytes.
+    /// The response to store with an idempotency key. `None` if it is larger than
+    /// `limit` bytes, or if it is streamed or replayed.
     pub(super) fn stored(&self, limit: u64) -> Option<StoredAnswer> {
         let TargetResponse::Complete(parts, chunks) = self else {
             return None;
--- a/crates/cleat-entry/src/problem/problem.rs
+++ b/crates/cleat-entry/src/problem/problem.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Replaces the kind and drops its `Retry-After`.
+    /// Replaces the kind, and drops the `Retry-After` time of the previous kind.
     pub(crate) fn with_kind(self, kind: ProblemKind) -> Problem {
         Problem {
             kind,
@@ -89,8 +89,8 @@
         response
     }
 
-    /// Serializes the complete response, for a connection whose request was not
-    /// passed to a handler.
+    /// Serializes the complete response, for a request that hyper rejected before it
+    /// was passed to a handler.
     pub(crate) fn to_bytes(&self, default_retry_after: Duration) -> Bytes {
         let status = self.kind.status();
         let outcome = self.kind.outcome();
@@ -117,7 +117,7 @@
     }
 
     /// `Retry-After` has a resolution of one second. Rounded up, so that it is
-    /// never earlier than computed.
+    /// never earlier than computed, and never zero.
     fn retry_seconds(&self, default_retry_after: Duration) -> u64 {
         let wait = self.retry_after.unwrap_or(default_retry_after);
         let up = u64::from(wait.subsec_nanos() > 0);
--- a/crates/cleat-entry/src/upstream/tracked_stream.rs
+++ b/crates/cleat-entry/src/upstream/tracked_stream.rs
@@ -11,14 +11,16 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Whether bytes were sent since the last reset.
+/// Whether bytes of the current exchange were sent, and until when it may start.
+/// `Upstream::send` resets the former at the start of each exchange.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SendState(Arc<State>);
 
 #[derive(Debug, Default)]
 struct State {
     sent: AtomicBool,
-    /// No exchange may start at or after this time.
+    /// No exchange may start at or after this time: the end of the lease of a
+    /// borrowed slot. `None` if there is no limit.
     start_deadline: Mutex<Option<Instant>>,
 }
 
@@ -35,7 +37,8 @@
         *self.locked_start_deadline() = deadline;
     }
 
-    /// Checks whether the first byte of an exchange may be sent. This is the
+    /// Checks whether the first byte of an exchange may be sent: not once the lease of
+    /// a borrowed slot has ended. This is the
     /// last check before the write, because the process may have been frozen
     /// since the slot was acquired.
     fn check_start_deadline(&self) -> io::Result<()> {
--- a/crates/cleat-maintain/src/platform/types.rs
+++ b/crates/cleat-maintain/src/platform/types.rs
@@ -26,8 +26,8 @@
     pub instance: Box<str>,
     /// What the platform does to the instance.
     pub action: Action,
-    /// The log index of the step that was committed for the action: unique to the
-    /// wave, the instance and the attempt.
+    /// The index, in the replicated log, of the command that moved the instance on to
+    /// this step of its wave: unique to the wave, the instance and the attempt.
     pub epoch: u64,
 }
 
@@ -88,8 +88,8 @@
         /// Why the request is invalid.
         source: http::Error,
     },
-    /// The platform refused the request: a later leader has sent one, or it does not
-    /// know the instance.
+    /// The platform refused the request: a later leader has sent one, or the
+    /// platform does not know the instance.
     #[snafu(display("the platform at {address} refused the request with status {status}"))]
     Refused {
         /// The address of the platform.
@@ -109,9 +109,9 @@
 
 /// A service that drains and reboots instances.
 pub trait Platform: Send + Sync + 'static {
-    /// Begins the action of `token`, or reports its state if it has begun. `term` is
-    /// the term of the calling leader; the platform refuses a term lower than one
-    /// that it has seen.
+    /// Begins the action of `token`, or reports its state if it has begun. `at` is the
+    /// address of the platform. `term` is the term of the calling leader; the platform
+    /// refuses a term lower than one that it has seen.
     fn run_action(
         &self,
         at: SocketAddr,
--- a/crates/cleat-node/src/instance.rs
+++ b/crates/cleat-node/src/instance.rs
@@ -1,4 +1,8 @@
 //! Starting and stopping an instance.
+//!
+//! An instance is one process of this system: an entry instance with its replica. Each
+//! run of the process is an incarnation; its number is `life` in this crate, and
+//! `incarnation` in commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -101,7 +105,7 @@
 
 impl Instance {
     /// Starts an instance. It listens when this returns, and accepts requests
-    /// once it holds a lease.
+    /// once it holds a member lease and the fleet knows its incarnation.
     ///
     /// # Errors
     /// See [`StartError`]; nothing was changed then.
@@ -246,6 +250,7 @@
     };
     let entry = Entry::bind_with_counters(cfg, node.clone(), &node.counters).await;
     let entry = Arc::new(entry.context(ListenCallersSnafu)?);
+    // Weak, because the entry holds the node, whose world keeps the closure.
     let published = Arc::downgrade(&entry);
     node.world.subscribe(Box::new(move |world| {
         if let Some(entry) = published.upgrade() {
@@ -257,8 +262,8 @@
     Ok(entry)
 }
 
-/// Announces this life of the instance to the fleet, which ends whatever earlier lives
-/// left behind.
+/// Announces this incarnation to the fleet by a command in the replicated log, which
+/// ends the claims of idempotency keys that earlier incarnations left behind.
 async fn begin_life(node: Arc<Node>) {
     let begin = BeginIncarnation {
         entry: node.name.clone(),
--- a/crates/cleat-node/src/leader_calls.rs
+++ b/crates/cleat-node/src/leader_calls.rs
@@ -66,8 +66,8 @@
         })
     }
 
-    /// Waits until the log up to `index` has taken effect on every instance that
-    /// accepts requests.
+    /// Asks the leader to wait until the log up to `index` has taken effect on every
+    /// instance that accepts requests.
     pub(crate) async fn wait_in_force_on_leader(&self, index: u64) -> Result<(), ControlError> {
         self.call_leader(|leader| async move {
             let result = match leader {
@@ -176,8 +176,8 @@
     }
 }
 
-/// Decides whether a call is repeated. After an unknown outcome, only a call that is
-/// `repeatable` is, that is, one that has the same effect if it is applied twice.
+/// Decides whether a failed call is repeated. If its outcome is unknown, it is repeated
+/// only if it is `repeatable`: applied twice, it has the same effect as once.
 pub(crate) fn classify<T>(result: Result<T, LeaderCallError>, repeatable: bool) -> Attempt<T> {
     match result {
         Ok(value) => Attempt::Finished(Ok(value)),
@@ -193,7 +193,10 @@
     }
 }
 
-/// Whether the command has the same effect if it is applied twice.
+/// Whether the command has the same effect if it is applied twice. A repeated command
+/// with a command id gets the first answer. A repeated announcement keeps the incarnation
+/// of the target. A settlement only ends the claim with its incarnation and number. An
+/// advance of a move that took effect is stale when repeated, since it changed the epoch.
 fn is_repeatable(body: &CommandBody) -> bool {
     match body {
         CommandBody::ApplyConfig(_)
--- a/crates/cleat-operate/src/targets/mod.rs
+++ b/crates/cleat-operate/src/targets/mod.rs
@@ -49,8 +49,8 @@
         answer.map_or_else(|error| Err(from_control(&error)), to_answer)
     }
 
-    /// Renews the lease if the announcement is unchanged. Returns `None` if it has to
-    /// be proposed as a command.
+    /// Renews the lease if the announcement is unchanged. Returns `None` if the
+    /// announcement has to be proposed as a command.
     async fn renew(&self, announce: &Announce) -> Result<Option<TargetAnswer>, ControlError> {
         let known = self.control.world(|world| {
             let target = world.targets().get(&announce.name)?;
--- a/crates/cleat-world/tests/moves.rs
+++ b/crates/cleat-world/tests/moves.rs
@@ -50,6 +50,7 @@
     ));
 }
 
+/// Also checks that a repeated command id gets the first answer.
 #[test]
 fn move_refusals_are_typed() {
     let mut f = Fixture::serving(3, 3, 2);
@@ -107,15 +108,18 @@
         f.advance("a2", leaving("b")),
         MoveAnswer::OverBudget { .. }
     ));
-    // With the old configuration again, the instance that has not left stays.
+    // With the old configuration again, a2, which has not left, stays; a1, which is
+    // leaving, gets its old pool as its destination.
     f.config(&config(3, 3, 1));
     assert_eq!(f.world.places()["a2"].phase, Phase::Member);
     assert_eq!(f.world.places()["a1"].phase, leaving("a"));
 }
 
+/// An instance is joining its pool until its first target there is accepted.
 #[test]
 fn config_pool_change_is_immediate_before_the_first_target() {
     let mut f = Fixture::serving(3, 3, 1);
+    // Without its target, a1 counts as away: the budget of pool a is used up.
     f.withdraw_target("a1");
     let declared = |name: &str, pool: &str| {
         let mut config = config(3, 3, 1);
@@ -123,7 +127,7 @@
         config
     };
     f.config(&declared("c1", "a"));
-    // The instance changes pools twice without ever counting as away.
+    // c1 changes pools twice without ever counting as away; only a1 does.
     for pool in ["b", "a"] {
         assert!(matches!(
             f.config(&declared("c1", pool)),
@@ -156,7 +160,7 @@
             .clone()
             .all(|place| &*place.pool == "a" && place.phase.accepts_targets())
     );
-    // The budget still covers the instance that had not left, which has no target now.
+    // The budget still covers a2, which had not left pool a and has no target now.
     assert_eq!(f.away("a"), 1);
     f.announce_accepted("a1");
     f.announce_accepted("a2");
@@ -174,7 +178,8 @@
     };
     assert_eq!(f.config(&config(3, 3, 0)), refused);
     assert_eq!(f.world.version(), 1);
-    // A service that changes pools makes the place of each of its targets invalid.
+    // A service that changes pools makes the place of each of its targets invalid:
+    // they run on instances of its previous pool.
     f.announce_accepted("a1");
     let mut swapped = config(3, 3, 1);
     swapped["services"]["serve-a"]["pool"] = "b".into();
