--- a/crates/cleat-control/src/state_machine.rs
+++ b/crates/cleat-control/src/state_machine.rs
@@ -53,7 +53,7 @@
 pub(crate) struct JobsStateMachine(pub(crate) Arc<SharedState>);
 
 /// The answer to an entry that can't be decoded: a byte that starts no encoded
-/// [`Answer`].
+/// [`CommandOutcome`].
 const UNREADABLE: u8 = u8::MAX;
 
 impl StateMachine for JobsStateMachine {
